--- /dev/null
+++ b/internal/wire/names_test.go
@@ -0,0 +1,350 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"reflect"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"aspenstall/internal/clusterconfig"
+	"aspenstall/internal/core"
+)
+
+// Names that leave the process are compared with testdata/names.json, which no tool that
+// renames identifiers changes: messages as JSON, lists for structs without keys.
+
+func golden(t *testing.T, name string) json.RawMessage {
+	t.Helper()
+	b, err := os.ReadFile("testdata/names.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all map[string]json.RawMessage
+	if err := json.Unmarshal(b, &all); err != nil {
+		t.Fatal(err)
+	}
+	return all[name]
+}
+
+// packed is MessagePack of some JSON.
+func packed(t *testing.T, text []byte) []byte {
+	t.Helper()
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.UseNumber()
+	var v any
+	if err := d.Decode(&v); err != nil {
+		t.Fatal(err)
+	}
+	b, err := Marshal(numbers(v))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func numbers(v any) any {
+	switch v := v.(type) {
+	case map[string]any:
+		for k := range v {
+			v[k] = numbers(v[k])
+		}
+	case []any:
+		for i := range v {
+			v[i] = numbers(v[i])
+		}
+	case json.Number:
+		if n, err := v.Int64(); err == nil {
+			return n
+		}
+		f, _ := v.Float64()
+		return f
+	}
+	return v
+}
+
+// sameAsGolden compares an encoded message with the golden one.
+func sameAsGolden(t *testing.T, name string, b []byte) {
+	t.Helper()
+	var v any
+	if err := msgpack.Unmarshal(b, &v); err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want bytes.Buffer
+	if err := json.Compact(&want, golden(t, name)); err != nil {
+		t.Fatalf("no golden %q; encoded: %s", name, got)
+	}
+	if want.String() != string(got) {
+		t.Errorf("encoded\n%s, want\n%s", got, want.String())
+	}
+}
+
+// allSet checks that every field has a value, and that none but flags have the same one.
+func allSet(t *testing.T, path string, v reflect.Value, seen map[string]string) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			name := v.Type().Field(i).Name
+			// How long ago a record was made is not stored.
+			if name != "_msgpack" && (name != "Ago" || v.Type() != reflect.TypeFor[core.KeptRecord]()) {
+				allSet(t, path+"."+name, v.Field(i), seen)
+			}
+		}
+	case reflect.Pointer:
+		if v.IsNil() {
+			t.Errorf("%s is not set", path)
+			return
+		}
+		allSet(t, path, v.Elem(), seen)
+	case reflect.Slice, reflect.Map:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", path)
+		}
+		if v.Kind() == reflect.Map || v.Type() == reflect.TypeFor[msgpack.RawMessage]() {
+			return
+		}
+		for i := range v.Len() {
+			allSet(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i), seen)
+		}
+	default:
+		if v.IsZero() {
+			t.Errorf("%s is not set", path)
+		}
+		s := fmt.Sprint(v)
+		if other := seen[s]; other != "" && v.Kind() != reflect.Bool {
+			t.Errorf("%s and %s have the same value", path, other)
+		}
+		seen[s] = path
+	}
+}
+
+func ptr[T any](v T) *T { return &v }
+
+func text(s string) msgpack.RawMessage {
+	b, _ := msgpack.Marshal(s)
+	return b
+}
+
+func TestNamesInMessages(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		value any // a pointer to it
+	}{
+		{"job state", &JobState{"job-1", "running", 2, 3}},
+		{"accepted", &Accepted{ID: "job-1", State: "pending"}},
+		{"report", &report{
+			Machine: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Session: 1, Seq: 2, Token: 3, Notice: ptr(4.5),
+			Tasks: []taskReport{{Task: "job-5/6", Attempt: 7, State: "running", Why: "alone", Saved: true}},
+		}},
+		{"commands", &commands{Token: 1, Session: 2, Commands: []command{{Op: "halt", Task: "job-3/4", Attempt: 5, Grace: ptr(6.5)}}}},
+		{"redirect", &Redirect{Node: "n"}},
+		{"leader", &Leader{Node: "n", Nth: 1}},
+		{"catalog record", &CatalogRecord{Raw: text("r")}},
+		{"machine type", &machineType{
+			Name: "l", CPUs: 1.5, GPUs: 2.5, MemGB: 3.5, CacheGB: 4.5, FetchGBps: 5.5, Price: 6.5, SpotPrice: 7.5, BootS: 8.5, Zones: []string{"z"},
+		}},
+		{"listed machine", &listedMachine{ID: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, State: "booting", AgeS: 1.5}},
+		{"rent request", &RentRequest{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1}},
+		{"machine names", &MachineNames{Machines: []string{"m"}}},
+		{"entries", &Entries{Items: []Entry{{Key: "k", Value: text("v"), Version: 1, Lease: 2}}, More: true, Revision: 3}},
+		{"changes", &Changes{Revision: 1, Events: []Change{{Put: "p", Delete: "d", Value: text("v"), Version: 2}}}},
+		{"transaction", &Txn{If: []Cond{{Key: "k", Version: 1}}, Then: []Write{{Put: "p", Delete: "d", Value: text("v"), Lease: 2}}}},
+		{"transaction's result", &TxnResult{Revision: 1, Failed: []string{"f"}, Error: "e"}},
+		{"lease request", &LeaseRequest{TTL: 1}},
+		{"lease", &Lease{ID: 1}},
+		{"configuration's head", &configHead{
+			Format: 1, Number: 2, Pages: []string{"p"}, Last: []configChange{{ID: "i", Number: 3}},
+			IdleReturnS: ptr(4.5), RefusalPauseS: ptr(5.5), HoldS: ptr(6.5), QuarantineS: ptr(7.5), SpareTasks: ptr(8),
+		}},
+		{"configuration's page", &configPage{Teams: []configTeam{{Name: "t", MinCPU: 4, MaxCPU: 5, MinGPU: 6, MaxGPU: 7, Cap: 2, Draining: true}}}},
+		{"configuration's acknowledgement", &configAck{Format: 1, Stamp: 2, Number: 3, Peers: []string{"p"}, Error: "e", Earlier: []string{"q"}}},
+		{"job", &jobRecord{
+			Phase: 2, Submitted: 10, Class: "cl", Team: "te", Kind: 1, Priority: 3, Tasks: 11, CPU: 12, GPU: 13, Mem: 14, Types: []string{"ty"}, Zone: "z",
+			OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 15, Estimate: 16, Check: 17, SaveCost: 18, Due: 19, Born: 20, Ended: 21,
+		}},
+		{"machines", &machinesRecord{Machines: []machineRecord{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true}}}},
+		{"rent", &rentRecord{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, At: 2}},
+		{"range", &rangeRecord{Job: "job-1", Chunk: 2, Ranges: []int{3, 4}}},
+		{"open", &openRecord{Job: "job-1"}},
+		{"kept", &keptRecord{Zone: "z", Began: 1, Machines: []keptMachine{{Name: "m", Tasks: []keptTask{{Job: "job-2", Index: 3, Attempt: 4}}}}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			allSet(t, c.name, reflect.ValueOf(c.value), map[string]string{})
+			b, err := Marshal(c.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			sameAsGolden(t, c.name, b)
+			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
+			if err := Unmarshal(packed(t, golden(t, c.name)), back); err != nil || !reflect.DeepEqual(back, c.value) {
+				t.Errorf("golden is read as %+v, %v", back, err)
+			}
+		})
+	}
+}
+
+// The records of other packages go into the same messages, and come back out of them.
+func TestNamesOfRecords(t *testing.T) {
+	job := core.JobRecord{
+		Phase: core.Cancelled, Submitted: 10, Stamp: 9, Born: 20, Ended: 21,
+		Spec: core.JobSpec{
+			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 11, Need: core.Res{CPU: 12, GPU: 13, Mem: 14},
+			Types: []string{"ty"}, Zone: "z", OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 15,
+			Estimate: 16, Checkpoint: 17, SaveCost: 18, Due: 19,
+		},
+	}
+	head := clusterconfig.Head{
+		Format: 1, Number: 2, Pages: []string{"c/config/page/p"}, Last: []clusterconfig.Applied{{ID: "i", Number: 3}},
+		Tuning: clusterconfig.Tuning{IdleReturnS: ptr(4.5), RefusalPauseS: ptr(5.5), HoldS: ptr(6.5), QuarantineS: ptr(7.5), SpareTasks: ptr(8)},
+	}
+	page := clusterconfig.Page{Teams: map[string]clusterconfig.Team{
+		"t": {Min: core.Res{CPU: 4, GPU: 6}, Max: core.Res{CPU: 5, GPU: 7}, Cap: core.High, Draining: true},
+	}}
+	ack := clusterconfig.Ack{Format: 1, Stamp: 2, Number: 3, Peers: []string{"p"}, Error: "e", Earlier: []string{"q"}}
+	record := func(v any) func() ([]byte, error) { return func() ([]byte, error) { return EncodeRecord(v) } }
+	machines := core.MachinesRecord{Key: "k", Machines: []core.MachineRecord{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true}}}
+	rent := core.RentRecord{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, At: 2}
+	ranges := core.RangeRecord{Key: "k", Job: "job-1", Chunk: 2, Ranges: []int{3, 4}}
+	kept := core.KeptRecord{Key: "k", Zone: "z", Began: 1, Machines: []core.KeptMachine{{Name: "m", Tasks: []core.KeptTask{{Job: "job-2", Index: 3, Attempt: 4}}}}}
+	for _, c := range []struct {
+		name   string
+		value  any
+		encode func() ([]byte, error)
+		decode func(b []byte) (any, error) // nil: there is none
+	}{
+		{"job", job, func() ([]byte, error) { return EncodeJob(&job) }, func(b []byte) (any, error) { return DecodeJob("job-1", b, 9) }},
+		{"machines", machines, record(machines), func(b []byte) (any, error) { return DecodeMachines("k", b) }},
+		{"rent", rent, record(rent), func(b []byte) (any, error) { return DecodeRent(b) }},
+		{"range", ranges, record(ranges), func(b []byte) (any, error) { return DecodeRanges("k", b) }},
+		{"kept", kept, record(kept), func(b []byte) (any, error) { return DecodeKept("k", b) }},
+		{"open", core.OpenRecord{Job: "job-1"}, record(core.OpenRecord{Job: "job-1"}), nil},
+		{"configuration's head", head, func() ([]byte, error) { return ConfigCodec{}.Encode(clusterconfig.Write{Head: &head}) },
+			func(b []byte) (any, error) { return DecodeConfigHead(b) }},
+		{"configuration's page", page, func() ([]byte, error) { return ConfigCodec{}.Encode(clusterconfig.Write{Page: &page}) },
+			func(b []byte) (any, error) { return DecodeConfigPage(b) }},
+		{"configuration's acknowledgement", ack, func() ([]byte, error) { return EncodeConfigAck(&ack) },
+			func(b []byte) (any, error) { return DecodeConfigAck(b) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			allSet(t, c.name, reflect.ValueOf(c.value), map[string]string{})
+			b, err := c.encode()
+			if err != nil {
+				t.Fatal(err)
+			}
+			sameAsGolden(t, c.name, b)
+			if c.decode == nil {
+				return
+			}
+			if back, err := c.decode(packed(t, golden(t, c.name))); err != nil || !reflect.DeepEqual(back, c.value) {
+				t.Errorf("golden is read as %+v, %v, want %+v", back, err, c.value)
+			}
+		})
+	}
+}
+
+func TestNamesThatAreRead(t *testing.T) {
+	in := func(format string, names ...any) []byte {
+		for i, n := range names {
+			names[i] = string(golden(t, n.(string)))
+		}
+		return packed(t, fmt.Appendf(nil, format, names...))
+	}
+	for _, c := range []struct {
+		name string
+		read func() (any, error)
+		want any
+	}{
+		{"report", func() (any, error) { return ParseReport(in("%s", "report")) }, &core.Report{
+			Machine: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Session: 1, Seq: 2, Token: 3, Notice: 4_500_000,
+			Tasks: []core.TaskReport{{Job: "job-5", Index: 6, Attempt: 7, State: core.Running, Cause: core.CauseAlone, Saved: true}},
+		}},
+		{"catalog", func() (any, error) { return ParseCatalog(in(`{"breeds":[%s]}`, "machine type")) }, []core.MachineType{{
+			Name: "l", Cap: core.Res{CPU: 1500, GPU: 2500, Mem: 3500}, CacheMB: 4500, FetchMBps: 5500, Price: 6.5, SpotPrice: 7.5, Boot: 8_500_000, Zones: []string{"z"},
+		}}},
+		{"machines", func() (any, error) {
+			list, more, err := ParseMachines(in(`{"stalls":[%s],"more":true}`, "listed machine"))
+			return fmt.Sprint(list, more), err
+		}, fmt.Sprint([]core.Listed{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Booting: true, Age: 1_500_000}}, true)},
+		{"failed machine", func() (any, error) {
+			list, _, err := ParseMachines(in(`{"stalls":[{"uid":"m","phase":"failed"}],"more":false}`))
+			return list, err
+		}, []core.Listed{{Name: "m", Failed: true}}},
+		{"submission", func() (any, error) { return ParseSubmission(in("%s", "submission")) }, core.JobSpec{
+			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 2, Need: core.Res{CPU: 3500, GPU: 4500, Mem: 5500},
+			Types: []string{"ty"}, Zone: "z", OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 6500,
+			Estimate: 7_500_000, Checkpoint: 8_500_000, SaveCost: 9_500_000, Due: 10_500_000,
+		}},
+		{"submission's id", func() (any, error) { return SubmissionID(in("%s", "submission")), nil }, "job-1"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got, err := c.read(); err != nil || !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got %+v, %v, want %+v", got, err, c.want)
+			}
+		})
+	}
+	spec, err := ParseSubmission(in("%s", "submission"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	allSet(t, "submission", reflect.ValueOf(spec), map[string]string{})
+}
+
+func TestNamesOfCommands(t *testing.T) {
+	got, err := Commands(1, 2, []core.Command{
+		{Op: core.Start, Job: "job-3", Index: 4, Attempt: 5}, {Op: core.Stop, Job: "job-6", Index: 7, Attempt: 8, Grace: 9_500_000},
+		{Op: core.Forget, Job: "job-10", Index: 11, Attempt: 12},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sameAsGolden(t, "commands of each kind", got)
+}
+
+func TestWords(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		got, want any
+	}{
+		{"shapes", kinds, map[string]core.Kind{"batch": 0, "ensemble": 1, "standing": 2}},
+		{"urgencies", priorities, map[string]core.Priority{"idle": 0, "standard": 1, "high": 2, "production": 3}},
+		{"states of tasks", taskStates, map[string]core.TaskState{"fetching": 0, "gathering": 1, "running": 2, "flushing": 3, "exited": 4}},
+		{"causes", causes, map[string]core.Cause{
+			"done": 0, "halted": 1, "mates_gone": 2, "alone": 3, "error": 4, "no_room": 5, "in_use": 6, "no_such": 7,
+		}},
+		{"commands", ops, [...]string{"start", "halt", "reap"}},
+		{"phases", []string{PhaseName(0), PhaseName(1), PhaseName(2)}, []string{"pending", "done", "aborted"}},
+		{"states of jobs", []string{StatePending, StateRunning, StateDone, StateCancelled}, []string{"pending", "running", "done", "aborted"}},
+		{"constants", []int{int(core.Pending), int(core.Done), int(core.Cancelled), int(core.Array), int(core.Gang), int(core.Service)}, []int{0, 1, 2, 0, 1, 2}},
+		{"task", TaskName("job-1", 2), "job-1/2"},
+		{"paths", []string{
+			JobsPath, CancelEnd, HealthPath, ReportPath, CommandsPath, StatusPath, CatalogPath, MachinesPath, MachineReturnPath,
+			KeysPath, CommitPath, LeasesPath, RenewEnd, ChangesPath,
+		}, []string{
+			"/v2/runs", "withdraw", "/up", "/agent/beat", "/do", "/inspect", "/catalog", "/machines", "/machines/return",
+			"/keys", "/commit", "/leases", "renew", "/changes",
+		}},
+		{"keys", []string{
+			LeaderKey, JobPrefix, core.OpenPrefix, core.RangesPrefix, core.MachinePrefix, core.RentPrefix, core.KeptPrefix,
+			core.RangeKey("job-1", 2, 0), core.RangeKey("job-1", 2, 3),
+			clusterconfig.Prefix, clusterconfig.HeadKey, clusterconfig.PagePrefix, clusterconfig.AckPrefix, clusterconfig.KnownPrefix,
+		}, []string{
+			"c/leader", "c/job/", "b/open/", "b/done/", "b/machine/", "b/rent/", "b/kept/",
+			"b/done/job-1/2", "b/done/job-1/2-3",
+			"c/config/", "c/config/head", "c/config/page/", "d/config/", "d/known/",
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if !reflect.DeepEqual(c.got, c.want) {
+				t.Errorf("got %v, want %v", c.got, c.want)
+			}
+		})
+	}
+}
