--- a/cmd/aspenstall/config.go
+++ b/cmd/aspenstall/config.go
@@ -158,7 +158,7 @@
 		writeDiff(w, k, v, to)
 		return fmt.Errorf("%w: it is version %d, not %d", configclient.ErrConflict, v.Records.Head.Number, a.Expect)
 	}
-	room := core.Res{CPU: int64(a.FleetCPUs * 1000), GPU: int64(a.FleetGPUs * 1000)}
+	room := core.Resources{CPU: int64(a.FleetCPUs * 1000), GPU: int64(a.FleetGPUs * 1000)}
 	for _, warning := range to.Warnings(&k.Base, room) {
 		fmt.Fprintln(w, "warning:", warning)
 	}
--- a/cmd/aspenstall/main.go
+++ b/cmd/aspenstall/main.go
@@ -151,7 +151,7 @@
 	}
 	if m := p.Params.Limits.MaxConnections; m > 0 {
 		// The rest is for what the node dials, which takes an eighth and some.
-		l = netdial.Shed(l, max(m*5/6, 8))
+		l = netdial.ShedListener(l, max(m*5/6, 8))
 	}
 	pl, err := net.Listen("tcp", p.ClusterListen)
 	if err != nil {
--- a/cmd/aspenstall/nomad.go
+++ b/cmd/aspenstall/nomad.go
@@ -92,9 +92,9 @@
 func nativeOf(group string, s *core.JobSpec) nativeJob {
 	return nativeJob{
 		Group: group, Team: s.Team, Class: s.Class, Kind: [...]string{"array", "gang", "service"}[s.Kind], Priority: s.Priority.String(), Tasks: s.Tasks,
-		CPUs: float64(s.Need.CPU) / 1000, GPUs: float64(s.Need.GPU) / 1000, MemGB: float64(s.Need.Mem) / 1000,
+		CPUs: float64(s.Request.CPU) / 1000, GPUs: float64(s.Request.GPU) / 1000, MemGB: float64(s.Request.Mem) / 1000,
 		Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Image: s.Image, ImageGB: float64(s.ImageMB) / 1000,
-		EstimateS: float64(s.Estimate) / 1e6, CheckpointS: float64(s.Checkpoint) / 1e6, SaveCostS: float64(s.SaveCost) / 1e6, DueS: float64(s.Due) / 1e6,
+		EstimateS: float64(s.EstimatedRun) / 1e6, CheckpointS: float64(s.CheckpointInterval) / 1e6, SaveCostS: float64(s.CheckpointCost) / 1e6, DueS: float64(s.Deadline) / 1e6,
 	}
 }
 
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -21,16 +21,16 @@
 var ErrNoCapacity = errors.New("no capacity")
 
 const (
-	requestTimeout = 5 * time.Second
-	pageSize       = 500
-	maxAnswer      = 4 << 20
+	requestTimeout   = 5 * time.Second
+	pageSize         = 500
+	maxResponseBytes = 4 << 20
 )
 
 // Client talks to the cloud; calls wait for their place in its rate.
 type Client struct {
-	base  string
-	http  *http.Client
-	limit *rate.Limiter
+	base    string
+	http    *http.Client
+	limiter *rate.Limiter
 }
 
 // New returns a client for the cloud at addr that keeps to a share of rps.
@@ -40,8 +40,8 @@
 		lim = rate.NewLimiter(rate.Limit(rps*0.8), max(int(rps), 1))
 	}
 	return &Client{
-		base:  "http://" + addr,
-		limit: lim,
+		base:    "http://" + addr,
+		limiter: lim,
 		http: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{
 			DialContext: dial, MaxConnsPerHost: 4, MaxIdleConnsPerHost: 4, DisableCompression: true,
 		}},
@@ -49,7 +49,7 @@
 }
 
 func (c *Client) do(ctx context.Context, method, path string, in any) (int, []byte, error) {
-	if err := c.limit.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return 0, nil, err
 	}
 	var body io.Reader
@@ -69,7 +69,7 @@
 		return 0, nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
@@ -115,7 +115,7 @@
 }
 
 // Return gives machines back; without an error they are gone.
-func (c *Client) Return(ctx context.Context, names []string) error {
+func (c *Client) Release(ctx context.Context, names []string) error {
 	status, _, err := c.do(ctx, http.MethodPost, wire.MachineReturnPath, &wire.MachineNames{Machines: names})
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("return: status %d", status)
@@ -124,8 +124,8 @@
 }
 
 // List returns the cloud's list of machines, which is late.
-func (c *Client) List(ctx context.Context) ([]core.Listed, error) {
-	var all []core.Listed
+func (c *Client) List(ctx context.Context) ([]core.ListedMachine, error) {
+	var all []core.ListedMachine
 	since := ""
 	for {
 		path := fmt.Sprintf("%s?limit=%d", wire.MachinesPath, pageSize)
--- a/internal/clusterconfig/clusterconfig.go
+++ b/internal/clusterconfig/clusterconfig.go
@@ -19,9 +19,9 @@
 
 // Team is what is configured for a team.
 type Team struct {
-	Min, Max core.Res      // CPU and GPU, in thousandths; 0 in Max: no limit
-	Cap      core.Priority // the highest that it may ask for
-	Draining bool          // it takes no new jobs
+	Min, Max core.Resources // CPU and GPU, in thousandths; 0 in Max: no limit
+	Cap      core.Priority  // the highest that it may ask for
+	Draining bool           // it takes no new jobs
 }
 
 // Tuning are the settings that may change while the cluster serves; nil: as the controllers
@@ -101,9 +101,9 @@
 			*d = core.Seconds(*s)
 		}
 	}
-	seconds(t.IdleReturnS, &b.Idle)
-	seconds(t.RefusalPauseS, &b.RefusalPause)
-	seconds(t.HoldS, &b.Hold)
+	seconds(t.IdleReturnS, &b.IdleTimeout)
+	seconds(t.RefusalPauseS, &b.RefusalBackoff)
+	seconds(t.HoldS, &b.ReservationDecay)
 	seconds(t.QuarantineS, &b.Quarantine)
 	if t.SpareTasks != nil {
 		b.SpareTasks = *t.SpareTasks
@@ -167,8 +167,8 @@
 func Amount(thousandths int64) float64 { return float64(thousandths) / 1000 }
 
 // Warnings say what is allowed and may not be meant: room is what the fleet can have.
-func (c *Config) Warnings(b *Base, room core.Res) []string {
-	var sum core.Res
+func (c *Config) Warnings(b *Base, room core.Resources) []string {
+	var sum core.Resources
 	for _, t := range c.Over(b).Teams {
 		sum = sum.Add(t.Min)
 	}
@@ -262,7 +262,7 @@
 func tuningFields(t core.Tuning) []field {
 	s := func(m core.Micros) string { return fmt.Sprint(float64(m) / 1e6) }
 	return []field{
-		{":idle-return-s", s(t.Idle)}, {":refusal-pause-s", s(t.RefusalPause)}, {":hold-s", s(t.Hold)},
+		{":idle-return-s", s(t.IdleTimeout)}, {":refusal-pause-s", s(t.RefusalBackoff)}, {":hold-s", s(t.ReservationDecay)},
 		{":quarantine-s", s(t.Quarantine)}, {":spare-tasks", fmt.Sprint(t.SpareTasks)},
 	}
 }
--- a/internal/clusterconfig/clusterconfig_test.go
+++ b/internal/clusterconfig/clusterconfig_test.go
@@ -17,12 +17,12 @@
 )
 
 func cpus(least, most int64) clusterconfig.Team {
-	return clusterconfig.Team{Min: core.Res{CPU: least}, Max: core.Res{CPU: most}, Cap: core.Production}
+	return clusterconfig.Team{Min: core.Resources{CPU: least}, Max: core.Resources{CPU: most}, Cap: core.Production}
 }
 
 var base = clusterconfig.Base{
 	Teams:  map[string]clusterconfig.Team{"blue": cpus(4000, 8000), "free": cpus(0, 0)},
-	Tuning: core.Tuning{Idle: 10 * core.Second, SpareTasks: 3},
+	Tuning: core.Tuning{IdleTimeout: 10 * core.Second, SpareTasks: 3},
 }
 
 func TestOver(t *testing.T) {
@@ -48,7 +48,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := c.config.Over(&base)
-			if !maps.Equal(e.Teams, c.want) || e.Tuning.Idle != c.idle || e.Tuning.SpareTasks != 3 {
+			if !maps.Equal(e.Teams, c.want) || e.Tuning.IdleTimeout != c.idle || e.Tuning.SpareTasks != 3 {
 				t.Errorf("got %+v", e)
 			}
 		})
@@ -100,7 +100,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("got %q", got)
 	}
-	if w := to.Warnings(&base, core.Res{CPU: 50_000}); len(w) != 1 || !strings.Contains(w[0], "94 CPUs") {
+	if w := to.Warnings(&base, core.Resources{CPU: 50_000}); len(w) != 1 || !strings.Contains(w[0], "94 CPUs") {
 		t.Errorf("warnings %q", w)
 	}
 	if gone := clusterconfig.Removed(&to, &clusterconfig.Config{}, &base); !slices.Equal(gone, []string{"red"}) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -191,21 +191,21 @@
 
 // Core is the core's configuration.
 func Core(p *Platform, s Settings) core.Config {
-	blind := core.Blind(core.Seconds(p.Params.Workers.LeaseS), core.Seconds(p.Params.Workers.CancelS))
+	blind := core.MaxCancelStaleness(core.Seconds(p.Params.Workers.LeaseS), core.Seconds(p.Params.Workers.CancelS))
 	c := core.Config{
-		Lease:     core.Seconds(p.Params.Workers.LeaseS),
-		ReportGap: core.Seconds(p.Params.Workers.ReportS),
+		WorkerLease:    core.Seconds(p.Params.Workers.LeaseS),
+		ReportInterval: core.Seconds(p.Params.Workers.ReportS),
 		// The other node's clock may be slower by the drift.
-		AnswerGrace: min(core.Seconds(s.AnswerGraceS), blind) * 1001 / 1000,
-		Blind:       blind,
+		AnswerGrace:        min(core.Seconds(s.AnswerGraceS), blind) * 1001 / 1000,
+		MaxCancelStaleness: blind,
 		// Short beside any wait that an objective could name.
-		PlacePause:  20 * core.Millisecond,
-		RecordPause: 200 * core.Millisecond,
-		LeaderLease: core.Seconds(s.LeaderLeaseS),
+		PlacementInterval: 20 * core.Millisecond,
+		RecordInterval:    200 * core.Millisecond,
+		LeaderLease:       core.Seconds(s.LeaderLeaseS),
 		// A third of the calls or so.
-		ReturnPause: core.Seconds(4 / max(p.Params.Cloud.RPS, 1)),
-		ListLag:     core.Seconds(p.Params.Cloud.ListLagS),
-		ValueBytes:  int(p.Params.State.ValueKB*1024 - valueMargin),
+		ReleaseInterval: core.Seconds(4 / max(p.Params.Cloud.RPS, 1)),
+		ListLag:         core.Seconds(p.Params.Cloud.ListLagS),
+		MaxRecordBytes:  int(p.Params.State.ValueKB*1024 - valueMargin),
 		// Five words of a machine take about as many letters, as JSON.
 		MachinesPerRecord: max(int(p.Params.State.ValueKB*1024-valueMargin)/100, 1),
 		// Every second task finished is the worst case: two numbers with their
@@ -213,13 +213,13 @@
 		ChunkSize: max(int(p.Params.State.ValueKB*1024-valueMargin)/8, 16),
 		Tuning:    tuning(s),
 	}
-	c.StartWithin = map[string][]core.Micros{}
+	c.StartObjectives = map[string][]core.Micros{}
 	for _, o := range p.Params.Objectives {
 		if o.Kind == "wait" {
-			c.StartWithin[o.Class] = append(c.StartWithin[o.Class], core.Seconds(o.WithinS))
-			slices.Sort(c.StartWithin[o.Class])
+			c.StartObjectives[o.Class] = append(c.StartObjectives[o.Class], core.Seconds(o.WithinS))
+			slices.Sort(c.StartObjectives[o.Class])
 		}
-		c.LateTimes = max(c.LateTimes, o.Times)
+		c.LateFactor = max(c.LateFactor, o.Times)
 	}
 	c.Teams = CoreTeams(ConfigBase(p, s).Teams)
 	return c
@@ -231,8 +231,8 @@
 	b := clusterconfig.Base{Teams: map[string]clusterconfig.Team{}, Tuning: tuning(s)}
 	for _, t := range p.Params.Teams {
 		b.Teams[t.Name] = clusterconfig.Team{
-			Min: core.Res{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000)},
-			Max: core.Res{CPU: int64(t.CPUsMax * 1000), GPU: int64(t.GPUsMax * 1000)},
+			Min: core.Resources{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000)},
+			Max: core.Resources{CPU: int64(t.CPUsMax * 1000), GPU: int64(t.GPUsMax * 1000)},
 			Cap: s.PriorityCap(t.Name),
 		}
 	}
@@ -251,7 +251,7 @@
 
 func tuning(s Settings) core.Tuning {
 	return core.Tuning{
-		Idle: core.Seconds(s.IdleReturnS), RefusalPause: core.Seconds(s.RefusalPauseS),
-		Hold: core.Seconds(s.HoldS), Quarantine: core.Seconds(s.QuarantineS), Suspect: core.Seconds(s.SuspectS), SpareTasks: s.SpareTasks,
+		IdleTimeout: core.Seconds(s.IdleReturnS), RefusalBackoff: core.Seconds(s.RefusalPauseS),
+		ReservationDecay: core.Seconds(s.HoldS), Quarantine: core.Seconds(s.QuarantineS), SuspectAfter: core.Seconds(s.SuspectS), SpareTasks: s.SpareTasks,
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -152,7 +152,7 @@
 }
 
 func TestClusterConfig(t *testing.T) {
-	base := clusterconfig.Base{Teams: map[string]clusterconfig.Team{"blue": {Min: core.Res{CPU: 4000}, Max: core.Res{CPU: 8000}, Cap: core.High}}}
+	base := clusterconfig.Base{Teams: map[string]clusterconfig.Team{"blue": {Min: core.Resources{CPU: 4000}, Max: core.Resources{CPU: 8000}, Cap: core.High}}}
 	for _, c := range []struct{ name, text, want string }{
 		{"good", `{:teams {"blue" {:cpus 2 :cap :low} "red" {:cpus 1.5 :cpus-max 3 :draining true}} :settings {:idle-return-s 5 :spare-tasks 2}}`, ""},
 		{"empty", `{}`, ""},
@@ -178,7 +178,7 @@
 		})
 	}
 	blue, err := ReadClusterConfig(file(t, `{:teams {"blue" {:cpus 2}}}`), &base)
-	if want := (clusterconfig.Team{Min: core.Res{CPU: 2000}, Max: core.Res{CPU: 8000}, Cap: core.High}); err != nil || blue.Teams["blue"] != want {
+	if want := (clusterconfig.Team{Min: core.Resources{CPU: 2000}, Max: core.Resources{CPU: 8000}, Cap: core.High}); err != nil || blue.Teams["blue"] != want {
 		t.Errorf("what a file does not name is not the platform's: %+v, %v", blue, err)
 	}
 }
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -226,8 +226,8 @@
 	spare := 13
 	want := &clusterconfig.Config{
 		Teams: map[string]clusterconfig.Team{
-			"blue": {Min: core.Res{CPU: 1500, GPU: 3500}, Max: core.Res{CPU: 2500, GPU: 4500}, Cap: 2, Draining: true},
-			"red":  {Min: core.Res{CPU: 5500, GPU: 7500}, Max: core.Res{CPU: 6500, GPU: 8500}},
+			"blue": {Min: core.Resources{CPU: 1500, GPU: 3500}, Max: core.Resources{CPU: 2500, GPU: 4500}, Cap: 2, Draining: true},
+			"red":  {Min: core.Resources{CPU: 5500, GPU: 7500}, Max: core.Resources{CPU: 6500, GPU: 8500}},
 		},
 		Tuning: clusterconfig.Tuning{IdleReturnS: ptr(9.5), RefusalPauseS: ptr(10.5), HoldS: ptr(11.5), QuarantineS: ptr(12.5), SpareTasks: &spare},
 	}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -27,11 +27,11 @@
 // leader's key, and on the job's stamp where IfJob is set. Its result comes
 // back through Written.
 type Write struct {
-	ID      uint64
-	Puts    []Put
-	Drops   []string
-	IfJob   string // a job's id, "" for none
-	IfStamp uint64
+	ID         uint64
+	Puts       []Put
+	Deletes    []string
+	IfJob      string // a job's id, "" for none
+	IfRevision uint64
 	// IfAbsent is a key that must not exist, "" for none.
 	IfAbsent string
 	Urgent   bool
@@ -55,7 +55,7 @@
 }
 
 // Return gives machines back; its result comes back through Returned.
-type Return struct {
+type Release struct {
 	Machines []string
 	Reason   string
 }
@@ -64,22 +64,22 @@
 type RaiseToken struct{}
 
 // Progress says that the counts of a job changed that is watched.
-type Progress struct{ Job string }
+type JobProgress struct{ Job string }
 
 // Note is something an operator wants to read in the log.
-type Note struct {
-	Text  string
-	Args  []any
-	Debug bool
+type LogEntry struct {
+	Message string
+	Args    []any
+	Debug   bool
 }
 
 func (SendCommands) action() {}
 func (Write) action()        {}
 func (Rent) action()         {}
-func (Return) action()       {}
+func (Release) action()      {}
 func (RaiseToken) action()   {}
-func (Note) action()         {}
-func (Progress) action()     {}
+func (LogEntry) action()     {}
+func (JobProgress) action()  {}
 
 // Records of the leader's bookkeeping, as they are kept.
 
@@ -93,25 +93,25 @@
 }
 
 // MachinesRecord is what one key holds of them.
-type MachinesRecord struct {
+type MachineGroupRecord struct {
 	Key      string // where it was read
 	Machines []MachineRecord
 }
 
 // RentRecord is a rental that the cloud granted, until its machines are up.
-type RentRecord struct {
+type RentalRecord struct {
 	Request  string
 	Type     string
 	Zone     string
 	Spot     bool
 	Count    int
 	Machines []string
-	At       Micros // wall clock
+	RentedAt Micros // wall clock
 }
 
 // RangeRecord holds finished tasks of one chunk of a job, as pairs of first
 // and last, relative to the chunk's first task.
-type RangeRecord struct {
+type CompletionRecord struct {
 	Key    string
 	Job    string
 	Chunk  int
@@ -119,29 +119,29 @@
 }
 
 // JobDone is the final record of a job.
-type JobDone struct{ Record JobRecord }
+type FinalRecord struct{ Record JobRecord }
 
 // OpenRecord says that tasks of a job may have been started.
-type OpenRecord struct{ Job string }
+type StartedRecord struct{ Job string }
 
 // KeptRecord says that a zone is cut off, and what can be on machines that are
 // kept in it; one without a zone says that this is over.
-type KeptRecord struct {
+type PartitionRecord struct {
 	Key      string // where it was read
 	Zone     string
-	Ago      Micros // since when the zone was cut off, when it was written
-	Began    Micros // the same, by the wall clock; set where the record is encoded
-	Machines []KeptMachine
+	Elapsed  Micros // since when the zone was cut off, when it was written
+	BeganAt  Micros // the same, by the wall clock; set where the record is encoded
+	Machines []RetainedMachine
 }
 
 // KeptMachine is a machine and the tasks that can be on it.
-type KeptMachine struct {
+type RetainedMachine struct {
 	Name  string
-	Tasks []KeptTask
+	Tasks []RetainedTask
 }
 
 // KeptTask is one start of a task.
-type KeptTask struct {
+type RetainedTask struct {
 	Job     string
 	Index   int
 	Attempt uint64
@@ -149,9 +149,9 @@
 
 // Snapshot is all that a new leader reads before it acts.
 type Snapshot struct {
-	Machines []MachinesRecord
-	Rents    []RentRecord
-	Ranges   []RangeRecord
-	Open     []string
-	Kept     []KeptRecord
+	MachineGroups []MachineGroupRecord
+	Rentals       []RentalRecord
+	Completions   []CompletionRecord
+	Started       []string
+	Partitions    []PartitionRecord
 }
--- a/internal/core/boots.go
+++ b/internal/core/boots.go
@@ -9,58 +9,58 @@
 // or goes back like any that is idle.
 
 // boots is what the machines of an offer did lately.
-type boots struct {
-	at   Micros  // of the last that is known of
-	late float64 // the share that were overdue
+type bootStats struct {
+	updatedAt    Micros  // of the last that is known of
+	overdueShare float64 // the share that were overdue
 }
 
 const (
 	// bootsWeight is what the last one counts, bootsMemory how slowly all is
 	// forgotten: troubles last for minutes.
-	bootsWeight = 0.2
-	bootsMemory = 120 * Second
+	bootStatsWeight = 0.2
+	bootStatsDecay  = 120 * Second
 	// lateDearer is by how much the price counts as higher where all are overdue.
-	lateDearer = 2.0
+	overduePricePenalty = 2.0
 	// A boot is overdue after half as long again as the catalog says, and given up
 	// after bootsGiven times that, and some seconds.
-	bootSlack  = 2 * Second
-	bootsGiven = 3
-	givenSlack = 10 * Second
+	bootSlack        = 2 * Second
+	bootGiveUpFactor = 3
+	bootGiveUpSlack  = 10 * Second
 )
 
 // late is the share of the machines of an offer that were overdue lately.
-func (c *Core) late(of offer, now Micros) float64 {
-	b := c.boots[of]
-	return b.late * math.Exp(-float64(now-b.at)/float64(bootsMemory))
+func (c *Core) overdueShare(of offer, now Micros) float64 {
+	b := c.bootStatsByOffer[of]
+	return b.overdueShare * math.Exp(-float64(now-b.updatedAt)/float64(bootStatsDecay))
 }
 
 func (m *machine) offer() offer { return offer{m.typeName, m.zone, m.spot} }
 
 // booted notes that a machine that was rented is up.
-func (c *Core) booted(m *machine, now Micros) {
-	if m.rented > 0 && !m.overdue {
-		c.boots[m.offer()] = boots{now, (1 - bootsWeight) * c.late(m.offer(), now)}
+func (c *Core) recordBoot(m *machine, now Micros) {
+	if m.rentedAt > 0 && !m.bootOverdue {
+		c.bootStatsByOffer[m.offer()] = bootStats{now, (1 - bootStatsWeight) * c.overdueShare(m.offer(), now)}
 	}
 }
 
 // checkBoot notes if a machine that was rented has not come in time.
-func (c *Core) checkBoot(m *machine, now Micros) {
-	if m.overdue || m.typ == nil || m.rented == 0 || now-m.seen < bootTime(m.typ) {
+func (c *Core) checkBootOverdue(m *machine, now Micros) {
+	if m.bootOverdue || m.typ == nil || m.rentedAt == 0 || now-m.discoveredAt < bootDeadline(m.typ) {
 		return
 	}
-	m.overdue = true
-	late := c.late(m.offer(), now)
-	c.boots[m.offer()] = boots{now, late + bootsWeight*(1-late)}
+	m.bootOverdue = true
+	late := c.overdueShare(m.offer(), now)
+	c.bootStatsByOffer[m.offer()] = bootStats{now, late + bootStatsWeight*(1-late)}
 }
 
 // bootTime is within what most machines of a type come up.
-func bootTime(t *MachineType) Micros { return t.Boot*3/2 + bootSlack }
+func bootDeadline(t *MachineType) Micros { return t.BootTime*3/2 + bootSlack }
 
 // coming reports whether the machine is about to come up. What takes longer than most
 // may never come, and nothing should wait for it.
-func (m *machine) coming(now Micros) bool {
-	return m.booting && !m.returning && m.typ != nil && now-m.seen < bootTime(m.typ)
+func (m *machine) incoming(now Micros) bool {
+	return m.booting && !m.releasing && m.typ != nil && now-m.discoveredAt < bootDeadline(m.typ)
 }
 
 // givenUpAfter is for how long a machine is waited for at all.
-func givenUpAfter(t *MachineType) Micros { return bootsGiven*t.Boot + givenSlack }
+func bootGiveUpAfter(t *MachineType) Micros { return bootGiveUpFactor*t.BootTime + bootGiveUpSlack }
--- a/internal/core/boots_test.go
+++ b/internal/core/boots_test.go
@@ -7,7 +7,7 @@
 
 // TestBoots: what is overdue is replaced once, elsewhere if machines are late there as
 // a rule, and is used when it comes after all.
-func TestBoots(t *testing.T) {
+func TestBootStats(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		take   map[string]Micros // by zone; 0: they never come
@@ -22,15 +22,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, nil, Snapshot{})
-			var fs []*fake
+			w.beginTerm(100, nil, Snapshot{})
+			var fs []*fakeWorker
 			rented, where := 0, map[string]int{}
 			up := map[string]Micros{}
 			play := func(until func() bool, most Micros) Micros {
 				from := w.now
 				for w.now-from < most && !until() {
-					w.pass(Second)
-					for _, r := range w.rents {
+					w.advance(Second)
+					for _, r := range w.rentals {
 						var names []string
 						for range r.Count {
 							rented++
@@ -40,17 +40,17 @@
 							if d := c.take[r.Zone]; d > 0 {
 								up[n] = w.now + d
 							}
-							f := w.machine(n, r.Zone)
-							f.r.Type, f.r.Spot = r.Type, r.Spot
+							f := w.newWorker(n, r.Zone)
+							f.status.Type, f.status.Spot = r.Type, r.Spot
 							fs = append(fs, f)
 						}
-						w.c.Rented(w.now, w.now, r.Request, RentGranted, names)
+						w.c.RentResult(w.now, w.now, r.Request, RentGranted, names)
 					}
-					w.rents = nil
+					w.rentals = nil
 					for _, f := range fs {
-						if at := up[f.r.Machine]; at > 0 && w.now >= at && w.c.machines[f.r.Machine] != nil {
-							f.direct()
-							f.beat()
+						if at := up[f.status.Machine]; at > 0 && w.now >= at && w.c.machines[f.status.Machine] != nil {
+							f.executeDirect()
+							f.report()
 						}
 					}
 				}
@@ -59,7 +59,7 @@
 			runs := func(id string) func() bool {
 				return func() bool { return w.c.jobs[id].running == 10 }
 			}
-			job := JobSpec{ID: "job-1", Kind: Array, Tasks: 10, Need: Res{8000, 0, 8000}}
+			job := JobSpec{ID: "job-1", Kind: Array, Tasks: 10, Request: Resources{8000, 0, 8000}}
 			w.submit(job)
 			if took := play(runs("job-1"), 200*Second); took > c.within {
 				t.Errorf("all run after %d s, want %d at most", took/Second, c.within/Second)
--- a/internal/core/choose.go
+++ b/internal/core/choose.go
@@ -9,102 +9,102 @@
 
 // kind is what the cost of putting a task on a machine depends on, besides the
 // machine itself.
-type kind struct {
-	need          Res
+type searchKey struct {
+	need          Resources
 	image         int
 	types         string
 	spot, service bool
-	cached        bool // only where the image is
-	starves       bool // spare room will do
+	cachedOnly    bool // only where the image is
+	starving      bool // spare room will do
 	reclaim       bool // by stopping others, which depends on the rest
 	guaranteed    bool
 	team          string
 	priority      Priority
 }
 
-func kindOf(j *job) kind {
-	return kind{need: j.spec.Need, image: j.image, types: j.types, spot: j.spec.Spot, service: j.spec.Kind == Service, starves: j.starves}
+func newSearchKey(j *job) searchKey {
+	return searchKey{need: j.spec.Request, image: j.imageID, types: j.typesKey, spot: j.spec.Spot, service: j.spec.Kind == Service, starving: j.starving}
 }
 
 // choice is a machine and what it cost when it was looked at.
-type choice struct {
+type candidate struct {
 	m    *machine
 	cost int64
 }
 
 // choices are the machines of a zone for a kind of task, the cheapest on top. A
 // machine's cost may have risen since; for one that changed there is another entry.
-type choices struct {
+type zoneCandidates struct {
 	zone string
-	heap []choice
+	heap []candidate
 }
 
-func (p *choices) Len() int { return len(p.heap) }
-func (p *choices) Less(a, b int) bool {
+func (p *zoneCandidates) Len() int { return len(p.heap) }
+func (p *zoneCandidates) Less(a, b int) bool {
 	x, y := p.heap[a], p.heap[b]
 	return x.cost < y.cost || x.cost == y.cost && x.m.name < y.m.name
 }
-func (p *choices) Swap(a, b int) { p.heap[a], p.heap[b] = p.heap[b], p.heap[a] }
-func (p *choices) Push(x any)    { p.heap = append(p.heap, x.(choice)) }
-func (p *choices) Pop() any {
+func (p *zoneCandidates) Swap(a, b int) { p.heap[a], p.heap[b] = p.heap[b], p.heap[a] }
+func (p *zoneCandidates) Push(x any)    { p.heap = append(p.heap, x.(candidate)) }
+func (p *zoneCandidates) Pop() any {
 	last := p.heap[len(p.heap)-1]
 	p.heap = p.heap[:len(p.heap)-1]
 	return last
 }
 
 // lookout is what a kind of task has seen in a pass.
-type lookout struct {
-	zones []*choices // in the order in which their machines were met
-	seen  int        // of Core.changed
+type candidateCache struct {
+	byZone      []*zoneCandidates // in the order in which their machines were met
+	changesSeen int               // of Core.changed
 }
 
 // add looks at a machine.
-func (l *lookout) add(m *machine, cost int64) {
-	for _, z := range l.zones {
+func (l *candidateCache) add(m *machine, cost int64) {
+	for _, z := range l.byZone {
 		if z.zone == m.zone {
-			heap.Push(z, choice{m, cost})
+			heap.Push(z, candidate{m, cost})
 			return
 		}
 	}
-	l.zones = append(l.zones, &choices{zone: m.zone, heap: []choice{{m, cost}}})
+	l.byZone = append(l.byZone, &zoneCandidates{zone: m.zone, heap: []candidate{{m, cost}}})
 }
 
 // choose finds the cheapest machine for a task of a kind, in the zones that its
 // job allows, or in only. cost says what a machine costs now, and whether it will
 // do; a machine that skip names will do for others of the kind, but not for this.
-func (c *Core) choose(key kind, among []*machine, j *job, only string, cost func(*machine) (int64, bool), skip func(*machine) bool) *machine {
-	l := c.lookouts[key]
+func (c *Core) cheapestCandidate(key searchKey, among []*machine, j *job, only string, cost func(*machine) (int64, bool), skip func(*machine) bool) *machine {
+	l := c.candidateCaches[key]
 	if l == nil {
-		l = &lookout{}
-		c.lookouts[key] = l
-		c.looked += len(among)
+		l = &candidateCache{}
+		c.candidateCaches[key] = l
+		c.machinesExamined += len(among)
 		for _, m := range among {
 			if n, ok := cost(m); ok {
 				l.add(m, n)
 			}
 		}
 	} else {
-		for _, m := range c.changed[l.seen:] {
-			c.looked++
+		for _, m := range c.changedMachines[l.changesSeen:] {
+			c.machinesExamined++
 			if n, ok := cost(m); ok {
 				l.add(m, n)
 			}
 		}
 	}
-	l.seen = len(c.changed)
-	var best choice
-	for _, z := range l.zones {
+	l.changesSeen = len(c.changedMachines)
+	var best candidate
+	for _, z := range l.byZone {
 		if only != "" && z.zone != only || !j.zoneAllowed(z.zone) {
 			continue
 		}
-		var aside []choice
+		var aside []candidate
 		for len(z.heap) > 0 {
 			top := &z.heap[0]
 			if skip(top.m) {
-				aside = append(aside, heap.Pop(z).(choice))
+				aside = append(aside, heap.Pop(z).(candidate))
 				continue
 			}
-			c.looked++
+			c.machinesExamined++
 			n, ok := cost(top.m)
 			if !ok {
 				heap.Pop(z)
@@ -115,7 +115,7 @@
 				heap.Fix(z, 0)
 				continue
 			}
-			if now := (choice{top.m, n}); best.m == nil || now.cost < best.cost || now.cost == best.cost && now.m.name < best.m.name {
+			if now := (candidate{top.m, n}); best.m == nil || now.cost < best.cost || now.cost == best.cost && now.m.name < best.m.name {
 				best = now
 			}
 			break
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -3,18 +3,18 @@
 import "slices"
 
 // touch has the machine looked at for commands.
-func (c *Core) touch(m *machine) {
-	if !m.dirty {
-		m.dirty = true
-		c.touched = append(c.touched, m)
+func (c *Core) queueCommands(m *machine) {
+	if !m.commandsQueued {
+		m.commandsQueued = true
+		c.commandQueue = append(c.commandQueue, m)
 	}
 }
 
 // touchLater does so after a pause.
-func (c *Core) touchLater(m *machine) {
-	if !m.later {
-		m.later = true
-		c.retouch = append(c.retouch, m)
+func (c *Core) queueCommandsLater(m *machine) {
+	if !m.commandsDeferred {
+		m.commandsDeferred = true
+		c.commandRetryQueue = append(c.commandRetryQueue, m)
 	}
 }
 
@@ -26,61 +26,61 @@
 	if m.lost {
 		return nil
 	}
-	var on Res
-	for _, p := range m.tasks {
-		if p.onWorker() {
+	var on Resources
+	for _, p := range m.placements {
+		if p.mayOccupyWorker() {
 			on = on.Add(p.need)
 		}
 	}
-	for _, p := range m.tasks {
+	for _, p := range m.placements {
 		switch {
-		case p.inDo:
-		case p.shown && p.state == Exited:
+		case p.inDirectCommand:
+		case p.reported && p.state == Exited:
 			// A start that may still arrive would run again an attempt that the
 			// worker has been told to forget.
-			if p.finalOK && !(p.late && m.token <= p.lateToken) {
+			if p.completionRecorded && !(p.startUnanswered && m.reportedToken <= p.startUnansweredToken) {
 				forget = append(forget, p.command(Forget))
-			} else if p.finalOK && beat {
-				c.wantRaise = true
+			} else if p.completionRecorded && beat {
+				c.tokenRaiseWanted = true
 			}
-		case p.unwanted && p.shown:
-			if p.stopSent == 0 || beat && now-p.stopSent > 2*Second {
+		case p.stopRequested && p.reported:
+			if p.stopSentAt == 0 || beat && now-p.stopSentAt > 2*Second {
 				cmd := p.command(Stop)
-				cmd.Grace = p.grace
+				cmd.GracePeriod = p.grace
 				stop = append(stop, cmd)
-				p.stopSent = now
-				if p.j == nil || p.j.spec.Checkpoint == 0 || p.grace < p.j.spec.SaveCost {
+				p.stopSentAt = now
+				if p.job == nil || p.job.spec.CheckpointInterval == 0 || p.grace < p.job.spec.CheckpointCost {
 					on = on.Sub(p.need)
 				}
 			}
 		}
 	}
-	for _, p := range m.tasks {
+	for _, p := range m.placements {
 		// A machine that is being returned may be alive for as long as the cloud
 		// takes: it is still told what to stop.
-		if p.again && beat && !p.unwanted && !m.returning {
+		if p.retryPending && beat && !p.stopRequested && !m.releasing {
 			forget = append(forget, p.command(Forget))
 			start = append(start, p.command(Start))
 			continue
 		}
-		if m.returning || p.inDo || p.shown || p.unwanted || p.sent && !(beat && p.resend) {
+		if m.releasing || p.inDirectCommand || p.reported || p.stopRequested || p.startSent && !(beat && p.resendStart) {
 			continue
 		}
-		if !m.recorded || p.j == nil || !c.open(p.j, now) {
+		if !m.recorded || p.job == nil || !c.ensureStartedRecord(p.job, now) {
 			continue
 		}
-		if !p.sent {
-			if m.typ == nil || !on.Add(p.need).Fits(m.typ.Cap) {
+		if !p.startSent {
+			if m.typ == nil || !on.Add(p.need).Fits(m.typ.Capacity) {
 				continue
 			}
 			on = on.Add(p.need)
 		}
-		p.resend = false
-		p.sent = true
+		p.resendStart = false
+		p.startSent = true
 		if beat {
-			p.beatSeq = m.seq
+			p.startReportSeq = m.seq
 		} else {
-			p.inDo = true
+			p.inDirectCommand = true
 		}
 		start = append(start, p.command(Start))
 	}
@@ -91,64 +91,64 @@
 }
 
 func (p *placement) command(op Op) Command {
-	return Command{Op: op, Job: p.job, Index: p.index, Attempt: p.attempt}
+	return Command{Op: op, Job: p.jobID, Index: p.index, Attempt: p.attempt}
 }
 
 // Outcome says what became of a direct command.
-type Outcome uint8
+type CommandOutcome uint8
 
 // The outcomes.
 const (
-	Executed   Outcome = iota // the report is as of after the commands
-	Refused                   // nothing was executed; the report is current
-	NotSent                   // no connection was made, so it will never arrive
-	Unanswered                // it may be executed, now or minutes later
+	Executed   CommandOutcome = iota // the report is as of after the commands
+	Refused                          // nothing was executed; the report is current
+	NotSent                          // no connection was made, so it will never arrive
+	Unanswered                       // it may be executed, now or minutes later
 )
 
 // direct sends what cannot wait for a beat.
-func (c *Core) direct(now Micros) {
-	touched := c.touched
-	c.touched = nil
+func (c *Core) sendDirectCommands(now Micros) {
+	touched := c.commandQueue
+	c.commandQueue = nil
 	for _, m := range touched {
-		m.dirty = false
+		m.commandsQueued = false
 		// What can't be told now is told when that changes, and with a beat.
-		if m.noDo || !c.reachable(m) {
+		if m.directCommandFailed || !c.canCommand(m) {
 			continue
 		}
 		if cmds := c.commands(m, now, false); len(cmds) > 0 {
-			c.send(m, cmds)
+			c.sendCommands(m, cmds)
 		}
 	}
 	n := 0
-	for ; n < len(c.probes) && c.probing < probesMost; n++ {
-		m := c.probes[n]
-		m.probe = false
-		if !c.reachable(m) || m.settled && now-m.heard < c.cfg.ReportGap && !m.hasLate() && !m.deaf {
+	for ; n < len(c.probeQueue) && c.probesInFlight < maxProbesInFlight; n++ {
+		m := c.probeQueue[n]
+		m.probeQueued = false
+		if !c.canCommand(m) || m.reconciled && now-m.lastReport < c.cfg.ReportInterval && !m.hasUnansweredStart() && !m.inboundLost {
 			continue // or it has reported meanwhile
 		}
-		m.probed = now
-		c.probing++
-		c.send(m, c.commands(m, now, false))
+		m.probeStarted = now
+		c.probesInFlight++
+		c.sendCommands(m, c.commands(m, now, false))
 	}
-	c.probes = slices.Delete(c.probes, 0, n)
+	c.probeQueue = slices.Delete(c.probeQueue, 0, n)
 }
 
 // reachable reports whether a direct command can be sent to the machine now.
-func (c *Core) reachable(m *machine) bool {
-	return !m.doing && m.address != "" && !m.lost && !m.booting && c.machines[m.name] == m
+func (c *Core) canCommand(m *machine) bool {
+	return !m.commandInFlight && m.address != "" && !m.lost && !m.booting && c.machines[m.name] == m
 }
 
-func (c *Core) send(m *machine, cmds []Command) {
+func (c *Core) sendCommands(m *machine, cmds []Command) {
 	session := m.session
 	if session == 0 {
 		session = 1
 	}
-	m.doing = true
-	c.out = append(c.out, SendCommands{m.name, m.address, c.token, session, cmds})
+	m.commandInFlight = true
+	c.actions = append(c.actions, SendCommands{m.name, m.address, c.token, session, cmds})
 }
 
 // Commanded is the result of SendCommands.
-func (c *Core) Commanded(now Micros, machine string, token uint64, o Outcome, r *Report) {
+func (c *Core) CommandResult(now Micros, machine string, token uint64, o CommandOutcome, r *Report) {
 	if !c.leading {
 		return
 	}
@@ -156,37 +156,37 @@
 	if m == nil {
 		return
 	}
-	m.doing = false
-	c.probeOver(m)
-	c.touch(m)
-	for _, p := range m.tasks {
-		if !p.inDo {
+	m.commandInFlight = false
+	c.finishProbe(m)
+	c.queueCommands(m)
+	for _, p := range m.placements {
+		if !p.inDirectCommand {
 			continue
 		}
-		p.inDo = false
+		p.inDirectCommand = false
 		switch o {
 		case Refused, NotSent:
-			p.sent = p.late
+			p.startSent = p.startUnanswered
 		case Unanswered:
-			p.late, p.lateToken = true, max(p.lateToken, token)
+			p.startUnanswered, p.startUnansweredToken = true, max(p.startUnansweredToken, token)
 		}
 	}
-	c.dropUnwantedUnsent(m, now)
+	c.removeUnsentStopped(m, now)
 	if r != nil {
-		c.heardUs(m)
-		if m.newer(r) {
-			c.absorb(m, r, false, now)
+		c.noteCommandAnswered(m)
+		if m.isNewer(r) {
+			c.applyReport(m, r, false, now)
 		}
-		if !m.settled && (r.Session != m.session || o == Refused) {
-			c.probe(m)
+		if !m.reconciled && (r.Session != m.session || o == Refused) {
+			c.queueProbe(m)
 		}
 		return
 	}
-	m.noDo = true
-	m.misses++
-	if !m.silent && c.isSilent(m, now) {
-		m.silent = true
-		c.fleetAt = now // its tasks wait for what is done about it
+	m.directCommandFailed = true
+	m.commandFailures++
+	if !m.unreachable && c.isUnreachable(m, now) {
+		m.unreachable = true
+		c.nextFleetReviewAt = now // its tasks wait for what is done about it
 	}
-	c.note("direct command failed", "machine", m.name, "delivered", map[Outcome]string{NotSent: "no", Unanswered: "unknown"}[o])
+	c.log("direct command failed", "machine", m.name, "delivered", map[CommandOutcome]string{NotSent: "no", Unanswered: "unknown"}[o])
 }
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -16,16 +16,16 @@
 	for _, t := range teams {
 		c.team(t.Name).Team = t
 	}
-	c.dirty = true
+	c.needsPlacement = true
 }
 
 // SetPlacing says whether tasks may be placed, and others stopped to make room for them: not
 // while this node can't know the quotas that are in force. Everything else goes on.
 func (c *Core) SetPlacing(may bool) {
-	if may && c.suspended {
-		c.dirty = true
+	if may && c.placementSuspended {
+		c.needsPlacement = true
 	}
-	c.suspended = !may
+	c.placementSuspended = !may
 }
 
 // HasStart reports whether a command among them starts a task.
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -9,11 +9,11 @@
 	// vacateShare is how long a service is left in peace between two moves, on
 	// the average: each move takes it down for as long as its image takes, and
 	// they must not add up.
-	vacateShare = 140 * Second
+	serviceMoveInterval = 140 * Second
 	// vacateMost is how many services are moved to empty a machine.
-	vacateMost = 16
+	maxVacatedServices = 16
 	// vacateTries is how many machines are looked at closely in one pass.
-	vacateTries = 8
+	maxVacateAttempts = 8
 )
 
 // consolidate empties ordinary machines that a few services keep rented while
@@ -24,7 +24,7 @@
 	for _, j := range c.queue {
 		if j.pending > 0 {
 			// Room is short.
-			c.vacateAt = now
+			c.nextVacateAt = now
 			for _, m := range c.vacating {
 				m.vacating = false
 			}
@@ -35,42 +35,42 @@
 			services += len(j.live)
 		}
 	}
-	if c.unsettled > 0 || services == 0 {
+	if c.unreconciled > 0 || services == 0 {
 		return
 	}
 	// Moves that were not made are not made up for.
-	c.vacateAt = max(c.vacateAt, now-Second)
-	if now < c.vacateAt {
+	c.nextVacateAt = max(c.nextVacateAt, now-Second)
+	if now < c.nextVacateAt {
 		return
 	}
-	type candidate struct {
+	type vacateCandidate struct {
 		m    *machine
 		gain float64
 	}
-	var from []candidate
+	var from []vacateCandidate
 	var to []*machine
-	for _, m := range c.order {
-		if m.spot || m.used == (Res{}) || !c.usable(m, now) {
+	for _, m := range c.sortedMachines {
+		if m.spot || m.used == (Resources{}) || !c.schedulable(m, now) {
 			continue
 		}
-		free := float64(m.typ.Cap.CPU-m.used.CPU) / float64(m.typ.Cap.CPU)
+		free := float64(m.typ.Capacity.CPU-m.used.CPU) / float64(m.typ.Capacity.CPU)
 		if free <= 0 {
 			continue
 		}
-		gain := m.typ.Price * free / float64(len(m.tasks))
+		gain := m.typ.Price * free / float64(len(m.placements))
 		if m.vacating {
 			gain *= 10 // finish what was begun
 		} else {
 			to = append(to, m)
 		}
-		if m.vacating || len(m.tasks) <= vacateMost {
-			from = append(from, candidate{m, gain})
+		if m.vacating || len(m.placements) <= maxVacatedServices {
+			from = append(from, vacateCandidate{m, gain})
 		}
 	}
-	slices.SortStableFunc(from, func(a, b candidate) int { return cmp.Compare(b.gain, a.gain) })
-	for _, f := range from[:min(len(from), vacateTries)] {
+	slices.SortStableFunc(from, func(a, b vacateCandidate) int { return cmp.Compare(b.gain, a.gain) })
+	for _, f := range from[:min(len(from), maxVacateAttempts)] {
 		m := f.m
-		if !c.movable(m, to, now) {
+		if !c.canVacate(m, to, now) {
 			if m.vacating {
 				m.vacating = false
 				c.vacating = slices.DeleteFunc(c.vacating, func(o *machine) bool { return o == m })
@@ -78,101 +78,101 @@
 			continue
 		}
 		if !m.vacating {
-			c.note("vacating: its services fit elsewhere", "machine", m.name, "type", m.typeName, "used_cpus", m.used.CPU/1000)
+			c.log("vacating: its services fit elsewhere", "machine", m.name, "type", m.typeName, "used_cpus", m.used.CPU/1000)
 			m.vacating = true
 			c.vacating = append(c.vacating, m)
 			to = slices.DeleteFunc(to, func(o *machine) bool { return o == m })
 		}
-		for _, p := range slices.Clone(m.tasks) {
-			if now < c.vacateAt {
+		for _, p := range slices.Clone(m.placements) {
+			if now < c.nextVacateAt {
 				return
 			}
-			if p.j != nil && p.holds() && !p.unwanted && p.j.spec.Kind == Service {
-				c.vacateAt += vacateShare / Micros(services)
-				c.unwant(p, now, 0)
+			if p.job != nil && p.occupies() && !p.stopRequested && p.job.spec.Kind == Service {
+				c.nextVacateAt += serviceMoveInterval / Micros(services)
+				c.stopPlacement(p, now, 0)
 			}
 		}
 	}
 }
 
 // moves are services that are to move, by where there is room for them.
-type moves struct {
-	to    []*machine
-	taken map[*machine]Res
-	zones map[zoneOfJob]int // tasks of a job that come to a zone, or leave it
-	made  []move
+type movePlan struct {
+	targets    []*machine
+	plannedUse map[*machine]Resources
+	zoneDelta  map[jobZone]int // tasks of a job that come to a zone, or leave it
+	moves      []serviceMove
 }
 
-type move struct {
-	p  *placement
-	to *machine
+type serviceMove struct {
+	placement *placement
+	target    *machine
 }
 
-type zoneOfJob struct {
-	j    *job
+type jobZone struct {
+	job  *job
 	zone string
 }
 
-func movesTo(to []*machine) *moves {
-	return &moves{to: to, taken: map[*machine]Res{}, zones: map[zoneOfJob]int{}}
+func newMovePlan(to []*machine) *movePlan {
+	return &movePlan{targets: to, plannedUse: map[*machine]Resources{}, zoneDelta: map[jobZone]int{}}
 }
 
 // left is what stays free on a machine that services may move to.
-func (v *moves) left(o *machine) Res { return o.free().Sub(v.taken[o]) }
+func (v *movePlan) freeOn(o *machine) Resources { return o.free().Sub(v.plannedUse[o]) }
 
 // count notes a move, or one that is not made after all.
-func (v *moves) count(mv move, sign int) {
-	v.taken[mv.to] = v.taken[mv.to].Add(mv.p.need.Times(sign))
-	v.zones[zoneOfJob{mv.p.j, mv.to.zone}] += sign
-	v.zones[zoneOfJob{mv.p.j, mv.p.m.zone}] -= sign
+func (v *movePlan) apply(mv serviceMove, sign int) {
+	v.plannedUse[mv.target] = v.plannedUse[mv.target].Add(mv.placement.need.Times(sign))
+	v.zoneDelta[jobZone{mv.placement.job, mv.target.zone}] += sign
+	v.zoneDelta[jobZone{mv.placement.job, mv.placement.machine.zone}] -= sign
 }
 
 // take finds room for tasks of services away from their machines, with their
 // images there already if cached is set: for all of them, or it reports false and
 // nothing is taken.
-func (c *Core) take(v *moves, ps []*placement, cached bool) bool {
-	before := len(v.made)
+func (c *Core) planMoves(v *movePlan, ps []*placement, cached bool) bool {
+	before := len(v.moves)
 	for _, p := range ps {
-		j, from := p.j, p.m.zone
-		i := slices.IndexFunc(v.to, func(o *machine) bool {
-			if o == p.m || cached && !o.hasImage(j.image) || !p.need.Fits(v.left(o)) {
+		j, from := p.job, p.machine.zone
+		i := slices.IndexFunc(v.targets, func(o *machine) bool {
+			if o == p.machine || cached && !o.hasImage(j.imageID) || !p.need.Fits(v.freeOn(o)) {
 				return false
 			}
-			j.zones[from]-- // as it will be
-			ok := c.allowed(j, o) && (!j.spec.Spread || o.zone == from || j.zones[o.zone]+v.zones[zoneOfJob{j, o.zone}] < (j.spec.Tasks+1)/2)
-			j.zones[from]++
+			j.placedByZone[from]-- // as it will be
+			ok := c.machineAllowed(j, o) && (!j.spec.Spread || o.zone == from || j.placedByZone[o.zone]+v.zoneDelta[jobZone{j, o.zone}] < (j.spec.Tasks+1)/2)
+			j.placedByZone[from]++
 			return ok
 		})
 		if i < 0 {
-			for _, mv := range v.made[before:] {
-				v.count(mv, -1)
+			for _, mv := range v.moves[before:] {
+				v.apply(mv, -1)
 			}
-			v.made = v.made[:before]
+			v.moves = v.moves[:before]
 			return false
 		}
-		mv := move{p, v.to[i]}
-		v.count(mv, 1)
-		v.made = append(v.made, mv)
+		mv := serviceMove{p, v.targets[i]}
+		v.apply(mv, 1)
+		v.moves = append(v.moves, mv)
 	}
 	return true
 }
 
 // movable reports whether all services on a machine, and there are some, have
 // room on the machines to, with their image and besides the spare room.
-func (c *Core) movable(m *machine, to []*machine, now Micros) bool {
-	v := movesTo(to)
+func (c *Core) canVacate(m *machine, to []*machine, now Micros) bool {
+	v := newMovePlan(to)
 	var ps []*placement
-	for _, p := range m.tasks {
-		if !p.holds() {
+	for _, p := range m.placements {
+		if !p.occupies() {
 			continue
 		}
-		if m.vacating && p.unwanted {
+		if m.vacating && p.stopRequested {
 			continue
 		}
-		if p.j == nil || p.unwanted || p.state != Running {
+		if p.job == nil || p.stopRequested || p.state != Running {
 			return false
 		}
-		if p.j.spec.Kind != Service {
+		if p.job.spec.Kind != Service {
 			if m.vacating {
 				continue
 			}
@@ -180,18 +180,18 @@
 		}
 		ps = append(ps, p)
 	}
-	if len(ps) == 0 || !c.take(v, ps, true) {
+	if len(ps) == 0 || !c.planMoves(v, ps, true) {
 		return false
 	}
-	if c.spareNeed == (Res{}) {
+	if c.spareTaskRequest == (Resources{}) {
 		return true
 	}
 	// What is left must do for the services that are expected.
 	left := 0
-	for _, o := range c.order {
-		if o != m && !o.spot && !o.vacating && c.usable(o, now) {
-			left += c.spareNeed.copies(v.left(o))
+	for _, o := range c.sortedMachines {
+		if o != m && !o.spot && !o.vacating && c.schedulable(o, now) {
+			left += c.spareTaskRequest.countIn(v.freeOn(o))
 		}
 	}
-	return left >= c.spareWant
+	return left >= c.spareTarget
 }
--- a/internal/core/deputy.go
+++ b/internal/core/deputy.go
@@ -10,70 +10,72 @@
 // cancellations: what it renews at the last moment is over before the tasks of
 // a job that was cancelled right after it lost sight have to be gone. Without a
 // limit on cancellations there is none on this.
-func Blind(lease, cancel Micros) Micros {
+func MaxCancelStaleness(lease, cancel Micros) Micros {
 	const margin = Second
 	if cancel == 0 {
 		return MaxMicros
 	}
-	return max(cancel-lease-(cancel+lease)/driftParts-margin, 0)
+	return max(cancel-lease-(cancel+lease)/clockDriftDivisor-margin, 0)
 }
 
 // Deputy is what a leader knows of one controller that may answer in its place.
 // The zero value has answered nothing and may answer nothing.
-type Deputy struct {
-	life  uint64 // of its process
-	known bool   // life is
-	clear Micros // what it answered before this is known
-	last  Micros // its last answer that is known
-	until Micros // it answers nothing after this
-	spoke Micros // its last message of any kind
+type Delegate struct {
+	incarnation       uint64 // of its process
+	incarnationKnown  bool   // life is
+	answersKnownUntil Micros // what it answered before this is known
+	lastAnswer        Micros // its last answer that is known
+	delegatedUntil    Micros // it answers nothing after this
+	lastMessage       Micros // its last message of any kind
 }
 
 // Permit notes that a permission goes out. It is good for so long after a reply
 // of the deputy's that the leader got at a time; sent again, it is no longer.
-func (d *Deputy) Permit(replied, grace Micros) { d.until = max(d.until, replied+grace) }
+func (d *Delegate) Grant(replied, grace Micros) {
+	d.delegatedUntil = max(d.delegatedUntil, replied+grace)
+}
 
 // Heard takes its reply to what was asked at a time: which process replies, and
 // how long ago that last answered a worker in the leader's place, negative for
 // never.
-func (d *Deputy) Heard(asked, now Micros, life uint64, answeredAgo Micros) {
-	if d.known && d.life != life {
+func (d *Delegate) HandleReply(asked, now Micros, life uint64, answeredAgo Micros) {
+	if d.incarnationKnown && d.incarnation != life {
 		// Its former process may have answered until it ended.
-		d.last = max(d.last, min(now, d.until))
+		d.lastAnswer = max(d.lastAnswer, min(now, d.delegatedUntil))
 	}
-	d.life, d.known = life, true
-	d.clear = max(d.clear, asked)
+	d.incarnation, d.incarnationKnown = life, true
+	d.answersKnownUntil = max(d.answersKnownUntil, asked)
 	if answeredAgo >= 0 {
-		d.last = max(d.last, now-answeredAgo)
+		d.lastAnswer = max(d.lastAnswer, now-answeredAgo)
 	}
-	d.Spoke(now)
+	d.NoteMessage(now)
 }
 
 // Spoke notes that it is there.
-func (d *Deputy) Spoke(now Micros) { d.spoke = now }
+func (d *Delegate) NoteMessage(now Micros) { d.lastMessage = now }
 
 // begin forgets what belongs to another term: what was permitted in that, a new
 // leader waits out with every machine that it does not hear.
-func (d *Deputy) begin() { d.clear, d.last, d.until = 0, 0, 0 }
+func (d *Delegate) resetTerm() { d.answersKnownUntil, d.lastAnswer, d.delegatedUntil = 0, 0, 0 }
 
 // Deputies says which controllers a zone has besides the leader.
-func (c *Core) Deputies(zone string, ds []*Deputy) { c.deputies[zone] = ds }
+func (c *Core) SetDelegates(zone string, ds []*Delegate) { c.delegates[zone] = ds }
 
 // leaseEnded reports whether the lease of a machine's worker has certainly run
 // out, whoever answered it.
-func (c *Core) leaseEnded(m *machine, now Micros) bool {
-	over := c.leaseOver(m.answered)
+func (c *Core) leaseExpired(m *machine, now Micros) bool {
+	over := c.leaseExpiry(m.lastAcknowledged)
 	if now < over {
 		return false
 	}
-	for _, d := range c.deputies[m.zone] {
-		over = max(over, c.leaseOver(d.last))
+	for _, d := range c.delegates[m.zone] {
+		over = max(over, c.leaseExpiry(d.lastAnswer))
 	}
 	if now < over {
 		return false
 	}
-	for _, d := range c.deputies[m.zone] {
-		if d.until > 0 && d.clear < over && now < c.leaseOver(d.until) {
+	for _, d := range c.delegates[m.zone] {
+		if d.delegatedUntil > 0 && d.answersKnownUntil < over && now < c.leaseExpiry(d.delegatedUntil) {
 			return false // it may have answered in time
 		}
 	}
@@ -82,28 +84,28 @@
 
 // Permission is what a deputy holds: until when it may answer, and under which
 // token.
-type Permission struct {
-	nonce   uint64 // of its last reply to the leader
-	replied Micros
-	token   uint64
-	until   Micros
+type Delegation struct {
+	nonce     uint64 // of its last reply to the leader
+	repliedAt Micros
+	token     uint64
+	until     Micros
 }
 
 // Replied notes a reply to the leader, by which the next permission counts.
-func (p *Permission) Replied(now Micros, nonce uint64) { p.nonce, p.replied = nonce, now }
+func (p *Delegation) NoteReply(now Micros, nonce uint64) { p.nonce, p.repliedAt = nonce, now }
 
 // Permitted takes a permission from the leader with the token. It counts from
 // the reply that the leader names: a permission that comes late is not longer.
-func (p *Permission) Permitted(token, echo uint64, grace Micros) {
+func (p *Delegation) Accept(token, echo uint64, grace Micros) {
 	if echo == 0 || echo != p.nonce || token < p.token {
 		return
 	}
-	p.token, p.until = token, p.replied+grace
+	p.token, p.until = token, p.repliedAt+grace
 }
 
 // Token is the token to answer with, 0 if nothing may be answered now: leader is
 // the token of the last leader that is known, worker the worker's.
-func (p *Permission) Token(now Micros, leader, worker uint64) uint64 {
+func (p *Delegation) Token(now Micros, leader, worker uint64) uint64 {
 	if now >= p.until || p.token != leader || worker > p.token {
 		return 0
 	}
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -3,116 +3,116 @@
 import "sort"
 
 // exited handles the end of a task; its room is free already.
-func (c *Core) exited(p *placement, now Micros) {
-	j := p.j
-	if j == nil || c.jobs[p.job] != j {
-		p.finalOK = true
+func (c *Core) taskExited(p *placement, now Micros) {
+	j := p.job
+	if j == nil || c.jobs[p.jobID] != j {
+		p.completionRecorded = true
 		return
 	}
 	if p.cause == CauseDone && !j.cancelled && j.spec.Kind != Service {
-		delete(p.m.failed, p.job)
-		c.observe(p, now)
-		c.ranWell(j, now)
-		j.ends = append(j.ends, p)
-		c.taskDone(j, p.index, now)
+		delete(p.machine.failedJobs, p.jobID)
+		c.observeRunTime(p, now)
+		c.markProven(j, now)
+		j.unrecorded = append(j.unrecorded, p)
+		c.completeTask(j, p.index, now)
 		if j.spec.Kind == Gang {
 			// The tasks of a gang complete together.
 			for i := range j.status {
-				c.taskDone(j, i, now)
+				c.completeTask(j, i, now)
 			}
 		}
 		return
 	}
-	p.finalOK = true
+	p.completionRecorded = true
 	switch p.cause {
 	case CauseError:
-		c.failed(p, now)
-	case CauseNoRoom:
-		p.m.blocked = now + 2*Second
-		c.note("start refused: no room", "machine", p.m.name, "job", p.job, "task", p.index)
-	case CauseUnknown:
+		c.recordFailure(p, now)
+	case CauseNoCapacity:
+		p.machine.blockedUntil = now + 2*Second
+		c.log("start refused: no room", "machine", p.machine.name, "job", p.jobID, "task", p.index)
+	case CauseUnknownTask:
 		j.notBefore = now + Second
 	}
-	c.gangLost(p, now)
-	c.closeIfOver(j)
+	c.handleGangTaskLost(p, now)
+	c.cleanUpCancelled(j)
 }
 
-func (c *Core) taskDone(j *job, i int, now Micros) {
+func (c *Core) completeTask(j *job, i int, now Micros) {
 	if j.status[i] == taskDone {
 		return
 	}
-	j.set(i, taskDone)
-	c.moves(j)
-	if len(j.dirty) == 0 {
-		j.writeFrom = max(j.writeFrom, now+rangesPause)
+	j.setStatus(i, taskDone)
+	c.notifyProgress(j)
+	if len(j.dirtyChunks) == 0 {
+		j.nextWriteAt = max(j.nextWriteAt, now+completionWriteDelay)
 	}
-	j.dirty[i/c.cfg.ChunkSize] = true
-	c.checkDone(j, now)
+	j.dirtyChunks[i/c.cfg.ChunkSize] = true
+	c.checkCompletion(j, now)
 }
 
 // checkDone lets a completed job's final record go out at once.
-func (c *Core) checkDone(j *job, now Micros) {
+func (c *Core) checkCompletion(j *job, now Micros) {
 	if j.done == len(j.status) && !j.cancelled {
-		j.writeFrom = now
-		if j.due > 0 && now > j.due {
-			c.note("job missed its deadline", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.status),
-				"cpus", j.spec.Need.CPU/1000, "estimate_s", j.spec.Estimate/Second, "ran_s", j.ranLongest/Second, "due_s", j.spec.Due/Second,
-				"late_s", (now-j.due)/Second, "first_start_s", (j.firstStart-j.submitted)/Second, "last_start_s", (j.lastStart-j.submitted)/Second)
+		j.nextWriteAt = now
+		if j.deadline > 0 && now > j.deadline {
+			c.log("job missed its deadline", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.status),
+				"cpus", j.spec.Request.CPU/1000, "estimate_s", j.spec.EstimatedRun/Second, "ran_s", j.longestRun/Second, "due_s", j.spec.Deadline/Second,
+				"late_s", (now-j.deadline)/Second, "first_start_s", (j.firstStart-j.submitted)/Second, "last_start_s", (j.lastStart-j.submitted)/Second)
 		}
 	}
-	c.toWrite(j)
+	c.queueCompletion(j)
 }
 
 // toWrite has a job's finished tasks or its final record written.
-func (c *Core) toWrite(j *job) {
-	if !j.ended {
-		j.ended = true
-		c.ended = append(c.ended, j)
+func (c *Core) queueCompletion(j *job) {
+	if !j.completionQueued {
+		j.completionQueued = true
+		c.completionQueue = append(c.completionQueue, j)
 	}
 }
 
 // recordedEnds lets workers forget tasks whose completion is recorded.
-func (c *Core) recordedEnds(ends []*placement) {
+func (c *Core) completionsRecorded(ends []*placement) {
 	for _, p := range ends {
-		p.finalOK = true
-		c.touch(p.m)
+		p.completionRecorded = true
+		c.queueCommands(p.machine)
 	}
 }
 
 // rangesPause lets many finished tasks share a write: until it is written they
 // stay in their machines' reports, so little is lost by waiting.
-const rangesPause = 10 * Second
+const completionWriteDelay = 10 * Second
 
 // flushEnded writes finished tasks: a job's last ones at once with its final
 // record, others in batches.
-func (c *Core) flushEnded(now Micros) {
-	wait := c.ended[:0]
-	for _, j := range c.ended {
+func (c *Core) flushCompletions(now Micros) {
+	wait := c.completionQueue[:0]
+	for _, j := range c.completionQueue {
 		complete := j.done == len(j.status)
 		switch {
-		case c.jobs[j.spec.ID] != j, j.cancelled, len(j.dirty) == 0 && !complete:
-			j.ended = false
-		case now < j.writeFrom || complete && j.finishing || !complete && j.ranging:
+		case c.jobs[j.spec.ID] != j, j.cancelled, len(j.dirtyChunks) == 0 && !complete:
+			j.completionQueued = false
+		case now < j.nextWriteAt || complete && j.writingFinal || !complete && j.writingCompletions:
 			wait = append(wait, j)
 		case complete:
 			// Ranges that wait for their turn do not hold this up.
-			j.ended = false
-			c.writeDone(j)
+			j.completionQueued = false
+			c.writeFinalRecord(j)
 		default:
-			j.ended = false
-			c.writeRanges(j)
+			j.completionQueued = false
+			c.writeCompletions(j)
 		}
 	}
-	c.ended = wait
+	c.completionQueue = wait
 }
 
-func (c *Core) writeDone(j *job) {
-	j.finishing = true
-	rec := j.rec
+func (c *Core) writeFinalRecord(j *job) {
+	j.writingFinal = true
+	rec := j.record
 	rec.Phase = Done
-	w := Write{Puts: []Put{{"", JobDone{rec}}}, Drops: c.jobKeys(j), IfJob: j.spec.ID, IfStamp: j.rec.Stamp, Urgent: true, Priority: j.spec.Priority}
+	w := Write{Puts: []Put{{"", FinalRecord{rec}}}, Deletes: c.jobKeys(j), IfJob: j.spec.ID, IfRevision: j.record.Revision, Urgent: true, Priority: j.spec.Priority}
 	c.write(w, func(now Micros, o WriteOutcome) {
-		j.finishing = false
+		j.writingFinal = false
 		if c.jobs[j.spec.ID] != j {
 			return
 		}
@@ -122,15 +122,15 @@
 		}
 		// Refused, because the job was cancelled first, or not known: the
 		// record comes through the watch, and trying again is harmless.
-		j.writeFrom = now + writeRetry
-		c.toWrite(j)
+		j.nextWriteAt = now + writeRetryDelay
+		c.queueCompletion(j)
 	})
 }
 
-func (c *Core) writeRanges(j *job) {
-	j.ranging = true
-	chunks := make([]int, 0, len(j.dirty))
-	for k := range j.dirty {
+func (c *Core) writeCompletions(j *job) {
+	j.writingCompletions = true
+	chunks := make([]int, 0, len(j.dirtyChunks))
+	for k := range j.dirtyChunks {
 		chunks = append(chunks, k)
 	}
 	sort.Ints(chunks)
@@ -138,42 +138,42 @@
 	var w Write
 	covered := map[int]bool{}
 	for _, k := range chunks {
-		delete(j.dirty, k)
+		delete(j.dirtyChunks, k)
 		covered[k] = true
-		key := RangeKey(j.spec.ID, k, j.unsure[k])
-		j.stored[key] = true
-		w.Puts = append(w.Puts, Put{key, RangeRecord{key, j.spec.ID, k, j.ranges(k, c.cfg.ChunkSize)}})
+		key := CompletionKey(j.spec.ID, k, j.unacknowledged[k])
+		j.completionKeys[key] = true
+		w.Puts = append(w.Puts, Put{key, CompletionRecord{key, j.spec.ID, k, j.completedRanges(k, c.cfg.ChunkSize)}})
 	}
 	var ends, rest []*placement
-	for _, p := range j.ends {
+	for _, p := range j.unrecorded {
 		if covered[p.index/c.cfg.ChunkSize] {
 			ends = append(ends, p)
 		} else {
 			rest = append(rest, p)
 		}
 	}
-	j.ends = rest
+	j.unrecorded = rest
 	c.write(w, func(now Micros, o WriteOutcome) {
-		j.ranging = false
+		j.writingCompletions = false
 		if o == WriteUnknown {
 			// It may be executed after a later one, and would take from the record
 			// what that one added: the next has a key of its own.
 			for k := range covered {
-				j.unsure[k]++
+				j.unacknowledged[k]++
 			}
 		}
 		over := c.jobs[j.spec.ID] != j || j.cancelled
 		if o == Stored || over {
-			c.recordedEnds(ends)
+			c.completionsRecorded(ends)
 		} else {
-			j.ends = append(j.ends, ends...)
+			j.unrecorded = append(j.unrecorded, ends...)
 			for k := range covered {
-				j.dirty[k] = true
+				j.dirtyChunks[k] = true
 			}
 		}
 		if !over && j.done < len(j.status) {
-			j.writeFrom = now + rangesPause
-			c.toWrite(j)
+			j.nextWriteAt = now + completionWriteDelay
+			c.queueCompletion(j)
 		}
 	})
 }
--- a/internal/core/failure_attribution.go
+++ b/internal/core/failure_attribution.go
@@ -13,81 +13,81 @@
 
 const (
 	// suspectFrom is on how many machines a job fails before it is suspect.
-	suspectFrom = 3
+	suspectThreshold = 3
 	// attributeJobs is how many jobs that are not suspect fail on a machine before it
 	// is taken out of use.
-	attributeJobs = 2
+	quarantineThreshold = 2
 	// provenAfter is how long a task has to run to have run well: one that fails
 	// does so once it has its image, or soon after.
-	provenAfter = 3 * Second
+	provenRunTime = 3 * Second
 	// The pause of a suspect job doubles from the first to the most.
-	suspectPause     = 2 * Second
-	suspectPauseMost = 64 * Second
+	suspectBackoff    = 2 * Second
+	maxSuspectBackoff = 64 * Second
 )
 
 // suspect reports whether the job is taken to fail wherever it runs.
-func (j *job) suspect() bool { return !j.proven && len(j.errors) >= suspectFrom }
+func (j *job) suspect() bool { return !j.proven && len(j.failedOn) >= suspectThreshold }
 
 // failed notes that a task failed.
-func (c *Core) failed(p *placement, now Micros) {
-	m, j := p.m, p.j
-	if j.errors == nil {
-		j.errors = map[string]bool{}
+func (c *Core) recordFailure(p *placement, now Micros) {
+	m, j := p.machine, p.job
+	if j.failedOn == nil {
+		j.failedOn = map[string]bool{}
 	}
 	before := j.suspect()
-	j.errors[m.name] = true
-	c.note("task failed", "machine", m.name, "job", p.job, "task", p.index, "machines_failed_on", len(j.errors), "proven", j.proven)
+	j.failedOn[m.name] = true
+	c.log("task failed", "machine", m.name, "job", p.jobID, "task", p.index, "machines_failed_on", len(j.failedOn), "proven", j.proven)
 	if !j.suspect() {
-		c.blame(m, p.job, now)
+		c.attributeToMachine(m, p.jobID, now)
 		return
 	}
 	if !before {
-		for name := range j.errors {
+		for name := range j.failedOn {
 			if o := c.machines[name]; o != nil {
-				delete(o.failed, p.job)
+				delete(o.failedJobs, p.jobID)
 			}
 		}
 	}
 	if now >= j.notBefore { // or it is one more of those that were started together
-		pause := min(suspectPause<<j.pauses, suspectPauseMost)
+		pause := min(suspectBackoff<<j.backoffs, maxSuspectBackoff)
 		j.notBefore = now + pause
-		j.pauses = min(j.pauses+1, 10)
-		c.note("job backs off: it failed on several machines", "job", p.job, "machines", len(j.errors), "for_ms", pause/Millisecond)
+		j.backoffs = min(j.backoffs+1, 10)
+		c.log("job backs off: it failed on several machines", "job", p.jobID, "machines", len(j.failedOn), "for_ms", pause/Millisecond)
 	}
 }
 
 // blame lays a failure to a machine, which is taken out of use when several jobs
 // failed there.
-func (c *Core) blame(m *machine, job string, now Micros) {
-	if m.failed == nil {
-		m.failed = map[string]bool{}
+func (c *Core) attributeToMachine(m *machine, job string, now Micros) {
+	if m.failedJobs == nil {
+		m.failedJobs = map[string]bool{}
 	}
-	m.failed[job] = true
-	if len(m.failed) >= attributeJobs && now >= m.quarantine {
-		m.quarantine = now + c.cfg.Tuning.Quarantine
-		c.note("quarantine: several jobs failed here", "machine", m.name)
+	m.failedJobs[job] = true
+	if len(m.failedJobs) >= quarantineThreshold && now >= m.quarantinedUntil {
+		m.quarantinedUntil = now + c.cfg.Tuning.Quarantine
+		c.log("quarantine: several jobs failed here", "machine", m.name)
 		c.drain(m, now, 0)
 	}
 }
 
 // ranWell notes that a task of the job did: where others of it failed, the
 // machines are to blame.
-func (c *Core) ranWell(j *job, now Micros) {
+func (c *Core) markProven(j *job, now Micros) {
 	if j.proven {
 		return
 	}
 	if j.suspect() {
-		c.note("job is not at fault: a task of it runs", "job", j.spec.ID, "machines_failed_on", len(j.errors))
+		c.log("job is not at fault: a task of it runs", "job", j.spec.ID, "machines_failed_on", len(j.failedOn))
 		j.notBefore = 0
-		c.dirty = true
+		c.needsPlacement = true
 	}
 	j.proven = true
-	if len(j.errors) == 0 {
+	if len(j.failedOn) == 0 {
 		return
 	}
-	for _, m := range c.order {
-		if j.errors[m.name] {
-			c.blame(m, j.spec.ID, now)
+	for _, m := range c.sortedMachines {
+		if j.failedOn[m.name] {
+			c.attributeToMachine(m, j.spec.ID, now)
 		}
 	}
 }
--- a/internal/core/failure_attribution_test.go
+++ b/internal/core/failure_attribution_test.go
@@ -9,7 +9,7 @@
 // TestBlame: a failure is laid to the machine or to the job, also when both are at
 // fault on the same day. In a recorded day, thirteen jobs with a mistake took 256
 // good machines out of use, and their tasks were started 4,130 times.
-func TestBlame(t *testing.T) {
+func TestFailureAttribution(t *testing.T) {
 	const machines = 8
 	for _, c := range []struct {
 		name   string
@@ -26,36 +26,36 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, nil, Snapshot{})
-			var fs []*fake
+			w.beginTerm(100, nil, Snapshot{})
+			var fs []*fakeWorker
 			for i := range machines {
-				fs = append(fs, w.machine(fmt.Sprintf("n-%d", i), "a").beat())
+				fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 			}
 			for i := range c.broken {
 				w.submit(JobSpec{ID: fmt.Sprintf("bad-%d", i), Kind: Array, Tasks: 12})
 			}
 			for i := range c.good {
-				w.submit(JobSpec{ID: fmt.Sprintf("good-%d", i), Kind: Array, Tasks: 6, Need: Res{1000, 0, 1000}})
+				w.submit(JobSpec{ID: fmt.Sprintf("good-%d", i), Kind: Array, Tasks: 6, Request: Resources{1000, 0, 1000}})
 			}
 			starts, atOnce := 0, 0
 			for s := range 300 {
-				w.pass(Second)
+				w.advance(Second)
 				now := map[string]int{}
 				for i, f := range fs {
-					f.direct()
-					for k, task := range f.r.Tasks {
+					f.executeDirect()
+					for k, task := range f.status.Tasks {
 						if task.State == Exited {
 							continue
 						}
 						if bad := strings.HasPrefix(task.Job, "bad"); bad || i < c.sick {
-							f.exit(k, CauseError)
+							f.exitTask(k, CauseError)
 							if bad {
 								starts++
 								now[task.Job]++
 							}
 						}
 					}
-					f.beat()
+					f.report()
 				}
 				for _, n := range now {
 					if s > 10 {
@@ -65,8 +65,8 @@
 			}
 			found := 0
 			for i, f := range fs {
-				m := w.c.machines[f.r.Machine]
-				if m != nil && m.quarantine == 0 {
+				m := w.c.machines[f.status.Machine]
+				if m != nil && m.quarantinedUntil == 0 {
 					continue
 				}
 				if found++; i >= c.sick {
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -9,128 +9,128 @@
 func TestFleet(t *testing.T) {
 	t.Run("spot for jobs that allow it, once", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
+		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 8, Spot: true})
-		w.pass(2 * Second)
-		w.want("requests", len(w.rents), 1)
-		w.want("rented", fmt.Sprint(w.rents[0].Spot, w.rents[0].Count), "true 2")
-		w.c.Rented(w.now, w.now, w.rents[0].Request, RentGranted, []string{"n-1", "n-2"})
-		w.pass(5 * Second)
-		w.want("nothing twice", len(w.rents), 1)
+		w.advance(2 * Second)
+		w.want("requests", len(w.rentals), 1)
+		w.want("rented", fmt.Sprint(w.rentals[0].Spot, w.rentals[0].Count), "true 2")
+		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1", "n-2"})
+		w.advance(5 * Second)
+		w.want("nothing twice", len(w.rentals), 1)
 	})
 	t.Run("a machine that is overdue does not count as coming", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
+		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1, Zone: "b"})
-		w.pass(Second)
-		w.c.Rented(w.now, w.now, w.rents[0].Request, RentGranted, []string{"n-1"})
-		w.pass(25 * Second)
-		w.want("rented while it is coming", len(w.rents), 1)
-		w.pass(10 * Second)
-		w.want("rented when it is overdue", len(w.rents), 2)
+		w.advance(Second)
+		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1"})
+		w.advance(25 * Second)
+		w.want("rented while it is coming", len(w.rentals), 1)
+		w.advance(10 * Second)
+		w.want("rented when it is overdue", len(w.rentals), 2)
 	})
 	t.Run("refused capacity is remembered, names are not used again", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
+		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1, Zone: "b"})
-		w.pass(Second)
-		w.c.Rented(w.now, w.now, w.rents[0].Request, RentRefused, nil)
-		w.pass(5 * Second)
-		w.want("asked while refused", len(w.rents), 1)
-		w.pass(15 * Second)
-		w.want("asked again", len(w.rents) == 2 && w.rents[0].Request != w.rents[1].Request, true)
+		w.advance(Second)
+		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentRefused, nil)
+		w.advance(5 * Second)
+		w.want("asked while refused", len(w.rentals), 1)
+		w.advance(15 * Second)
+		w.want("asked again", len(w.rentals) == 2 && w.rentals[0].Request != w.rentals[1].Request, true)
 	})
 	t.Run("an unanswered request is repeated under its name", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
+		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1})
-		w.pass(Second)
-		name := w.rents[0].Request
-		w.c.Rented(w.now, w.now, name, RentUnknown, nil)
-		w.pass(2 * Second)
-		w.want("repeated", len(w.rents) == 2 && w.rents[1].Request == name, true)
+		w.advance(Second)
+		name := w.rentals[0].Request
+		w.c.RentResult(w.now, w.now, name, RentUnknown, nil)
+		w.advance(2 * Second)
+		w.want("repeated", len(w.rentals) == 2 && w.rentals[1].Request == name, true)
 	})
 	t.Run("what a former leader rented counts as coming, until it is not listed in time", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 4, Need: Res{2000, 0, 2000}, Image: "im", Zone: "b"}, Stamp: 5}
+		job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 4, Request: Resources{2000, 0, 2000}, Image: "im", Zone: "b"}, Revision: 5}
 		w.now = 100 * Second
-		w.begin(200, []JobRecord{job}, Snapshot{Rents: []RentRecord{{Request: "r-1", Type: "m", Zone: "b", Count: 1, Machines: []string{"n-1"}, At: 96 * Second}}})
-		w.pass(2 * Second)
-		w.want("rented", len(w.rents), 0)
-		w.c.Listed(w.now, nil)
-		w.pass(2 * Second)
-		w.want("rented, the list is late", len(w.rents), 0)
-		w.pass(12 * Second)
-		w.c.Listed(w.now, nil)
-		w.pass(2 * Second)
-		w.want("rented, it is gone", len(w.rents), 1)
+		w.beginTerm(200, []JobRecord{job}, Snapshot{Rentals: []RentalRecord{{Request: "r-1", Type: "m", Zone: "b", Count: 1, Machines: []string{"n-1"}, RentedAt: 96 * Second}}})
+		w.advance(2 * Second)
+		w.want("rented", len(w.rentals), 0)
+		w.c.HandleMachineList(w.now, nil)
+		w.advance(2 * Second)
+		w.want("rented, the list is late", len(w.rentals), 0)
+		w.advance(12 * Second)
+		w.c.HandleMachineList(w.now, nil)
+		w.advance(2 * Second)
+		w.want("rented, it is gone", len(w.rentals), 1)
 	})
 	t.Run("idle machines go back after a minute, drained ones at once", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
-		f := w.machine("n-1", "a").beat()
-		g := w.machine("n-2", "a").beat()
+		w.beginTerm(100, nil, Snapshot{})
+		f := w.newWorker("n-1", "a").report()
+		g := w.newWorker("n-2", "a").report()
 		for range 14 {
-			w.pass(Second)
-			f.beat()
-			g.beat()
+			w.advance(Second)
+			f.report()
+			g.report()
 		}
-		w.c.Listed(w.now, []Listed{{Name: "n-1", Age: 30 * Second}, {Name: "n-2", Age: 30 * Second}})
-		g.r.Notice = 10 * Second
-		g.beat()
-		w.pass(Second)
-		w.want("back", fmt.Sprint(w.backs), "[{[n-2] drained}]")
-		w.c.Returned(w.now, []string{"n-2"}, true)
+		w.c.HandleMachineList(w.now, []ListedMachine{{Name: "n-1", Age: 30 * Second}, {Name: "n-2", Age: 30 * Second}})
+		g.status.SpotNotice = 10 * Second
+		g.report()
+		w.advance(Second)
+		w.want("back", fmt.Sprint(w.releases), "[{[n-2] drained}]")
+		w.c.ReleaseResult(w.now, []string{"n-2"}, true)
 		for range 35 {
-			w.pass(Second)
-			f.beat()
+			w.advance(Second)
+			f.report()
 		}
-		w.want("back later", len(w.backs) == 2 && w.backs[1].Machines[0] == "n-1" && w.backs[1].Reason == "idle", true)
+		w.want("back later", len(w.releases) == 2 && w.releases[1].Machines[0] == "n-1" && w.releases[1].Reason == "idle", true)
 	})
 	t.Run("many go back with one request; one that reports again before is kept", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
-		var fs []*fake
+		w.beginTerm(100, nil, Snapshot{})
+		var fs []*fakeWorker
 		for i := range 4 {
-			fs = append(fs, w.machine(fmt.Sprintf("n-%d", i), "a").beat())
+			fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 		}
 		ms := w.c.machines
-		w.c.giveBack(ms["n-0"], w.now, "idle")
+		w.c.queueRelease(ms["n-0"], w.now, "idle")
 		w.step()
 		for _, n := range []string{"n-1", "n-2", "n-3"} {
-			ms[n].silent = true
-			w.c.giveBack(ms[n], w.now, silentWhy)
+			ms[n].unreachable = true
+			w.c.queueRelease(ms[n], w.now, unreachableReason)
 		}
 		w.step()
-		w.want("one request at a time", fmt.Sprint(w.backs), "[{[n-0] idle}]")
-		fs[2].beat()
-		w.c.Returned(w.now, []string{"n-0"}, true)
+		w.want("one request at a time", fmt.Sprint(w.releases), "[{[n-0] idle}]")
+		fs[2].report()
+		w.c.ReleaseResult(w.now, []string{"n-0"}, true)
 		w.step()
-		w.want("the rest together", fmt.Sprint(w.backs[1:]), "[{[n-1 n-3] silent}]")
-		w.c.Returned(w.now, []string{"n-1", "n-3"}, false)
-		w.pass(2 * Second)
-		w.want("asked again", fmt.Sprint(w.backs[2:]), "[{[n-1 n-3] silent}]")
+		w.want("the rest together", fmt.Sprint(w.releases[1:]), "[{[n-1 n-3] silent}]")
+		w.c.ReleaseResult(w.now, []string{"n-1", "n-3"}, false)
+		w.advance(2 * Second)
+		w.want("asked again", fmt.Sprint(w.releases[2:]), "[{[n-1 n-3] silent}]")
 	})
 	t.Run("a silent machine is returned, unless it is this side that hears nothing", func(t *testing.T) {
 		for _, c := range []struct{ heard, want int }{{3, 1}, {0, 0}} {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, nil, Snapshot{})
-			var fs []*fake
+			w.beginTerm(100, nil, Snapshot{})
+			var fs []*fakeWorker
 			for i := range 4 {
-				fs = append(fs, w.machine(fmt.Sprintf("n-%d", i), "a").beat())
+				fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 			}
-			fs[3].lossy = true
+			fs[3].losesCommands = true
 			for range 12 {
-				w.pass(Second)
+				w.advance(Second)
 				for i, f := range fs {
-					f.lossy = i >= c.heard
-					f.direct()
+					f.losesCommands = i >= c.heard
+					f.executeDirect()
 					if i < c.heard {
-						f.beat()
+						f.report()
 					}
 				}
 			}
-			w.want("returned", len(w.backs), c.want)
+			w.want("returned", len(w.releases), c.want)
 		}
 	})
 	t.Run("a machine that one service keeps rented is emptied, one that batches use is not", func(t *testing.T) {
@@ -139,13 +139,13 @@
 			want  string
 		}{{false, "[{[n-1] drained}]"}, {true, "[]"}} {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, nil, Snapshot{})
-			f, g := w.machine("n-1", "a").beat(), w.machine("n-2", "b").beat()
+			w.beginTerm(100, nil, Snapshot{})
+			f, g := w.newWorker("n-1", "a").report(), w.newWorker("n-2", "b").report()
 			round := func() {
-				w.pass(Second)
-				for _, x := range []*fake{f, g} {
-					x.direct()
-					x.beat()
+				w.advance(Second)
+				for _, x := range []*fakeWorker{f, g} {
+					x.executeDirect()
+					x.report()
 				}
 			}
 			// One service on n-1; n-2 is fuller and has room for it.
@@ -162,24 +162,24 @@
 				round()
 			}
 			w.want("services", w.c.jobs["job-1"].running+w.c.jobs["job-2"].running, 3)
-			w.want("back", fmt.Sprint(w.backs), c.want)
+			w.want("back", fmt.Sprint(w.releases), c.want)
 		}
 	})
 	t.Run("the more services, the more move in a second", func(t *testing.T) {
 		// After a batch left them thinly spread: one service on every machine.
 		moves := func(machines int) int {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, nil, Snapshot{})
-			var fs []*fake
+			w.beginTerm(100, nil, Snapshot{})
+			var fs []*fakeWorker
 			for i := range machines {
-				fs = append(fs, w.machine(fmt.Sprintf("n-%03d", i), "a").beat())
+				fs = append(fs, w.newWorker(fmt.Sprintf("n-%03d", i), "a").report())
 			}
-			w.submit(JobSpec{ID: "job-1", Tasks: machines, Need: Res{7000, 0, 1000}})
-			w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: machines, Need: Res{1000, 0, 1000}})
+			w.submit(JobSpec{ID: "job-1", Tasks: machines, Request: Resources{7000, 0, 1000}})
+			w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: machines, Request: Resources{1000, 0, 1000}})
 			round := func() {
 				for _, f := range fs {
-					f.direct()
-					f.beat()
+					f.executeDirect()
+					f.report()
 				}
 			}
 			round()
@@ -187,16 +187,16 @@
 			w.want("services", w.c.jobs["job-2"].running, machines)
 			w.cancel("job-1")
 			round()
-			before := w.c.attempts
+			before := w.c.attemptCount
 			for range 20 {
-				w.pass(Second)
+				w.advance(Second)
 				round()
 			}
-			return int(w.c.attempts - before)
+			return int(w.c.attemptCount - before)
 		}
 		few, many := moves(20), moves(200)
 		w := &world{t: t}
-		one := 20 * float64(Second) / float64(vacateShare) // a service's moves in that time
+		one := 20 * float64(Second) / float64(serviceMoveInterval) // a service's moves in that time
 		w.want("few move", float64(few) >= 1 && float64(few) <= 20*one+1, true)
 		w.want("many move", float64(many) >= 0.8*200*one && float64(many) <= 1.2*200*one, true)
 	})
@@ -214,24 +214,24 @@
 			{"no more are expected", sooner, true, 2},
 		} {
 			w := newWorld(t, Team{Name: "blue"})
-			w.c.cfg.Tuning.Hold = 1000 * Second
+			w.c.cfg.Tuning.ReservationDecay = 1000 * Second
 			if c.within > 0 {
-				w.c.cfg.StartWithin = map[string][]Micros{"sweep": {c.within}}
+				w.c.cfg.StartObjectives = map[string][]Micros{"sweep": {c.within}}
 			}
-			w.begin(100, nil, Snapshot{})
-			fs := []*fake{w.machine("n-1", "a"), w.machine("n-2", "b")}
+			w.beginTerm(100, nil, Snapshot{})
+			fs := []*fakeWorker{w.newWorker("n-1", "a"), w.newWorker("n-2", "b")}
 			for _, f := range fs {
-				f.r.Type = "g" // of its CPUs one task leaves most, but no GPU
+				f.status.Type = "g" // of its CPUs one task leaves most, but no GPU
 			}
-			sweep := JobSpec{Class: "sweep", Tasks: 2, Need: Res{1000, 2000, 1000}}
+			sweep := JobSpec{Class: "sweep", Tasks: 2, Request: Resources{1000, 2000, 1000}}
 			n := 0
 			// All that is seen in this time is a job every other report.
 			rounds := func(count int, jobs bool) {
 				for i := range count {
-					w.pass(3 * Second)
+					w.advance(3 * Second)
 					for _, f := range fs {
-						f.direct()
-						f.beat()
+						f.executeDirect()
+						f.report()
 					}
 					if id := fmt.Sprint("job-", n); jobs && i%2 == 0 {
 						n++
@@ -246,26 +246,26 @@
 			rounds(10, true)
 			rounds(6, false) // but for this pause
 			rounds(20, !c.gone)
-			w.want("returned, "+c.name, w.backs != nil, c.want > 0)
+			w.want("returned, "+c.name, w.releases != nil, c.want > 0)
 			if c.want > 0 {
 				continue
 			}
 			var records []MachineRecord
 			for i, f := range fs {
-				records = append(records, MachineRecord{Name: f.r.Machine, Address: f.r.Address, Type: "g", Zone: string(rune('a' + i))})
+				records = append(records, MachineRecord{Name: f.status.Machine, Address: f.status.Address, Type: "g", Zone: string(rune('a' + i))})
 			}
 			sweep.Tasks, sweep.ID, sweep.Team, sweep.Image = 1, "job-100", "blue", "im"
-			w.begin(200, []JobRecord{{Spec: sweep, Stamp: 5}}, Snapshot{Machines: []MachinesRecord{{MachinePrefix + "1-1", records}}})
+			w.beginTerm(200, []JobRecord{{Spec: sweep, Revision: 5}}, Snapshot{MachineGroups: []MachineGroupRecord{{MachinePrefix + "1-1", records}}})
 			n = 200
 			rounds(30, true)
-			w.want("returned by the next leader", len(w.backs), 0)
+			w.want("returned by the next leader", len(w.releases), 0)
 			// A machine that is lost is replaced before any task waits.
-			w.rents = nil
-			w.c.Returned(w.now, []string{"n-2"}, true)
-			w.pass(2 * Second)
-			w.want("rented in its place", len(w.rents), 1)
-			w.pass(2 * Second)
-			w.want("not asked for twice", len(w.rents), 1)
+			w.rentals = nil
+			w.c.ReleaseResult(w.now, []string{"n-2"}, true)
+			w.advance(2 * Second)
+			w.want("rented in its place", len(w.rentals), 1)
+			w.advance(2 * Second)
+			w.want("not asked for twice", len(w.rentals), 1)
 		}
 	})
 	for _, c := range []struct {
@@ -274,37 +274,37 @@
 		snap Snapshot
 	}{
 		{"a machine of a type that nobody knows goes back", "new", Snapshot{}},
-		{"a machine taken over empty goes back", "m", Snapshot{Machines: recorded("n-1")}},
+		{"a machine taken over empty goes back", "m", Snapshot{MachineGroups: recordedMachines("n-1")}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, nil, c.snap)
-			f := w.machine("n-1", "a")
-			f.r.Type = c.typ
+			w.beginTerm(100, nil, c.snap)
+			f := w.newWorker("n-1", "a")
+			f.status.Type = c.typ
 			for range 25 {
-				f.direct()
-				f.beat()
-				w.pass(3 * Second)
+				f.executeDirect()
+				f.report()
+				w.advance(3 * Second)
 			}
-			w.want("back", len(w.backs), 1)
+			w.want("back", len(w.releases), 1)
 		})
 	}
 	t.Run("a machine that never comes up goes back", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
+		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1})
-		w.pass(Second)
-		w.c.Rented(w.now, w.now, w.rents[0].Request, RentGranted, []string{"n-1"})
-		w.c.Listed(w.now, []Listed{{Name: "n-1", Type: "m", Zone: "a", Booting: true}})
-		w.pass(75 * Second)
-		w.want("back", len(w.backs) > 0 && w.backs[0].Reason == "never came up", true)
+		w.advance(Second)
+		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1"})
+		w.c.HandleMachineList(w.now, []ListedMachine{{Name: "n-1", Type: "m", Zone: "a", Booting: true}})
+		w.advance(75 * Second)
+		w.want("back", len(w.releases) > 0 && w.releases[0].Reason == "never came up", true)
 	})
 }
 
 // TestNotListed: a leader ended after its return of most machines was executed, and
 // before it could say so. The next one hears hardly any and must not take that for a
 // fault on its side until their leases are over: the list tells that they are gone.
-func TestNotListed(t *testing.T) {
+func TestUnlistedMachinesAreReleased(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		listed bool // the machines are, as those are that only cannot be heard
@@ -318,25 +318,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
 			names := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6", "n-7"}
-			job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Image: "im", Tasks: 2, Need: Res{2000, 0, 2000}}}
-			w.begin(100, []JobRecord{job}, Snapshot{Machines: recorded(names...), Open: []string{"job-1"}})
-			list := []Listed{{Name: "n-7", Type: "m", Zone: "a", Age: 100 * Second}}
+			job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Image: "im", Tasks: 2, Request: Resources{2000, 0, 2000}}}
+			w.beginTerm(100, []JobRecord{job}, Snapshot{MachineGroups: recordedMachines(names...), Started: []string{"job-1"}})
+			list := []ListedMachine{{Name: "n-7", Type: "m", Zone: "a", Age: 100 * Second}}
 			if c.listed {
 				for _, n := range names[:6] {
-					list = append(list, Listed{Name: n, Type: "m", Zone: "a", Age: 100 * Second})
+					list = append(list, ListedMachine{Name: n, Type: "m", Zone: "a", Age: 100 * Second})
 				}
 			}
-			f := w.machine("n-7", "a")
+			f := w.newWorker("n-7", "a")
 			for w.now < c.after {
-				w.pass(Second)
-				f.beat()
+				w.advance(Second)
+				f.report()
 			}
-			w.c.Listed(w.now, list)
+			w.c.HandleMachineList(w.now, list)
 			w.step()
-			w.want("given back", w.returned(), c.back)
+			w.want("given back", w.releasedMachines(), c.back)
 			if c.back > 0 {
-				w.c.Returned(w.now, names[:6], true)
-				w.rounds(2, []*fake{f})
+				w.c.ReleaseResult(w.now, names[:6], true)
+				w.reportRounds(2, []*fakeWorker{f})
 				w.want("tasks that run", w.c.jobs["job-1"].running, 2)
 			}
 		})
@@ -346,43 +346,43 @@
 // TestLendable: what is held for a class that starts at once is not lent to a job of
 // lower priority that borrows, since the class could not take it back: on a drawn day
 // a guest's long reruns filled it, and sweeps waited for minutes.
-func TestLendable(t *testing.T) {
+func TestReservedRoomIsNotBorrowed(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		own, min Res // of the class's team and of the other
+		own, min Resources // of the class's team and of the other
 		priority Priority
 		runs     int // of its sixteen tasks, on room for sixteen, half of it held
 	}{
-		{"borrows", Res{}, Res{}, Low, 8},
-		{"within its min", Res{}, Res{CPU: 40000}, Low, 16},
-		{"of no lower priority", Res{}, Res{}, High, 16},
-		{"what can be taken back", Res{CPU: 2000}, Res{}, Low, 16},
+		{"borrows", Resources{}, Resources{}, Low, 8},
+		{"within its min", Resources{}, Resources{CPU: 40000}, Low, 16},
+		{"of no lower priority", Resources{}, Resources{}, High, 16},
+		{"what can be taken back", Resources{CPU: 2000}, Resources{}, Low, 16},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue", Min: c.own}, Team{Name: "green", Min: c.min})
-			w.c.cfg.StartWithin = map[string][]Micros{"sweep": {Second}}
-			w.c.cfg.Tuning.Hold = 600 * Second
-			w.begin(100, nil, Snapshot{})
-			var fs []*fake
+			w.c.cfg.StartObjectives = map[string][]Micros{"sweep": {Second}}
+			w.c.cfg.Tuning.ReservationDecay = 600 * Second
+			w.beginTerm(100, nil, Snapshot{})
+			var fs []*fakeWorker
 			for i := range 4 {
-				fs = append(fs, w.machine(fmt.Sprintf("n-%d", i), "a").beat())
+				fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 			}
-			w.rounds(25, fs)
+			w.reportRounds(25, fs)
 			sweep := JobSpec{ID: "job-1", Class: "sweep", Kind: Array, Priority: High, Tasks: 8}
 			w.submit(sweep)
-			w.rounds(3, fs)
+			w.reportRounds(3, fs)
 			for _, f := range fs {
-				for i := range f.r.Tasks {
-					f.exit(i, CauseDone)
+				for i := range f.status.Tasks {
+					f.exitTask(i, CauseDone)
 				}
 			}
-			w.rounds(3, fs)
+			w.reportRounds(3, fs)
 			w.submit(JobSpec{ID: "job-2", Class: "rerun", Team: "green", Kind: Array, Priority: c.priority, Tasks: 16})
-			w.rounds(3, fs)
+			w.reportRounds(3, fs)
 			w.want("tasks of the other team that run", w.c.jobs["job-2"].running, c.runs)
 			sweep.ID = "job-3"
 			w.submit(sweep)
-			w.rounds(1, fs)
+			w.reportRounds(1, fs)
 			w.want("tasks of the class that start at once", w.c.jobs["job-3"].running, 16-c.runs+min(int(c.own.CPU/2000), 1))
 		})
 	}
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -1,7 +1,9 @@
 package core
 
 // waiting reports whether a gang has been placed and is not known to have run.
-func (j *job) waiting() bool { return j.spec.Kind == Gang && j.on > 0 && j.ran != j.attempt }
+func (j *job) awaitsGangStart() bool {
+	return j.spec.Kind == Gang && j.occupying > 0 && j.lastRunAttempt != j.gangAttempt
+}
 
 // scheduleGang places all tasks of a gang or none of them. It reports false if
 // there is no room for them.
@@ -9,9 +11,9 @@
 	if j.pending < len(j.status) {
 		return true
 	}
-	j.lacksFrom = 0
-	if j.waitFrom == 0 {
-		j.waitFrom = now
+	j.incompleteSince = 0
+	if j.waitingSince == 0 {
+		j.waitingSince = now
 	}
 	return c.placeGang(j, 0, now)
 }
@@ -20,35 +22,35 @@
 // given. It reports false if there is no room for them.
 func (c *Core) placeGang(j *job, attempt uint64, now Micros) bool {
 	t := j.team
-	use := c.teamUse(t)
-	if overMax(use, j.spec.Need.Times(j.pending), t.Max) {
+	use := c.teamUsage(t)
+	if overMax(use, j.spec.Request.Times(j.pending), t.Max) {
 		return true
 	}
 	zones := []string{""}
 	if j.spec.OneZone {
-		zones = c.zones()
+		zones = c.catalogZones()
 	}
-	find := func(how gangTry) (best gangPlan) {
+	find := func(how gangOptions) (best gangPlan) {
 		for _, z := range zones {
 			p := c.planGang(j, z, attempt, use, how, now)
-			if p.on != nil && (best.on == nil || p.slowest < best.slowest) {
+			if p.machines != nil && (best.machines == nil || p.slowestFetch < best.slowestFetch) {
 				best = p
 			}
 		}
 		return best
 	}
-	if c.awaitsImage(j, now) {
-		p := find(gangTry{cached: true})
-		if p.on != nil {
+	if c.awaitsCachedMachines(j, now) {
+		p := find(gangOptions{cachedOnly: true})
+		if p.machines != nil {
 			c.commitGang(j, attempt, &p, now)
 			return true
 		}
-		if find(gangTry{}).on != nil {
+		if find(gangOptions{}).machines != nil {
 			return true
 		}
 	}
 	for _, evict := range []bool{false, true} {
-		if p := find(gangTry{evict: evict}); p.on != nil {
+		if p := find(gangOptions{evict: evict}); p.machines != nil {
 			c.commitGang(j, attempt, &p, now)
 			return true
 		}
@@ -58,41 +60,41 @@
 
 // gangPlan is a machine for each of a gang's waiting tasks.
 type gangPlan struct {
-	tasks   []int
-	on      []*machine // nil: there is no room for all
-	reclaim reclaimPlan
-	slowest int64 // the longest fetch
+	tasks        []int
+	machines     []*machine // nil: there is no room for all
+	reclaim      reclaimPlan
+	slowestFetch int64 // the longest fetch
 }
 
 // gangTry says how room is looked for.
-type gangTry struct {
-	cached bool // only where the image is
-	evict  bool
+type gangOptions struct {
+	cachedOnly bool // only where the image is
+	evict      bool
 }
 
 // planGang looks for a machine for each of a gang's waiting tasks.
-func (c *Core) planGang(j *job, zone string, attempt uint64, use Res, how gangTry, now Micros) (plan gangPlan) {
-	plan.tasks = j.waitingTasks()
+func (c *Core) planGang(j *job, zone string, attempt uint64, use Resources, how gangOptions, now Micros) (plan gangPlan) {
+	plan.tasks = j.pendingTasks()
 	on := make([]*machine, 0, len(plan.tasks))
 	for _, i := range plan.tasks {
-		m := c.pick(j, now, zone, how.cached)
+		m := c.pickMachine(j, now, zone, how.cachedOnly)
 		if m == nil && how.evict {
-			m = c.reclaim(j, use, now, zone, &plan.reclaim)
+			m = c.planReclaim(j, use, now, zone, &plan.reclaim)
 		}
 		// A worker that knows this attempt of the task would not start it.
-		if m == nil || m.knows(j, i, attempt) {
+		if m == nil || m.hasAttempt(j, i, attempt) {
 			break
 		}
-		plan.slowest = max(plan.slowest, c.startCost(j, m))
-		c.promise(j, m, 1)
+		plan.slowestFetch = max(plan.slowestFetch, c.imageFetchDelay(j, m))
+		c.adjustTentative(j, m, 1)
 		on = append(on, m)
-		use = use.Add(j.spec.Need)
+		use = use.Add(j.spec.Request)
 	}
 	for _, m := range on {
-		c.promise(j, m, -1)
+		c.adjustTentative(j, m, -1)
 	}
 	if len(on) == len(plan.tasks) {
-		plan.on = on
+		plan.machines = on
 	}
 	return plan
 }
@@ -101,9 +103,9 @@
 	if attempt == 0 {
 		attempt = c.nextAttempt()
 	}
-	j.attempt, j.waitFrom = attempt, 0
-	for n, m := range plan.on {
-		c.put(j, plan.tasks[n], m, attempt, now)
+	j.gangAttempt, j.waitingSince = attempt, 0
+	for n, m := range plan.machines {
+		c.place(j, plan.tasks[n], m, attempt, now)
 	}
 	c.evict(&plan.reclaim, j, now)
 }
@@ -113,45 +115,45 @@
 // fetch. It does so for as long as the fetch takes, as far as that leaves it in
 // time for the earliest of its aims that it can meet with a fetch, and if as many
 // machines as it needs are likely to fall free meanwhile.
-func (c *Core) awaitsImage(j *job, now Micros) bool {
+func (c *Core) awaitsCachedMachines(j *job, now Micros) bool {
 	var fetch Micros
-	for _, t := range c.typeOrder {
+	for _, t := range c.machineTypeList {
 		if t.FetchMBps > 0 && j.spec.typeAllowed(t.Name) {
 			fetch = max(fetch, Micros(j.spec.ImageMB)*Second/Micros(t.FetchMBps))
 		}
 	}
 	patience := fetch
-	for _, within := range j.class.within {
+	for _, within := range j.class.startObjectives {
 		if late := fetch * 4 / 3; within > late {
 			patience = min(patience, within-late)
 			break
 		}
 	}
-	if now-j.waitFrom >= patience {
+	if now-j.waitingSince >= patience {
 		return false
 	}
-	return float64(c.withImage(j.image, now))*float64(patience) > float64(j.pending)*float64(j.estimate())
+	return float64(c.machinesWithImage(j.imageID, now))*float64(patience) > float64(j.pending)*float64(j.correctedEstimate())
 }
 
 // withImage says how many machines had an image lately.
-func (c *Core) withImage(id int, now Micros) int {
-	if now-c.imagesAt >= Second {
-		c.imagesAt = now
-		clear(c.imagesOn)
-		for _, m := range c.order {
+func (c *Core) machinesWithImage(id int, now Micros) int {
+	if now-c.imageCountsAt >= Second {
+		c.imageCountsAt = now
+		clear(c.imageCounts)
+		for _, m := range c.sortedMachines {
 			for _, im := range m.images {
-				c.imagesOn[im.id]++
+				c.imageCounts[im.id]++
 			}
 		}
 	}
-	return c.imagesOn[id]
+	return c.imageCounts[id]
 }
 
 // zones lists the zones of the catalog.
-func (c *Core) zones() []string {
+func (c *Core) catalogZones() []string {
 	seen := map[string]bool{}
 	var out []string
-	for _, t := range c.typeOrder {
+	for _, t := range c.machineTypeList {
 		for _, z := range t.Zones {
 			if !seen[z] {
 				seen[z] = true
@@ -164,41 +166,41 @@
 
 // promise counts a task of a plan on a machine, or takes it off again: nothing
 // of a plan that is dropped is left, in the machine's cache or anywhere else.
-func (c *Core) promise(j *job, m *machine, sign int) {
-	c.recount(m, func() { m.used = m.used.Add(j.spec.Need.Times(sign)) })
-	j.zones[m.zone] += sign
+func (c *Core) adjustTentative(j *job, m *machine, sign int) {
+	c.updateUsage(m, func() { m.used = m.used.Add(j.spec.Request.Times(sign)) })
+	j.placedByZone[m.zone] += sign
 }
 
 const (
 	// gangPatience is how long the machines of a gang that has not started are
 	// kept for want of another.
-	gangPatience = 10 * Second
+	gangReplacementTimeout = 10 * Second
 	// waitsMost is how often a gang task waits for the others for as long as a
 	// worker lets it. Images can take longer to fetch than that.
-	waitsMost = 4
+	maxWaitRetries = 4
 )
 
 // completeGang replaces what a gang that has not started lacks, with the same
 // attempt, so that the others go on waiting. If there is no room for it before
 // long, it starts anew.
 func (c *Core) completeGang(j *job, now Micros) {
-	if !j.waiting() {
+	if !j.awaitsGangStart() {
 		return
 	}
 	for _, p := range j.live {
-		if p.attempt != j.attempt || p.unwanted {
+		if p.attempt != j.gangAttempt || p.stopRequested {
 			return // not before it is gone
 		}
 	}
-	if j.lacksFrom == 0 {
-		j.lacksFrom = now // taken over from a leader that had not told them all
+	if j.incompleteSince == 0 {
+		j.incompleteSince = now // taken over from a leader that had not told them all
 	}
-	c.placeGang(j, j.attempt, now)
+	c.placeGang(j, j.gangAttempt, now)
 	switch {
 	case j.pending == 0:
-		j.lacksFrom = 0
-	case now-j.lacksFrom > gangPatience:
-		c.note("gang starts anew: no room for what it lacks", "job", j.spec.ID, "tasks", j.pending)
+		j.incompleteSince = 0
+	case now-j.incompleteSince > gangReplacementTimeout:
+		c.log("gang starts anew: no room for what it lacks", "job", j.spec.ID, "tasks", j.pending)
 		c.stopGang(j, now, 0)
 	}
 }
@@ -208,16 +210,16 @@
 // take longer than a worker lets a task wait, will be. Stopping the gang would
 // end their fetches, and begin the same again. Only the answer to a beat may
 // tell the worker: a direct command could arrive after all this is over.
-func (c *Core) waitAgain(p *placement) bool {
-	j := p.j
-	if p.cause != CauseAlone || p.unwanted || p.late || p.waits >= waitsMost || j == nil || c.jobs[p.job] != j ||
-		j.cancelled || j.stopping || j.done > 0 || p.attempt != j.attempt || j.ran == j.attempt ||
-		p.m.draining || p.m.returning || p.m.lost {
+func (c *Core) retryWait(p *placement) bool {
+	j := p.job
+	if p.cause != CausePeersMissing || p.stopRequested || p.startUnanswered || p.waitRetries >= maxWaitRetries || j == nil || c.jobs[p.jobID] != j ||
+		j.cancelled || j.stopping || j.done > 0 || p.attempt != j.gangAttempt || j.lastRunAttempt == j.gangAttempt ||
+		p.machine.draining || p.machine.releasing || p.machine.lost {
 		return false
 	}
-	p.waits++
-	p.again, p.state = true, Waiting
-	c.hold(p)
+	p.waitRetries++
+	p.retryPending, p.state = true, WaitingForPeers
+	c.allocate(p)
 	return true
 }
 
@@ -228,34 +230,34 @@
 		return
 	}
 	j.stopping = true
-	for _, p := range j.placements() {
-		c.unwant(p, now, grace)
+	for _, p := range j.livePlacements() {
+		c.stopPlacement(p, now, grace)
 	}
-	c.gangSettle(j)
+	c.finishGangStop(j)
 }
 
 // gangLost deals with a gang that lost a task. One that has not started waits
 // for a replacement, which schedule looks for; what its other machines have
 // fetched meanwhile is not lost. Otherwise the rest is stopped.
-func (c *Core) gangLost(p *placement, now Micros) {
-	if p.j == nil || p.j.spec.Kind != Gang || p.j.cancelled || p.attempt != p.j.attempt || p.j.stopping {
+func (c *Core) handleGangTaskLost(p *placement, now Micros) {
+	if p.job == nil || p.job.spec.Kind != Gang || p.job.cancelled || p.attempt != p.job.gangAttempt || p.job.stopping {
 		return
 	}
-	if p.j.done > 0 || c.jobs[p.job] != p.j || p.j.live[p.index] != nil {
+	if p.job.done > 0 || c.jobs[p.jobID] != p.job || p.job.live[p.index] != nil {
 		return
 	}
-	if p.j.waiting() && p.cause != CausePeers && (p.cause != CauseAlone || p.j.held) {
-		if p.j.lacksFrom == 0 {
-			p.j.lacksFrom = now
+	if p.job.awaitsGangStart() && p.cause != CausePeersLost && (p.cause != CausePeersMissing || p.job.unaccounted) {
+		if p.job.incompleteSince == 0 {
+			p.job.incompleteSince = now
 		}
 		return
 	}
-	c.stopGang(p.j, now, 0)
+	c.stopGang(p.job, now, 0)
 }
 
-func (c *Core) gangSettle(j *job) {
+func (c *Core) finishGangStop(j *job) {
 	if j.stopping && len(j.live) == 0 {
 		j.stopping = false
-		c.dirty = true
+		c.needsPlacement = true
 	}
 }
--- a/internal/core/gang_test.go
+++ b/internal/core/gang_test.go
@@ -8,16 +8,16 @@
 
 // TestGang: all or none, one attempt, and a stopped task stops its gang.
 func TestGang(t *testing.T) {
-	spec := JobSpec{ID: "job-1", Kind: Gang, Tasks: 6, Need: Res{2000, 0, 1000}}
-	setup := func(t *testing.T) (*world, []*fake) {
+	spec := JobSpec{ID: "job-1", Kind: Gang, Tasks: 6, Request: Resources{2000, 0, 1000}}
+	setup := func(t *testing.T) (*world, []*fakeWorker) {
 		w := newWorld(t, Team{Name: "blue"})
-		w.begin(100, nil, Snapshot{})
-		return w, []*fake{w.machine("n-1", "a").beat(), w.machine("n-2", "b").beat()}
+		w.beginTerm(100, nil, Snapshot{})
+		return w, []*fakeWorker{w.newWorker("n-1", "a").report(), w.newWorker("n-2", "b").report()}
 	}
-	round := func(w *world, fs []*fake) {
+	round := func(w *world, fs []*fakeWorker) {
 		for _, f := range fs {
-			f.direct()
-			f.beat()
+			f.executeDirect()
+			f.report()
 		}
 	}
 	t.Run("none without room for all", func(t *testing.T) {
@@ -26,7 +26,7 @@
 		big.Tasks = 9
 		w.submit(big)
 		round(w, fs)
-		w.want("tasks", len(fs[0].r.Tasks)+len(fs[1].r.Tasks), 0)
+		w.want("tasks", len(fs[0].status.Tasks)+len(fs[1].status.Tasks), 0)
 	})
 	t.Run("no victims unless all fit", func(t *testing.T) {
 		w, fs := setup(t)
@@ -36,24 +36,24 @@
 		big.Tasks, big.Priority = 9, High
 		w.submit(big)
 		round(w, fs)
-		w.want("running", len(fs[0].live())+len(fs[1].live()) > 0 && w.c.jobs["job-0"].on == 8, true)
-		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 6, Need: Res{2000, 0, 1000}, Priority: High})
+		w.want("running", len(fs[0].liveTasks())+len(fs[1].liveTasks()) > 0 && w.c.jobs["job-0"].occupying == 8, true)
+		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 6, Request: Resources{2000, 0, 1000}, Priority: High})
 		round(w, fs)
 		round(w, fs)
 		w.want("gang after eviction", w.c.jobs["job-2"].running, 6)
-		w.want("left", w.c.jobs["job-0"].on, 2)
+		w.want("left", w.c.jobs["job-0"].occupying, 2)
 	})
 	t.Run("a plan that is dropped leaves no trace", func(t *testing.T) {
 		w, fs := setup(t)
 		round(w, fs)
 		m := w.c.machines["n-1"]
-		idle := m.idle
+		idle := m.idleSince
 		big := spec
 		big.Tasks = 9
 		w.submit(big)
-		w.pass(5 * Second)
-		w.want("idle since, images", fmt.Sprint(m.idle, m.images), fmt.Sprint(idle, []image(nil)))
-		w.want("another pass at once", w.c.Wake() < w.now+Second, false)
+		w.advance(5 * Second)
+		w.want("idle since, images", fmt.Sprint(m.idleSince, m.images), fmt.Sprint(idle, []cachedImage(nil)))
+		w.want("another pass at once", w.c.NextStepAt() < w.now+Second, false)
 	})
 	t.Run("it rather waits for its image than for a fetch, but not for long", func(t *testing.T) {
 		for _, c := range []struct {
@@ -70,23 +70,23 @@
 		} {
 			w := newWorld(t, Team{Name: "blue"})
 			if c.within > 0 {
-				w.c.cfg.StartWithin = map[string][]Micros{"train": {c.within}}
+				w.c.cfg.StartObjectives = map[string][]Micros{"train": {c.within}}
 			}
-			w.begin(100, nil, Snapshot{})
-			fs := []*fake{w.machine("n-1", "a").beat()}
-			w.submit(JobSpec{ID: "job-0", Tasks: 1, Need: Res{8000, 0, 1000}, Image: "big", ImageMB: 8000})
+			w.beginTerm(100, nil, Snapshot{})
+			fs := []*fakeWorker{w.newWorker("n-1", "a").report()}
+			w.submit(JobSpec{ID: "job-0", Tasks: 1, Request: Resources{8000, 0, 1000}, Image: "big", ImageMB: 8000})
 			round(w, fs)
-			fs = append(fs, w.machine("n-2", "a").beat())
-			w.submit(JobSpec{ID: "job-1", Class: "train", Kind: Gang, Tasks: 1, Need: Res{8000, 0, 1000}, Image: "big", ImageMB: 8000, Estimate: Second})
+			fs = append(fs, w.newWorker("n-2", "a").report())
+			w.submit(JobSpec{ID: "job-1", Class: "train", Kind: Gang, Tasks: 1, Request: Resources{8000, 0, 1000}, Image: "big", ImageMB: 8000, EstimatedRun: Second})
 			if c.frees {
-				fs[0].exit(0, CauseDone)
+				fs[0].exitTask(0, CauseDone)
 			}
-			fs[0].beat()
-			w.pass(c.wait)
+			fs[0].report()
+			w.advance(c.wait)
 			round(w, fs)
-			w.pass(Second)
+			w.advance(Second)
 			round(w, fs)
-			w.want(c.name, fmt.Sprint(strings.Count(fs[0].live(), "job-1"), strings.Count(fs[1].live(), "job-1")), c.want)
+			w.want(c.name, fmt.Sprint(strings.Count(fs[0].liveTasks(), "job-1"), strings.Count(fs[1].liveTasks(), "job-1")), c.want)
 		}
 	})
 	t.Run("a gang that borrows goes as a whole, or not at all", func(t *testing.T) {
@@ -94,14 +94,14 @@
 			min  int64 // of the gang's team
 			want string
 		}{{0, "0 4"}, {4000, "2 0"}} {
-			w := newWorld(t, Team{Name: "blue", Min: Res{CPU: c.min}}, Team{Name: "green", Min: Res{CPU: 16000}})
-			w.begin(100, nil, Snapshot{})
-			fs := []*fake{w.machine("n-1", "a").beat(), w.machine("n-2", "b").beat()}
-			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Need: Res{8000, 0, 1000}})
+			w := newWorld(t, Team{Name: "blue", Min: Resources{CPU: c.min}}, Team{Name: "green", Min: Resources{CPU: 16000}})
+			w.beginTerm(100, nil, Snapshot{})
+			fs := []*fakeWorker{w.newWorker("n-1", "a").report(), w.newWorker("n-2", "b").report()}
+			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Request: Resources{8000, 0, 1000}})
 			round(w, fs)
-			w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 4, Need: Res{4000, 0, 1000}, Team: "green"})
+			w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 4, Request: Resources{4000, 0, 1000}, Team: "green"})
 			for range 4 {
-				w.pass(Second)
+				w.advance(Second)
 				round(w, fs)
 			}
 			w.want("running", fmt.Sprint(w.c.jobs["job-1"].running, w.c.jobs["job-2"].running), c.want)
@@ -109,14 +109,14 @@
 	})
 	t.Run("victims in the zone where the gang fits", func(t *testing.T) {
 		w, fs := setup(t)
-		fs = append(fs, w.machine("n-3", "b").beat())
+		fs = append(fs, w.newWorker("n-3", "b").report())
 		w.submit(JobSpec{ID: "job-0", Tasks: 4, Zone: "a", Priority: Low})
-		w.submit(JobSpec{ID: "job-1", Tasks: 8, Zone: "b", Priority: Low, Checkpoint: Second, SaveCost: 6 * Second})
+		w.submit(JobSpec{ID: "job-1", Tasks: 8, Zone: "b", Priority: Low, CheckpointInterval: Second, CheckpointCost: 6 * Second})
 		round(w, fs)
 		// The victims in zone a are cheaper, but only zone b has room for all.
-		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 2, Need: Res{8000, 0, 1000}, Priority: High, OneZone: true})
+		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 2, Request: Resources{8000, 0, 1000}, Priority: High, OneZone: true})
 		for range 3 {
-			w.pass(Second)
+			w.advance(Second)
 			round(w, fs)
 		}
 		w.want("gang", w.c.jobs["job-2"].running, 2)
@@ -127,115 +127,115 @@
 		w.submit(spec)
 		round(w, fs)
 		round(w, fs)
-		first := w.c.jobs["job-1"].attempt
-		fs[0].exit(0, CausePeers)
+		first := w.c.jobs["job-1"].gangAttempt
+		fs[0].exitTask(0, CausePeersLost)
 		for range 4 {
-			w.pass(Second)
+			w.advance(Second)
 			round(w, fs)
 		}
 		attempts := map[uint64]int{}
 		for _, f := range fs {
-			for _, task := range f.r.Tasks {
+			for _, task := range f.status.Tasks {
 				if task.State != Exited {
 					attempts[task.Attempt]++
 				}
 			}
 		}
-		w.want("attempts", len(attempts) == 1 && attempts[first] == 0 && attempts[w.c.jobs["job-1"].attempt] == 6, true)
+		w.want("attempts", len(attempts) == 1 && attempts[first] == 0 && attempts[w.c.jobs["job-1"].gangAttempt] == 6, true)
 	})
 }
 
 // TestGangWaits: a gang that has not started keeps what it has, and what it
 // lacks is replaced with the same attempt.
-func TestGangWaits(t *testing.T) {
+func TestGangReplacesMissingTasks(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(w *world, fs []*fake) // the gang's two tasks are on n-0 and n-1
-		want string                     // its tasks on n-0, n-1, n-2: f for the first attempt, n for a new one
+		do   func(w *world, fs []*fakeWorker) // the gang's two tasks are on n-0 and n-1
+		want string                           // its tasks on n-0, n-1, n-2: f for the first attempt, n for a new one
 	}{
-		{"a task that waited for too long waits again", func(w *world, fs []*fake) {
-			fs[0].exit(0, CauseAlone)
+		{"a task that waited for too long waits again", func(w *world, fs []*fakeWorker) {
+			fs[0].exitTask(0, CausePeersMissing)
 		}, "[f f ]"},
-		{"but not for ever", func(w *world, fs []*fake) {
-			for range waitsMost + 1 {
-				if len(fs[0].r.Tasks) > 0 {
-					fs[0].exit(0, CauseAlone)
+		{"but not for ever", func(w *world, fs []*fakeWorker) {
+			for range maxWaitRetries + 1 {
+				if len(fs[0].status.Tasks) > 0 {
+					fs[0].exitTask(0, CausePeersMissing)
 				}
-				fs[0].beat()
-				fs[0].beat()
+				fs[0].report()
+				fs[0].report()
 			}
 		}, "[n n ]"},
-		{"the answer that says so is lost", func(w *world, fs []*fake) {
-			fs[0].exit(0, CauseAlone)
-			r := fs[0].r
+		{"the answer that says so is lost", func(w *world, fs []*fakeWorker) {
+			fs[0].exitTask(0, CausePeersMissing)
+			r := fs[0].status
 			r.Seq++
-			fs[0].r.Seq++
-			w.c.Beat(w.now, &r)
+			fs[0].status.Seq++
+			w.c.HandleReport(w.now, &r)
 		}, "[f f ]"},
-		{"a lost machine is replaced", func(w *world, fs []*fake) {
-			w.c.Returned(w.now, []string{"n-0"}, true)
-			fs[0].r.Tasks = nil
+		{"a lost machine is replaced", func(w *world, fs []*fakeWorker) {
+			w.c.ReleaseResult(w.now, []string{"n-0"}, true)
+			fs[0].status.Tasks = nil
 		}, "[ f f]"},
-		{"a machine that is taken away is replaced once its task is gone", func(w *world, fs []*fake) {
-			fs[0].r.Notice = 20 * Second
+		{"a machine that is taken away is replaced once its task is gone", func(w *world, fs []*fakeWorker) {
+			fs[0].status.SpotNotice = 20 * Second
 		}, "[ f f]"},
-		{"no room for what is lacking", func(w *world, fs []*fake) {
-			w.c.Returned(w.now, []string{"n-2"}, true)
-			fs[0].r.Notice = 20 * Second
+		{"no room for what is lacking", func(w *world, fs []*fakeWorker) {
+			w.c.ReleaseResult(w.now, []string{"n-2"}, true)
+			fs[0].status.SpotNotice = 20 * Second
 			for range 4 {
-				fs[0].beat()
-				fs[1].beat()
-				w.pass(3 * Second)
+				fs[0].report()
+				fs[1].report()
+				w.advance(3 * Second)
 			}
 		}, "[  ]"},
-		{"a gang that runs starts anew", func(w *world, fs []*fake) {
-			fs[0].r.Tasks[0].State, fs[1].r.Tasks[0].State = Running, Running
-			fs[0].beat()
-			fs[1].beat()
-			fs[0].r.Notice = 20 * Second
+		{"a gang that runs starts anew", func(w *world, fs []*fakeWorker) {
+			fs[0].status.Tasks[0].State, fs[1].status.Tasks[0].State = Running, Running
+			fs[0].report()
+			fs[1].report()
+			fs[0].status.SpotNotice = 20 * Second
 		}, "[ n n]"},
-		{"a new leader completes it", func(w *world, fs []*fake) {
+		{"a new leader completes it", func(w *world, fs []*fakeWorker) {
 			var jobs []JobRecord
 			for _, j := range w.c.jobs {
-				jobs = append(jobs, j.rec)
+				jobs = append(jobs, j.record)
 			}
-			fs[0].r.Tasks = nil // it was never told
-			w.begin(200, jobs, Snapshot{Machines: recorded("n-0", "n-1", "n-2"), Open: []string{"job-1"}})
+			fs[0].status.Tasks = nil // it was never told
+			w.beginTerm(200, jobs, Snapshot{MachineGroups: recordedMachines("n-0", "n-1", "n-2"), Started: []string{"job-1"}})
 		}, "[f f ]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, nil, Snapshot{})
-			var fs []*fake
+			w.beginTerm(100, nil, Snapshot{})
+			var fs []*fakeWorker
 			for i := range 3 {
-				f := w.machine(fmt.Sprintf("n-%d", i), "a").beat()
-				f.slow = true
+				f := w.newWorker(fmt.Sprintf("n-%d", i), "a").report()
+				f.fetchesImage = true
 				fs = append(fs, f)
 			}
 			round := func() {
 				for _, f := range fs {
-					if w.c.machines[f.r.Machine] != nil {
-						f.direct()
-						f.beat()
+					if w.c.machines[f.status.Machine] != nil {
+						f.executeDirect()
+						f.report()
 					}
 				}
 			}
-			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Need: Res{8000, 0, 1000}, OneZone: true})
+			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Request: Resources{8000, 0, 1000}, OneZone: true})
 			round()
-			first := w.c.jobs["job-1"].attempt
+			first := w.c.jobs["job-1"].gangAttempt
 			for _, f := range fs[:2] {
-				w.want("fetching", len(f.r.Tasks) == 1 && f.r.Tasks[0].State == Fetching, true)
-				f.r.Tasks[0].State = Waiting
-				f.beat()
+				w.want("fetching", len(f.status.Tasks) == 1 && f.status.Tasks[0].State == Fetching, true)
+				f.status.Tasks[0].State = WaitingForPeers
+				f.report()
 			}
 			c.do(w, fs)
 			for range 4 {
-				w.pass(Second)
+				w.advance(Second)
 				round()
 			}
 			got := make([]string, len(fs))
 			for i, f := range fs {
-				for _, task := range f.r.Tasks {
+				for _, task := range f.status.Tasks {
 					if task.State != Exited && task.Attempt == first {
 						got[i] += "f"
 					} else if task.State != Exited {
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -11,129 +11,129 @@
 // that is remembered, but no more than it used at its peak.
 
 // holding is what is known of such a class.
-type holding struct {
+type reservation struct {
 	arrivals
-	sample *JobSpec // the last one's
-	use    Res      // what its jobs use and wait for
-	peak   Res      // the most of that, forgotten slowly
-	rise   Res      // the most by which it rose while a machine comes, forgotten slowly
-	window []usage  // in the last such time
+	sample  *JobSpec      // the last one's
+	usage   Resources     // what its jobs use and wait for
+	peak    Resources     // the most of that, forgotten slowly
+	maxRise Resources     // the most by which it rose while a machine comes, forgotten slowly
+	window  []usageSample // in the last such time
 }
 
 // usage is what a class used at a time.
-type usage struct {
-	at  Micros
-	use Res
+type usageSample struct {
+	at    Micros
+	usage Resources
 }
 
 // look takes what the class uses now.
-func (h *holding) look(now, lead Micros, left float64) {
-	h.peak = h.use.most(h.peak.scaled(left))
-	h.rise = h.rise.scaled(left)
+func (h *reservation) update(now, lead Micros, left float64) {
+	h.peak = h.usage.max(h.peak.scaled(left))
+	h.maxRise = h.maxRise.scaled(left)
 	for len(h.window) > 0 && now-h.window[0].at > lead {
 		h.window = h.window[1:]
 	}
 	for _, was := range h.window {
-		h.rise = h.rise.most(h.use.Sub(was.use))
+		h.maxRise = h.maxRise.max(h.usage.Sub(was.usage))
 	}
-	h.window = append(h.window, usage{now, h.use})
+	h.window = append(h.window, usageSample{now, h.usage})
 }
 
 // atOnce reports whether tasks of a class are to start sooner than a machine can
 // be rented and have their image: only then are machines held for it.
-func (c *Core) atOnce(k *class) bool {
-	h := &k.batches
-	t := c.soonest(h.sample)
+func (c *Core) needsReservation(k *jobClass) bool {
+	h := &k.reservation
+	t := c.fastestType(h.sample)
 	if t == nil {
 		return true
 	}
 	var fetch Micros
 	if t.FetchMBps > 0 {
-		fetch = Micros(h.mb * float64(Second) / float64(t.FetchMBps))
+		fetch = Micros(h.meanImageMB * float64(Second) / float64(t.FetchMBps))
 	}
-	return k.within[0] < t.Boot+fetch
+	return k.startObjectives[0] < t.BootTime+fetch
 }
 
 // want is what is to be there for the class.
-func (c *Core) want(k *class, now Micros) Res {
-	h := &k.batches
-	if !h.expected(now) {
-		return h.use
+func (c *Core) reservationTarget(k *jobClass, now Micros) Resources {
+	h := &k.reservation
+	if !h.moreExpected(now) {
+		return h.usage
 	}
-	return h.peak.least(h.use.Add(h.rise))
+	return h.peak.min(h.usage.Add(h.maxRise))
 }
 
 // lookBack brings up to date what is known of such classes.
-func (c *Core) lookBack(now Micros) {
-	for _, k := range c.held {
-		k.batches.use = Res{}
+func (c *Core) updateReservations(now Micros) {
+	for _, k := range c.objectiveClasses {
+		k.reservation.usage = Resources{}
 	}
 	for _, j := range c.queue {
-		if k := j.class; len(k.within) > 0 && j.spec.Kind != Service {
-			h := &k.batches
+		if k := j.class; len(k.startObjectives) > 0 && j.spec.Kind != Service {
+			h := &k.reservation
 			if h.sample == nil {
-				c.held = append(c.held, k)
-				h.window = []usage{{at: now}}
+				c.objectiveClasses = append(c.objectiveClasses, k)
+				h.window = []usageSample{{at: now}}
 			}
 			h.sample = &j.spec
-			h.use = h.use.Add(j.spec.Need.Times(j.pending + len(j.live)))
+			h.usage = h.usage.Add(j.spec.Request.Times(j.pending + len(j.live)))
 		}
 	}
-	c.holds = c.holds[:0]
-	for _, k := range c.held {
-		if c.atOnce(k) {
-			c.holds = append(c.holds, k)
+	c.reservedClasses = c.reservedClasses[:0]
+	for _, k := range c.objectiveClasses {
+		if c.needsReservation(k) {
+			c.reservedClasses = append(c.reservedClasses, k)
 		}
 	}
-	if c.unsettled > 0 {
-		c.lookedBack = now
+	if c.unreconciled > 0 {
+		c.usageUpdatedAt = now
 		return
 	}
-	if c.holdFleet {
+	if c.reservationsUnknown {
 		// What the former leader held is what there is: it is not let go only
 		// because nobody remembers why.
-		c.holdFleet = false
-		for _, k := range c.held {
-			k.batches.peak = k.batches.use
+		c.reservationsUnknown = false
+		for _, k := range c.objectiveClasses {
+			k.reservation.peak = k.reservation.usage
 		}
-		if len(c.holds) > 0 {
-			h := &c.holds[0].batches
-			more := Res{}.Sub(c.shortOfHeld(now, nil)).most(Res{})
-			h.peak, h.rise = h.use.Add(more), more
+		if len(c.reservedClasses) > 0 {
+			h := &c.reservedClasses[0].reservation
+			more := Resources{}.Sub(c.reservationShortfall(now, nil)).max(Resources{})
+			h.peak, h.maxRise = h.usage.Add(more), more
 		}
 	}
-	left := math.Exp(-float64(now-c.lookedBack) / float64(max(c.cfg.Tuning.Hold, 1)))
-	c.lookedBack = now
-	for _, k := range c.held {
-		h := &k.batches
-		lead := c.lead(&JobSpec{Need: h.sample.Need})
-		if now-c.begun < lead {
+	left := math.Exp(-float64(now-c.usageUpdatedAt) / float64(max(c.cfg.Tuning.ReservationDecay, 1)))
+	c.usageUpdatedAt = now
+	for _, k := range c.objectiveClasses {
+		h := &k.reservation
+		lead := c.provisioningTime(&JobSpec{Request: h.sample.Request})
+		if now-c.termBeganAt < lead {
 			h.window = nil // what had been waiting when the term began is no rise
 		}
-		h.look(now, lead, left)
+		h.update(now, lead, left)
 	}
 }
 
 // shortOfHeld says what is missing from what is held; where negative, as much
 // can go.
-func (c *Core) shortOfHeld(now Micros, coming []*room) Res {
-	if len(c.holds) == 0 {
-		return Res{math.MinInt32, math.MinInt32, math.MinInt32}
+func (c *Core) reservationShortfall(now Micros, coming []*incomingMachine) Resources {
+	if len(c.reservedClasses) == 0 {
+		return Resources{math.MinInt32, math.MinInt32, math.MinInt32}
 	}
-	var short Res
-	for _, k := range c.holds {
-		short = short.Add(c.want(k, now))
+	var short Resources
+	for _, k := range c.reservedClasses {
+		short = short.Add(c.reservationTarget(k, now))
 	}
 	for _, r := range coming {
 		short = short.Sub(r.free)
 	}
-	for _, m := range c.order {
-		if !c.usable(m, now) {
+	for _, m := range c.sortedMachines {
+		if !c.schedulable(m, now) {
 			continue
 		}
-		short = short.Sub(m.typ.Cap)
-		for _, p := range m.tasks {
-			if p.holds() && (p.j == nil || !slices.Contains(c.holds, p.j.class)) {
+		short = short.Sub(m.typ.Capacity)
+		for _, p := range m.placements {
+			if p.occupies() && (p.job == nil || !slices.Contains(c.reservedClasses, p.job.class)) {
 				short = short.Add(p.need)
 			}
 		}
@@ -145,40 +145,40 @@
 // room that is held for a class of higher priority which could not take it back: the
 // class is of another team, and one without a min. That room is there for what is to
 // start at once, and what borrows it may keep it for minutes. The team has use placed.
-func (c *Core) borrowsHeld(j *job, use Res) bool {
-	if j.starves || slices.Contains(c.holds, j.class) || within(use, j.spec.Need, j.team.Min) {
+func (c *Core) borrowsReserved(j *job, use Resources) bool {
+	if j.starving || slices.Contains(c.reservedClasses, j.class) || withinGuarantee(use, j.spec.Request, j.team.Min) {
 		return false
 	}
-	for _, k := range c.holds {
-		s := k.batches.sample
-		if s.Priority > j.spec.Priority && s.Team != j.spec.Team && !within(Res{}, s.Need, c.team(s.Team).Min) {
-			return c.lendable.CPU < j.spec.Need.CPU || c.lendable.GPU < j.spec.Need.GPU
+	for _, k := range c.reservedClasses {
+		s := k.reservation.sample
+		if s.Priority > j.spec.Priority && s.Team != j.spec.Team && !withinGuarantee(Resources{}, s.Request, c.team(s.Team).Min) {
+			return c.lendable.CPU < j.spec.Request.CPU || c.lendable.GPU < j.spec.Request.GPU
 		}
 	}
 	return false
 }
 
 // lacks reports whether CPUs or GPUs are missing. Memory comes with them.
-func (r Res) lacks() bool { return r.CPU > 0 || r.GPU > 0 }
+func (r Resources) lacksCPUOrGPU() bool { return r.CPU > 0 || r.GPU > 0 }
 
 // holding reports whether anything is held: then room on machines that a few
 // services keep is of use.
-func (c *Core) holding(now Micros) bool {
-	return slices.ContainsFunc(c.holds, func(k *class) bool {
-		return k.batches.sample.Need.Fits(c.want(k, now))
+func (c *Core) hasReservations(now Micros) bool {
+	return slices.ContainsFunc(c.reservedClasses, func(k *jobClass) bool {
+		return k.reservation.sample.Request.Fits(c.reservationTarget(k, now))
 	})
 }
 
 // hold rents what is missing from what is held.
-func (d *demand) hold() {
-	short := d.c.shortOfHeld(d.now, d.coming)
-	for _, k := range d.c.holds {
-		for short.lacks() {
-			of, ok := d.cheapest(k.batches.sample, math.MaxInt, func(string) bool { return true })
+func (d *demand) rentReserved() {
+	short := d.c.reservationShortfall(d.now, d.incoming)
+	for _, k := range d.c.reservedClasses {
+		for short.lacksCPUOrGPU() {
+			of, ok := d.cheapestOffer(k.reservation.sample, math.MaxInt, func(string) bool { return true })
 			if !ok {
 				break
 			}
-			short = short.Sub(d.add(of, "held for tasks that are to start at once").free)
+			short = short.Sub(d.addRental(of, "held for tasks that are to start at once").free)
 		}
 	}
 }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -12,84 +12,84 @@
 
 // job is an unfinished job and what is known of its tasks.
 type job struct {
-	spec      JobSpec
-	rec       JobRecord
-	team      *team
-	class     *class
-	image     int
-	types     string // the types that it allows, to be compared quickly
-	due       Micros // steady clock; 0: none
-	rank      int    // 0: on time, then the later the less it is worth; see rankJobs
-	submitted Micros // steady clock
-	placedAt  Micros // when a task was last given room
-	starves   bool   // see judgeStarving
-
-	status  []taskStatus
-	live    map[int]*placement // placements that hold a task
-	doubles []*placement       // others of the same tasks, which machines have shown, too: see adopt
-	ends    []*placement       // completed, and not recorded yet
-	running int
-	zones   map[string]int // live placements by zone
-	back    []int          // tasks that became pending again
-	cursor  int            // tasks from here on were never placed
-	pending int
-	done    int
-	on      int // placements that hold, wanted or not
-
-	opened   bool   // recorded: tasks may have been started
-	openFrom Micros // not tried before this
-	opening  bool   // the record is being written
-	held     bool   // opened by a former leader: unseen tasks may be anywhere
-
-	dirty     map[int]bool    // chunks whose ranges changed since they were written
-	stored    map[string]bool // keys that may have a record of ranges
-	unsure    map[int]int     // by chunk, how many writes of its ranges got no answer
-	ended     bool            // in Core.ended
-	ranging   bool            // a write of ranges is out
-	finishing bool            // the final record is
-	writeFrom Micros          // not before this
-	cancelled bool
-	cancelAt  Micros // about when
-	started   bool   // all its tasks have been seen running or done
-
-	attempt               uint64 // of the gang's current start
-	ran                   uint64 // the attempt whose tasks were last seen running
-	waitFrom              Micros // since when a gang waits for room; 0: it does not
-	lacksFrom             Micros // since when a gang that has not started lacks a task; 0: it does not
+	spec         JobSpec
+	record       JobRecord
+	team         *team
+	class        *jobClass
+	imageID      int
+	typesKey     string // the types that it allows, to be compared quickly
+	deadline     Micros // steady clock; 0: none
+	rank         int    // 0: on time, then the later the less it is worth; see rankJobs
+	submitted    Micros // steady clock
+	lastPlacedAt Micros // when a task was last given room
+	starving     bool   // see judgeStarving
+
+	status       []taskStatus
+	live         map[int]*placement // placements that hold a task
+	duplicates   []*placement       // others of the same tasks, which machines have shown, too: see adopt
+	unrecorded   []*placement       // completed, and not recorded yet
+	running      int
+	placedByZone map[string]int // live placements by zone
+	requeued     []int          // tasks that became pending again
+	cursor       int            // tasks from here on were never placed
+	pending      int
+	done         int
+	occupying    int // placements that hold, wanted or not
+
+	mayHaveStarted bool   // recorded: tasks may have been started
+	startedRetryAt Micros // not tried before this
+	writingStarted bool   // the record is being written
+	unaccounted    bool   // opened by a former leader: unseen tasks may be anywhere
+
+	dirtyChunks        map[int]bool    // chunks whose ranges changed since they were written
+	completionKeys     map[string]bool // keys that may have a record of ranges
+	unacknowledged     map[int]int     // by chunk, how many writes of its ranges got no answer
+	completionQueued   bool            // in Core.ended
+	writingCompletions bool            // a write of ranges is out
+	writingFinal       bool            // the final record is
+	nextWriteAt        Micros          // not before this
+	cancelled          bool
+	cancelledAt        Micros // about when
+	allStarted         bool   // all its tasks have been seen running or done
+
+	gangAttempt           uint64 // of the gang's current start
+	lastRunAttempt        uint64 // the attempt whose tasks were last seen running
+	waitingSince          Micros // since when a gang waits for room; 0: it does not
+	incompleteSince       Micros // since when a gang that has not started lacks a task; 0: it does not
 	stopping              bool   // the gang is being stopped
-	errors                map[string]bool
+	failedOn              map[string]bool
 	firstStart, lastStart Micros // of tasks that were seen running
-	ranLongest            Micros
+	longestRun            Micros
 
 	notBefore Micros // back-off after failures
-	pauses    int    // how often it backed off
+	backoffs  int    // how often it backed off
 	proven    bool   // a task of it ran well: see failure_attribution.go
 }
 
 func newJob(rec JobRecord, submitted Micros) *job {
 	j := &job{
-		spec: rec.Spec, rec: rec, submitted: submitted, types: strings.Join(rec.Spec.Types, " "),
-		status:  make([]taskStatus, rec.Spec.Tasks),
-		live:    map[int]*placement{},
-		zones:   map[string]int{},
-		dirty:   map[int]bool{},
-		stored:  map[string]bool{},
-		unsure:  map[int]int{},
-		pending: rec.Spec.Tasks,
-	}
-	if rec.Spec.Due > 0 {
-		j.due = submitted + rec.Spec.Due
+		spec: rec.Spec, record: rec, submitted: submitted, typesKey: strings.Join(rec.Spec.Types, " "),
+		status:         make([]taskStatus, rec.Spec.Tasks),
+		live:           map[int]*placement{},
+		placedByZone:   map[string]int{},
+		dirtyChunks:    map[int]bool{},
+		completionKeys: map[string]bool{},
+		unacknowledged: map[int]int{},
+		pending:        rec.Spec.Tasks,
+	}
+	if rec.Spec.Deadline > 0 {
+		j.deadline = submitted + rec.Spec.Deadline
 	}
 	return j
 }
 
 // nextPending returns a pending task without taking it, or -1.
 func (j *job) nextPending() int {
-	for n := len(j.back); n > 0; n = len(j.back) {
-		if i := j.back[n-1]; j.status[i] == taskPending {
+	for n := len(j.requeued); n > 0; n = len(j.requeued) {
+		if i := j.requeued[n-1]; j.status[i] == taskPending {
 			return i
 		}
-		j.back = j.back[:n-1]
+		j.requeued = j.requeued[:n-1]
 	}
 	for ; j.cursor < len(j.status); j.cursor++ {
 		if j.status[j.cursor] == taskPending {
@@ -100,7 +100,7 @@
 }
 
 // waitingTasks lists the tasks that are pending.
-func (j *job) waitingTasks() []int {
+func (j *job) pendingTasks() []int {
 	out := make([]int, 0, j.pending)
 	for i, s := range j.status {
 		if s == taskPending {
@@ -111,7 +111,7 @@
 }
 
 // set moves a task to a status and keeps the counts.
-func (j *job) set(i int, s taskStatus) {
+func (j *job) setStatus(i int, s taskStatus) {
 	old := j.status[i]
 	if old == s || old == taskDone {
 		return
@@ -122,7 +122,7 @@
 	switch s {
 	case taskPending:
 		j.pending++
-		j.back = append(j.back, i)
+		j.requeued = append(j.requeued, i)
 	case taskDone:
 		j.done++
 	}
@@ -130,7 +130,7 @@
 }
 
 // ranges lists the finished tasks of a chunk as pairs, relative to its start.
-func (j *job) ranges(chunk, size int) []int {
+func (j *job) completedRanges(chunk, size int) []int {
 	lo := chunk * size
 	hi := min(lo+size, len(j.status))
 	var out []int
@@ -154,13 +154,13 @@
 		return false
 	}
 	if j.spec.OneZone {
-		for z, n := range j.zones {
+		for z, n := range j.placedByZone {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	if j.spec.Spread && j.zones[zone] >= (j.spec.Tasks+1)/2 {
+	if j.spec.Spread && j.placedByZone[zone] >= (j.spec.Tasks+1)/2 {
 		return false
 	}
 	return true
@@ -187,7 +187,7 @@
 	if j.rank != o.rank {
 		return j.rank < o.rank
 	}
-	a, b := j.due, o.due
+	a, b := j.deadline, o.deadline
 	if a != b && a > 0 && b > 0 {
 		return a < b
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -3,7 +3,7 @@
 import "sort"
 
 // Job takes a new or changed job record.
-func (c *Core) Job(now, wall Micros, rec JobRecord) {
+func (c *Core) UpdateJob(now, wall Micros, rec JobRecord) {
 	if !c.leading {
 		return
 	}
@@ -16,95 +16,95 @@
 		c.finish(j, now)
 	case rec.Phase == Cancelled && !j.cancelled:
 		at := now
-		if rec.Ended > 0 {
-			at -= max(wall-rec.Ended, 0)
+		if rec.EndedAt > 0 {
+			at -= max(wall-rec.EndedAt, 0)
 		}
 		c.cancel(j, now, at)
 	}
 }
 
 func (c *Core) addJob(now, wall Micros, rec JobRecord, opened bool) {
-	age := max(wall-rec.Submitted, 0)
+	age := max(wall-rec.SubmittedAt, 0)
 	j := newJob(rec, now-age)
-	j.team, j.class, j.image = c.team(rec.Spec.Team), c.class(rec.Spec.Class), c.image(rec.Spec.Image)
-	j.opened, j.held = opened, opened
+	j.team, j.class, j.imageID = c.team(rec.Spec.Team), c.class(rec.Spec.Class), c.imageID(rec.Spec.Image)
+	j.mayHaveStarted, j.unaccounted = opened, opened
 	c.jobs[rec.Spec.ID] = j
 	if rec.Phase == Cancelled {
 		j.cancelled = true
 		return
 	}
 	c.enqueue(j)
-	c.dirty = true
+	c.needsPlacement = true
 	if rec.Spec.Kind == Service {
-		j.class.services.seen(j)
+		j.class.serviceArrivals.observe(j)
 	} else {
-		j.class.batches.seen(j)
-		j.class.seenSize(j.spec.Tasks)
+		j.class.reservation.observe(j)
+		j.class.observeSize(j.spec.Tasks)
 	}
 }
 
 // cancel ends a job that was cancelled at a time.
 func (c *Core) cancel(j *job, now, at Micros) {
-	c.note("job cancelled", "job", j.spec.ID, "tasks_on_machines", j.on)
-	j.cancelled, j.cancelAt = true, at
+	c.log("job cancelled", "job", j.spec.ID, "tasks_on_machines", j.occupying)
+	j.cancelled, j.cancelledAt = true, at
 	c.dequeue(j)
-	for _, p := range j.placements() {
-		c.unwant(p, now, 0)
-		p.finalOK = true
+	for _, p := range j.livePlacements() {
+		c.stopPlacement(p, now, 0)
+		p.completionRecorded = true
 	}
-	c.recordedEnds(j.ends)
-	j.ends = nil
-	c.dirty = true
-	c.closeIfOver(j)
+	c.completionsRecorded(j.unrecorded)
+	j.unrecorded = nil
+	c.needsPlacement = true
+	c.cleanUpCancelled(j)
 }
 
 // finish forgets a job that is recorded as done.
 func (c *Core) finish(j *job, now Micros) {
 	c.dequeue(j)
 	delete(c.jobs, j.spec.ID)
-	for _, p := range j.placements() {
-		p.finalOK = true
-		c.unwant(p, now, 0)
+	for _, p := range j.livePlacements() {
+		p.completionRecorded = true
+		c.stopPlacement(p, now, 0)
 	}
-	c.recordedEnds(j.ends)
-	j.ends = nil
-	c.dirty = true
+	c.completionsRecorded(j.unrecorded)
+	j.unrecorded = nil
+	c.needsPlacement = true
 }
 
 // closeIfOver drops the records of a cancelled job once nothing of it is left
 // on any machine.
-func (c *Core) closeIfOver(j *job) {
-	if !j.cancelled || j.held || j.on > 0 || c.jobs[j.spec.ID] != j {
+func (c *Core) cleanUpCancelled(j *job) {
+	if !j.cancelled || j.unaccounted || j.occupying > 0 || c.jobs[j.spec.ID] != j {
 		return
 	}
 	delete(c.jobs, j.spec.ID)
-	if j.opened || j.opening {
-		c.write(Write{Drops: c.jobKeys(j)}, nil)
+	if j.mayHaveStarted || j.writingStarted {
+		c.write(Write{Deletes: c.jobKeys(j)}, nil)
 	}
 }
 
 // open reports whether it is recorded that tasks of the job may run, and sees
 // to it where it is not.
-func (c *Core) open(j *job, now Micros) bool {
-	if j.opened {
+func (c *Core) ensureStartedRecord(j *job, now Micros) bool {
+	if j.mayHaveStarted {
 		return true
 	}
-	if j.opening || now < j.openFrom {
+	if j.writingStarted || now < j.startedRetryAt {
 		return false
 	}
-	j.opening = true
-	c.write(Write{Puts: []Put{{OpenPrefix + j.spec.ID, OpenRecord{j.spec.ID}}}, Urgent: true, Priority: j.spec.Priority}, func(now Micros, o WriteOutcome) {
+	j.writingStarted = true
+	c.write(Write{Puts: []Put{{StartedPrefix + j.spec.ID, StartedRecord{j.spec.ID}}}, Urgent: true, Priority: j.spec.Priority}, func(now Micros, o WriteOutcome) {
 		ok := o == Stored
-		j.opening = false
-		j.opened = j.opened || ok
+		j.writingStarted = false
+		j.mayHaveStarted = j.mayHaveStarted || ok
 		if !ok {
-			j.openFrom = now + writeRetry
+			j.startedRetryAt = now + writeRetryDelay
 		}
 		for _, p := range j.live {
 			if ok {
-				c.touch(p.m)
+				c.queueCommands(p.machine)
 			} else {
-				c.touchLater(p.m)
+				c.queueCommandsLater(p.machine)
 			}
 		}
 	})
@@ -121,7 +121,7 @@
 }
 
 // placements lists the job's live placements by task.
-func (j *job) placements() []*placement {
+func (j *job) livePlacements() []*placement {
 	out := make([]*placement, 0, len(j.live))
 	for _, p := range j.live {
 		out = append(out, p)
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -2,14 +2,14 @@
 
 type team struct {
 	Team
-	used   Res
-	held   Res                 // while a takeover settles: of tasks that may run unseen
-	placed [Production + 1]int // tasks that hold, by priority
+	used             Resources
+	unaccounted      Resources           // while a takeover settles: of tasks that may run unseen
+	placedByPriority [Production + 1]int // tasks that hold, by priority
 }
 
 // over reports whether the team uses more than its min: of what that names, or
 // anything if it names nothing.
-func (t *team) over() bool {
+func (t *team) exceedsMin() bool {
 	if t.Min.CPU == 0 && t.Min.GPU == 0 {
 		return t.used.CPU > 0 || t.used.GPU > 0
 	}
@@ -18,7 +18,7 @@
 
 // lends reports whether the team is not below its min without need, of which it
 // takes some, and without what else is taken from it.
-func (t *team) lends(need, taken Res) bool {
+func (t *team) keepsMin(need, taken Resources) bool {
 	left := t.used.Sub(taken).Sub(need)
 	return (need.CPU == 0 || left.CPU >= t.Min.CPU) && (need.GPU == 0 || left.GPU >= t.Min.GPU)
 }
@@ -36,7 +36,7 @@
 // team may be guaranteed GPUs alone, or CPUs alone: what its min does not name
 // does not count, but GPUs that are asked for must be named. Memory is not part
 // of a quota.
-func within(used, req, lim Res) bool {
+func withinGuarantee(used, req, lim Resources) bool {
 	if req.GPU > 0 && lim.GPU == 0 || req.GPU == 0 && lim.CPU == 0 {
 		return false
 	}
@@ -45,31 +45,31 @@
 
 // overMax reports whether the request would take the team past its max; a max
 // of zero is none.
-func overMax(used, req, max Res) bool {
+func overMax(used, req, max Resources) bool {
 	return max.CPU > 0 && used.CPU+req.CPU > max.CPU || max.GPU > 0 && used.GPU+req.GPU > max.GPU
 }
 
 // teamUse is what a team's tasks use or may be using: what is placed, and
 // during takeover the tasks that may be on machines not heard of yet.
-func (c *Core) teamUse(t *team) Res {
-	if c.unsettled == 0 {
+func (c *Core) teamUsage(t *team) Resources {
+	if c.unreconciled == 0 {
 		return t.used
 	}
-	return t.used.Add(t.held)
+	return t.used.Add(t.unaccounted)
 }
 
 // countHeld brings up to date what may be running unseen: once for a pass, since
 // it looks at every job.
-func (c *Core) countHeld() {
-	if c.unsettled == 0 {
+func (c *Core) countUnaccounted() {
+	if c.unreconciled == 0 {
 		return
 	}
 	for _, t := range c.teams {
-		t.held = Res{}
+		t.unaccounted = Resources{}
 	}
 	for _, j := range c.jobs {
-		if j.held {
-			j.team.held = j.team.held.Add(j.spec.Need.Times(j.pending))
+		if j.unaccounted {
+			j.team.unaccounted = j.team.unaccounted.Add(j.spec.Request.Times(j.pending))
 		}
 	}
 }
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -20,27 +20,27 @@
 		{"unused min is lent", 1, JobSpec{ID: "job-1", Tasks: 4}, JobSpec{ID: "job-2", Tasks: 1}, 4, 0},
 		{"reclaim within min, down to the lender's min", 1, JobSpec{ID: "job-1", Tasks: 4}, JobSpec{ID: "job-2", Team: "green", Tasks: 4}, 2, 2},
 		{"beyond min others are left alone", 2, JobSpec{ID: "job-1", Tasks: 6},
-			JobSpec{ID: "job-2", Team: "green", Tasks: 3, Need: Res{6000, 0, 1000}}, 5, 1},
+			JobSpec{ID: "job-2", Team: "green", Tasks: 3, Request: Resources{6000, 0, 1000}}, 5, 1},
 		{"beyond min, own lower priorities", 1, JobSpec{ID: "job-1", Tasks: 4, Priority: Low}, JobSpec{ID: "job-2", Tasks: 2, Priority: High}, 2, 2},
 		{"not own equal priorities", 1, JobSpec{ID: "job-1", Tasks: 4, Priority: High}, JobSpec{ID: "job-2", Tasks: 2, Priority: High}, 4, 0},
 		{"no victims that would not make room", 1, JobSpec{ID: "job-1", Tasks: 3},
-			JobSpec{ID: "job-2", Team: "green", Tasks: 1, Need: Res{8000, 0, 1000}}, 3, 0},
+			JobSpec{ID: "job-2", Team: "green", Tasks: 1, Request: Resources{8000, 0, 1000}}, 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, blue, green)
-			w.begin(100, nil, Snapshot{})
-			var fs []*fake
+			w.beginTerm(100, nil, Snapshot{})
+			var fs []*fakeWorker
 			for i := range c.machines {
-				fs = append(fs, w.machine(fmt.Sprintf("n-%d", i), "a").beat())
+				fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 			}
-			round := func() { w.rounds(4, fs) }
+			round := func() { w.reportRounds(4, fs) }
 			w.submit(c.first)
 			round()
 			w.submit(c.then)
 			round()
 			count := map[string]int{}
 			for _, f := range fs {
-				for _, t := range f.r.Tasks {
+				for _, t := range f.status.Tasks {
 					if t.State != Exited {
 						count[t.Job]++
 					}
@@ -54,23 +54,23 @@
 
 // TestGPUs: they are placed and capped like CPUs.
 func TestGPUs(t *testing.T) {
-	w := newWorld(t, Team{Name: "blue", Max: Res{GPU: 3000}})
-	w.begin(100, nil, Snapshot{})
-	var fs []*fake
+	w := newWorld(t, Team{Name: "blue", Max: Resources{GPU: 3000}})
+	w.beginTerm(100, nil, Snapshot{})
+	var fs []*fakeWorker
 	for i := range 3 {
-		f := w.machine(fmt.Sprintf("n-%d", i), "a")
+		f := w.newWorker(fmt.Sprintf("n-%d", i), "a")
 		if i > 0 {
-			f.r.Type = "g"
+			f.status.Type = "g"
 		}
-		fs = append(fs, f.beat())
+		fs = append(fs, f.report())
 	}
-	w.submit(JobSpec{ID: "job-1", Tasks: 6, Need: Res{1000, 1000, 1000}})
+	w.submit(JobSpec{ID: "job-1", Tasks: 6, Request: Resources{1000, 1000, 1000}})
 	n := [3]int{}
 	for range 3 {
 		for i, f := range fs {
-			f.direct()
-			f.beat()
-			n[i] = len(f.r.Tasks)
+			f.executeDirect()
+			f.report()
+			n[i] = len(f.status.Tasks)
 		}
 	}
 	w.want("none without GPUs", n[0], 0)
@@ -80,25 +80,25 @@
 // TestGuaranteedGPUs: a min that names GPUs alone is a guarantee, although tasks
 // take CPUs as well: what is borrowed of it comes back.
 func TestGuaranteedGPUs(t *testing.T) {
-	w := newWorld(t, Team{Name: "blue", Min: Res{GPU: 2000}}, Team{Name: "green", Min: Res{GPU: 2000}})
-	w.begin(100, nil, Snapshot{})
-	var fs []*fake
+	w := newWorld(t, Team{Name: "blue", Min: Resources{GPU: 2000}}, Team{Name: "green", Min: Resources{GPU: 2000}})
+	w.beginTerm(100, nil, Snapshot{})
+	var fs []*fakeWorker
 	for i := range 2 {
-		f := w.machine(fmt.Sprintf("n-%d", i), "a")
-		f.r.Type = "g"
-		fs = append(fs, f.beat())
+		f := w.newWorker(fmt.Sprintf("n-%d", i), "a")
+		f.status.Type = "g"
+		fs = append(fs, f.report())
 	}
-	round := func() { w.rounds(4, fs) }
-	w.submit(JobSpec{ID: "job-1", Tasks: 4, Need: Res{1000, 1000, 1000}})
+	round := func() { w.reportRounds(4, fs) }
+	w.submit(JobSpec{ID: "job-1", Tasks: 4, Request: Resources{1000, 1000, 1000}})
 	round()
 	w.want("borrowed", w.c.jobs["job-1"].running, 4)
-	w.submit(JobSpec{ID: "job-2", Team: "green", Tasks: 4, Need: Res{1000, 1000, 1000}})
+	w.submit(JobSpec{ID: "job-2", Team: "green", Tasks: 4, Request: Resources{1000, 1000, 1000}})
 	round()
 	w.want("the lender's", w.c.jobs["job-2"].running, 2)
 	w.want("the borrower's", w.c.jobs["job-1"].running, 2)
-	w.submit(JobSpec{ID: "job-3", Team: "green", Tasks: 4, Need: Res{1000, 0, 1000}})
+	w.submit(JobSpec{ID: "job-3", Team: "green", Tasks: 4, Request: Resources{1000, 0, 1000}})
 	round()
-	w.submit(JobSpec{ID: "job-4", Tasks: 16, Need: Res{1000, 0, 1000}})
+	w.submit(JobSpec{ID: "job-4", Tasks: 16, Request: Resources{1000, 0, 1000}})
 	round()
 	w.want("CPUs are not guaranteed by it", w.c.jobs["job-3"].running, 4)
 }
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -9,25 +9,25 @@
 
 // estimate is how long a task of the job will run: the owner's estimate, put
 // right by how such estimates of its class have turned out.
-func (j *job) estimate() Micros {
-	if r := j.class.ratio; r > 0 {
-		return Micros(float64(j.spec.Estimate) * r)
+func (j *job) correctedEstimate() Micros {
+	if r := j.class.runRatio; r > 0 {
+		return Micros(float64(j.spec.EstimatedRun) * r)
 	}
-	return j.spec.Estimate
+	return j.spec.EstimatedRun
 }
 
 // observe learns from a task that ran to its end.
-func (c *Core) observe(p *placement, now Micros) {
-	if p.runningAt == 0 || p.j.spec.Estimate <= 0 || p.j.spec.Checkpoint > 0 {
+func (c *Core) observeRunTime(p *placement, now Micros) {
+	if p.runningAt == 0 || p.job.spec.EstimatedRun <= 0 || p.job.spec.CheckpointInterval > 0 {
 		return
 	}
-	p.j.ranLongest = max(p.j.ranLongest, now-p.runningAt)
+	p.job.longestRun = max(p.job.longestRun, now-p.runningAt)
 	const weight = 0.05
-	r := min(max(float64(now-p.runningAt)/float64(p.j.spec.Estimate), 0.2), 5)
-	if old := p.j.class.ratio; old > 0 {
+	r := min(max(float64(now-p.runningAt)/float64(p.job.spec.EstimatedRun), 0.2), 5)
+	if old := p.job.class.runRatio; old > 0 {
 		r = old + weight*(r-old)
 	}
-	p.j.class.ratio = r
+	p.job.class.runRatio = r
 }
 
 // rankJobs decides which jobs with a deadline can be on time. The earliest
@@ -38,48 +38,48 @@
 func (c *Core) rankJobs(now Micros) {
 	var room int64
 	var jobs []*job
-	for _, m := range c.order {
-		if m.coming(now) {
-			room += m.typ.Cap.CPU // about to come
+	for _, m := range c.sortedMachines {
+		if m.incoming(now) {
+			room += m.typ.Capacity.CPU // about to come
 		}
-		if c.usable(m, now) {
-			room += m.typ.Cap.CPU
-			for _, p := range m.tasks {
-				if p.j != nil && p.holds() && p.j.due == 0 {
+		if c.schedulable(m, now) {
+			room += m.typ.Capacity.CPU
+			for _, p := range m.placements {
+				if p.job != nil && p.occupies() && p.job.deadline == 0 {
 					room -= p.need.CPU
 				}
 			}
 		}
 	}
 	for _, j := range c.queue {
-		if j.due > 0 {
+		if j.deadline > 0 {
 			jobs = append(jobs, j)
 		}
 	}
 	if len(jobs) == 0 || room <= 0 {
 		return
 	}
-	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].due < jobs[b].due })
+	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].deadline < jobs[b].deadline })
 	changed := false
 	set := func(j *job, rank int) {
 		changed = changed || j.rank != rank
 		j.rank = rank
 	}
 	work := 0.0
-	for rank, times := range []float64{1, max(c.cfg.LateTimes, 1)} {
-		var onTime largest
+	for rank, times := range []float64{1, max(c.cfg.LateFactor, 1)} {
+		var onTime workHeap
 		var late []*job
 		for _, j := range jobs {
-			due := j.submitted + Micros(float64(j.spec.Due)*times)
-			if now+j.estimate() > due {
+			due := j.submitted + Micros(float64(j.spec.Deadline)*times)
+			if now+j.correctedEstimate() > due {
 				late = append(late, j) // it cannot be helped whatever goes
 				continue
 			}
-			w := j.work()
+			w := j.remainingWork()
 			work += w
-			heap.Push(&onTime, sized{j, w})
-			if now+Micros(work/float64(room))+j.estimate() > due {
-				worst := heap.Pop(&onTime).(sized)
+			heap.Push(&onTime, jobWork{j, w})
+			if now+Micros(work/float64(room))+j.correctedEstimate() > due {
+				worst := heap.Pop(&onTime).(jobWork)
 				work -= worst.work
 				late = append(late, worst.job)
 			}
@@ -87,15 +87,15 @@
 		for _, o := range onTime {
 			set(o.job, rank)
 		}
-		sort.SliceStable(late, func(a, b int) bool { return late[a].due < late[b].due })
+		sort.SliceStable(late, func(a, b int) bool { return late[a].deadline < late[b].deadline })
 		jobs = late
 	}
-	for i, j := range lateOrder(jobs) {
+	for i, j := range orderLateJobs(jobs) {
 		set(j, 2+i)
 	}
 	if changed {
 		sort.SliceStable(c.queue, func(a, b int) bool { return c.queue[a].before(c.queue[b]) })
-		c.dirty = true
+		c.needsPlacement = true
 	}
 }
 
@@ -103,17 +103,17 @@
 // work first gets most of them done, and a job that has begun goes before one that has
 // not; but the largest would wait until all others are done, and on a day of overload for
 // ever. So as much work is taken by age, whatever its size.
-func lateOrder(jobs []*job) []*job {
-	least := make([]sized, len(jobs))
+func orderLateJobs(jobs []*job) []*job {
+	least := make([]jobWork, len(jobs))
 	for i, j := range jobs {
-		least[i] = sized{j, j.work()}
+		least[i] = jobWork{j, j.remainingWork()}
 	}
 	oldest := slices.Clone(least)
-	slices.SortStableFunc(least, func(a, b sized) int { return cmp.Compare(a.work, b.work) })
-	slices.SortStableFunc(oldest, func(a, b sized) int { return cmp.Compare(a.job.submitted, b.job.submitted) })
+	slices.SortStableFunc(least, func(a, b jobWork) int { return cmp.Compare(a.work, b.work) })
+	slices.SortStableFunc(oldest, func(a, b jobWork) int { return cmp.Compare(a.job.submitted, b.job.submitted) })
 	out := make([]*job, 0, len(jobs))
 	taken := make(map[*job]bool, len(jobs))
-	next := func(from *[]sized) float64 {
+	next := func(from *[]jobWork) float64 {
 		for len(*from) > 0 {
 			o := (*from)[0]
 			*from = (*from)[1:]
@@ -138,37 +138,37 @@
 // sizesKept is by how many of its latest arrays a class's sizes are known, and largeFrom
 // the share of them that are smaller than its largest.
 const (
-	sizesKept = 256
-	largeFrom = 0.75
+	sizeWindow    = 256
+	largeQuantile = 0.75
 )
 
 // seenSize notes the tasks of an array of the class.
-func (k *class) seenSize(tasks int) {
-	if len(k.sizes) < sizesKept {
-		k.sizes = append(k.sizes, tasks)
+func (k *jobClass) observeSize(tasks int) {
+	if len(k.recentSizes) < sizeWindow {
+		k.recentSizes = append(k.recentSizes, tasks)
 	} else {
-		k.sizes[k.size] = tasks
+		k.recentSizes[k.nextSize] = tasks
 	}
-	if k.size = (k.size + 1) % sizesKept; k.size%16 == 0 || len(k.sizes) < 16 {
-		in := slices.Sorted(slices.Values(k.sizes))
-		k.large, k.usual = in[int(float64(len(in))*largeFrom)], in[len(in)/2]
+	if k.nextSize = (k.nextSize + 1) % sizeWindow; k.nextSize%16 == 0 || len(k.recentSizes) < 16 {
+		in := slices.Sorted(slices.Values(k.recentSizes))
+		k.largeSize, k.medianSize = in[int(float64(len(in))*largeQuantile)], in[len(in)/2]
 	}
 }
 
 // sized is a job with the work it still needs.
-type sized struct {
+type jobWork struct {
 	job  *job
 	work float64
 }
 
 // largest is a heap with the job that needs the most work on top.
-type largest []sized
+type workHeap []jobWork
 
-func (h largest) Len() int           { return len(h) }
-func (h largest) Less(a, b int) bool { return h[a].work > h[b].work }
-func (h largest) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *largest) Push(x any)        { *h = append(*h, x.(sized)) }
-func (h *largest) Pop() any {
+func (h workHeap) Len() int           { return len(h) }
+func (h workHeap) Less(a, b int) bool { return h[a].work > h[b].work }
+func (h workHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *workHeap) Push(x any)        { *h = append(*h, x.(jobWork)) }
+func (h *workHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -176,10 +176,10 @@
 }
 
 // work is the processor time that the job still needs.
-func (j *job) work() float64 {
+func (j *job) remainingWork() float64 {
 	tasks := float64(j.pending) + float64(len(j.live))/2
 	if j.suspect() {
 		tasks = min(tasks, 1) // no more is tried
 	}
-	return tasks * float64(j.spec.Need.CPU) * float64(j.estimate())
+	return tasks * float64(j.spec.Request.CPU) * float64(j.correctedEstimate())
 }
--- a/internal/core/rank_test.go
+++ b/internal/core/rank_test.go
@@ -9,17 +9,17 @@
 // behind, so that the others are on time.
 func TestOverload(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
-	w.begin(100, nil, Snapshot{})
-	w.machine("n-1", "a").beat()
+	w.beginTerm(100, nil, Snapshot{})
+	w.newWorker("n-1", "a").report()
 	job := func(id string, tasks int, due Micros) {
-		w.submit(JobSpec{ID: id, Tasks: tasks, Estimate: 20 * Second, Due: due, Need: Res{8000, 0, 1000}})
+		w.submit(JobSpec{ID: id, Tasks: tasks, EstimatedRun: 20 * Second, Deadline: due, Request: Resources{8000, 0, 1000}})
 	}
 	job("job-1", 1, 45*Second)
 	job("job-2", 4, 60*Second) // 80 s of work: cannot be done by then
 	job("job-3", 1, 70*Second)
 	job("job-4", 1, 10*Second) // too late already
 	job("job-5", 3, 5*Second)  // the same, and more work, though due first
-	w.pass(Second)
+	w.advance(Second)
 	for id, rank := range map[string]int{"job-1": 0, "job-2": 4, "job-3": 0, "job-4": 2, "job-5": 3} {
 		w.want(id, w.c.jobs[id].rank, rank)
 	}
@@ -33,10 +33,10 @@
 // TestLateOrder: of jobs that are late for every aim the least work goes first, and as much
 // work by age: by the least work alone, a quarter of the largest of a flood was done at the
 // day's end, and nearly nine in ten of all.
-func TestLateOrder(t *testing.T) {
-	k := &class{}
+func TestOrderLateJobs(t *testing.T) {
+	k := &jobClass{}
 	make := func(id, tasks int, submitted Micros) *job {
-		return newJob(JobRecord{Spec: JobSpec{ID: fmt.Sprint("job-", id), Tasks: tasks, Estimate: Second, Need: Res{CPU: 1000}}}, submitted)
+		return newJob(JobRecord{Spec: JobSpec{ID: fmt.Sprint("job-", id), Tasks: tasks, EstimatedRun: Second, Request: Resources{CPU: 1000}}}, submitted)
 	}
 	for _, c := range []struct {
 		tasks []int // of jobs, the oldest first
@@ -54,7 +54,7 @@
 			jobs = append(jobs, j)
 		}
 		got := ""
-		for _, j := range lateOrder(jobs) {
+		for _, j := range orderLateJobs(jobs) {
 			got += j.spec.ID + " "
 		}
 		if got != c.want {
@@ -66,12 +66,12 @@
 // TestBeginWaiting: an array that the order of the queue leaves for the end begins with one
 // task once it has waited for long, a small one, of three tasks where most have one, later; one
 // of a lower priority does not go before others.
-func TestBeginWaiting(t *testing.T) {
+func TestStartOverdueArrays(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
-	w.begin(100, nil, Snapshot{})
-	f := w.machine("n-1", "a").beat()
+	w.beginTerm(100, nil, Snapshot{})
+	f := w.newWorker("n-1", "a").report()
 	submit := func(id string, tasks int, p Priority) {
-		w.submit(JobSpec{ID: id, Tasks: tasks, Priority: p, Estimate: 10 * Second, Due: 20 * Second, Need: Res{8000, 0, 1000}})
+		w.submit(JobSpec{ID: id, Tasks: tasks, Priority: p, EstimatedRun: 10 * Second, Deadline: 20 * Second, Request: Resources{8000, 0, 1000}})
 	}
 	began := map[string]Micros{}
 	for s := range 250 {
@@ -81,16 +81,16 @@
 			submit("job-1", 40, Low)
 			submit("job-2", 3, Normal)
 		}
-		w.pass(Second)
-		f.direct()
-		f.beat()
-		for i, task := range f.r.Tasks {
+		w.advance(Second)
+		f.executeDirect()
+		f.report()
+		for i, task := range f.status.Tasks {
 			if task.State == Running {
 				if began[task.Job] == 0 {
 					began[task.Job] = w.now
 				}
 				if s%2 == 0 {
-					f.exit(i, CauseDone)
+					f.exitTask(i, CauseDone)
 				}
 			}
 		}
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -2,45 +2,45 @@
 
 // Beat takes a worker's report and returns the commands for the answer. ok is
 // false if this node may not answer it.
-func (c *Core) Beat(now Micros, r *Report) (cmds []Command, token uint64, ok bool) {
+func (c *Core) HandleReport(now Micros, r *Report) (cmds []Command, token uint64, ok bool) {
 	if !c.leading {
 		return nil, 0, false
 	}
 	m := c.machines[r.Machine]
 	if m == nil {
-		if c.gone[r.Machine] {
+		if c.deletedMachines[r.Machine] {
 			return nil, c.token, true
 		}
 		// Rented late, or by a leader that died before it could say so: it was
 		// never recorded, so it was never given a task.
-		m = &machine{name: r.Machine, typeName: r.Type, zone: r.Zone, spot: r.Spot, seen: now, booting: true, settled: true, unproven: true}
+		m = &machine{name: r.Machine, typeName: r.Type, zone: r.Zone, spot: r.Spot, discoveredAt: now, booting: true, reconciled: true, unverified: true}
 		c.addMachine(m)
-		c.note("unexpected machine reports", "machine", m.name, "type", m.typeName, "zone", m.zone)
+		c.log("unexpected machine reports", "machine", m.name, "type", m.typeName, "zone", m.zone)
 	}
-	if c.isCopy(m, r) {
+	if c.isDelayedDuplicate(m, r) {
 		return nil, 0, false
 	}
-	if c.startsCancelled(m, r, now) {
-		c.wantRaise = true
+	if c.mayStartCancelled(m, r, now) {
+		c.tokenRaiseWanted = true
 		return nil, 0, false
 	}
-	if !m.newer(r) {
-		m.answerOld(r)
+	if !m.isNewer(r) {
+		m.acknowledgeOldReport(r)
 		return nil, c.token, true
 	}
 	if m.typeName == "" {
 		m.typeName, m.zone, m.spot = r.Type, r.Zone, r.Spot
-		m.typ = c.types[m.typeName]
+		m.typ = c.machineTypes[m.typeName]
 	}
-	if !c.hears(m, r) {
+	if !c.shouldAnswer(m, r) {
 		// It has nothing to lose: what it does not get renews nothing. Once a probe
 		// gets through it is answered again.
-		c.absorb(m, r, true, now)
+		c.applyReport(m, r, true, now)
 		return nil, 0, false
 	}
-	c.absorb(m, r, true, now)
+	c.applyReport(m, r, true, now)
 	// A former leader may answer it until it has seen this token.
-	m.answered = max(m.answered, now)
+	m.lastAcknowledged = max(m.lastAcknowledged, now)
 	return c.commands(m, now, true), c.token, true
 }
 
@@ -48,10 +48,10 @@
 // to the machine although the job was cancelled so long ago that it must not begin any
 // more. Only a raised token or a new session makes it void: where the token can't be
 // raised, since the state service refuses, the machine's lease has to end.
-func (c *Core) startsCancelled(m *machine, r *Report, now Micros) bool {
-	for _, p := range m.tasks {
-		if p.late && p.j != nil && p.j.cancelled && now-p.j.cancelAt >= c.cfg.Blind &&
-			r.Session == m.session && max(r.Token, c.token) <= p.lateToken {
+func (c *Core) mayStartCancelled(m *machine, r *Report, now Micros) bool {
+	for _, p := range m.placements {
+		if p.startUnanswered && p.job != nil && p.job.cancelled && now-p.job.cancelledAt >= c.cfg.MaxCancelStaleness &&
+			r.Session == m.session && max(r.Token, c.token) <= p.startUnansweredToken {
 			return true
 		}
 	}
@@ -61,39 +61,39 @@
 // BeatInGrace takes a report while the leader's lease is not certain to be
 // alive: the worker's lease is renewed and it is told nothing. ok is false if
 // the worker has seen a higher token, so that there is another leader.
-func (c *Core) BeatInGrace(now Micros, r *Report) (token uint64, ok bool) {
+func (c *Core) HandleReportInGrace(now Micros, r *Report) (token uint64, ok bool) {
 	m := c.machines[r.Machine]
-	if !c.leading || m == nil || r.Token > c.token || c.isCopy(m, r) {
+	if !c.leading || m == nil || r.Token > c.token || c.isDelayedDuplicate(m, r) {
 		return 0, false
 	}
-	if c.startsCancelled(m, r, now) {
+	if c.mayStartCancelled(m, r, now) {
 		return 0, false
 	}
-	if m.newer(r) {
-		c.absorb(m, r, true, now)
-		m.answered = max(m.answered, now)
+	if m.isNewer(r) {
+		c.applyReport(m, r, true, now)
+		m.lastAcknowledged = max(m.lastAcknowledged, now)
 	} else {
-		m.answerOld(r)
+		m.acknowledgeOldReport(r)
 	}
 	return c.token, true
 }
 
 // isCopy reports whether a report can only be a copy of an old one: see absorb.
-func (c *Core) isCopy(m *machine, r *Report) bool {
-	return m.unproven && len(r.Tasks) > 0 && r.Token < c.settleToken
+func (c *Core) isDelayedDuplicate(m *machine, r *Report) bool {
+	return m.unverified && len(r.Tasks) > 0 && r.Token < c.termToken
 }
 
 // newer reports whether a report is newer than all before it.
-func (m *machine) newer(r *Report) bool {
+func (m *machine) isNewer(r *Report) bool {
 	return r.Session > m.session || r.Session == m.session && r.Seq > m.seq
 }
 
 // answerOld notes that a report is answered that is older than what is known: it changes
 // nothing. A worker that still waits for the answer counts its lease from before it made
 // the newer one; a copy, or one of an earlier session, renews nothing.
-func (m *machine) answerOld(r *Report) {
+func (m *machine) acknowledgeOldReport(r *Report) {
 	if r.Session == m.session {
-		m.answered = max(m.answered, m.heard)
+		m.lastAcknowledged = max(m.lastAcknowledged, m.lastReport)
 	}
 }
 
@@ -105,79 +105,79 @@
 // it, and dropped its record, and then a copy of what it once said is all that comes of it.
 // It is unproven: it is given nothing before it shows the token, which takes one more
 // report, and a report of tasks without it is such a copy.
-func (c *Core) absorb(m *machine, r *Report, beat bool, now Micros) {
+func (c *Core) applyReport(m *machine, r *Report, beat bool, now Micros) {
 	if r.Session > m.session && m.session > 0 {
 		// Its lease ran out: the worker has killed and forgotten its tasks, and
 		// direct commands that are still under way name a session that is over.
-		c.clear(m, now)
-		if ago := now - m.answered; ago >= 0 && ago < c.cfg.Lease/2 {
-			c.becomesDeaf(m, "its lease ran out although it was answered")
+		c.clearMachine(m, now)
+		if ago := now - m.lastAcknowledged; ago >= 0 && ago < c.cfg.WorkerLease/2 {
+			c.markInboundLost(m, "its lease ran out although it was answered")
 		}
 	}
 	newSession := r.Session != m.session
 	m.session, m.seq = r.Session, r.Seq
-	m.token = max(m.token, r.Token)
-	m.heard, m.misses = now, 0
-	if m.kept != nil {
-		c.fleetAt = now // its record ends
-	}
-	if m.silent {
-		m.silent = false
-		if m.returning && m.returnWhy == silentWhy {
-			c.keep(m)
+	m.reportedToken = max(m.reportedToken, r.Token)
+	m.lastReport, m.commandFailures = now, 0
+	if m.retainedIn != nil {
+		c.nextFleetReviewAt = now // its record ends
+	}
+	if m.unreachable {
+		m.unreachable = false
+		if m.releasing && m.releaseReason == unreachableReason {
+			c.cancelRelease(m)
 		}
 	}
 	if r.Address != "" {
 		m.address = r.Address
 	}
-	c.enlist(m, now)
+	c.addToGroup(m, now)
 	if m.booting {
-		c.booted(m, now)
+		c.recordBoot(m, now)
 	}
 	if m.booting || m.lost {
 		m.booting, m.lost = false, false
-		m.idle = now
-		c.dirty = true
+		m.idleSince = now
+		c.needsPlacement = true
 	}
 	if beat {
-		m.noDo = false
-		m.reported = now
+		m.directCommandFailed = false
+		m.lastPeriodicReport = now
 	}
 	if newSession {
 		// Its lease runs from when it began, whatever was answered before.
-		m.answered = max(m.answered, now)
-		c.touch(m)
+		m.lastAcknowledged = max(m.lastAcknowledged, now)
+		c.queueCommands(m)
 	}
-	if r.Notice >= 0 && !m.draining {
-		c.note("spot notice", "machine", m.name, "in_s", float64(r.Notice)/1e6)
-		c.drain(m, now, now+r.Notice)
+	if r.SpotNotice >= 0 && !m.draining {
+		c.log("spot notice", "machine", m.name, "in_s", float64(r.SpotNotice)/1e6)
+		c.drain(m, now, now+r.SpotNotice)
 	}
-	for _, p := range m.tasks {
-		p.beatMark = false
+	for _, p := range m.placements {
+		p.inCurrentReport = false
 	}
-	m.fetching = 0
+	m.fetchingTasks = 0
 	for i := range r.Tasks {
-		c.absorbTask(m, &r.Tasks[i], now)
+		c.applyTaskReport(m, &r.Tasks[i], now)
 	}
-	c.absorbMissing(m, r, beat, now)
-	if m.used == (Res{}) && m.idle == 0 {
-		m.idle = now // taken over empty from a former leader
+	c.handleUnreportedTasks(m, r, beat, now)
+	if m.used == (Resources{}) && m.idleSince == 0 {
+		m.idleSince = now // taken over empty from a former leader
 	}
-	if r.Token >= c.settleToken && r.Token > 0 {
-		c.taken = true
-		if m.unproven {
-			m.unproven = false
-			c.dirty = true
+	if r.Token >= c.termToken && r.Token > 0 {
+		c.tokenAcknowledged = true
+		if m.unverified {
+			m.unverified = false
+			c.needsPlacement = true
 		}
-		m.answered = min(m.answered, now) // a former leader's answers it drops
-		c.settle(m)
+		m.lastAcknowledged = min(m.lastAcknowledged, now) // a former leader's answers it drops
+		c.markReconciled(m)
 	}
 }
 
-func (c *Core) absorbTask(m *machine, t *TaskReport, now Micros) {
+func (c *Core) applyTaskReport(m *machine, t *TaskReport, now Micros) {
 	var p *placement
-	for _, o := range m.tasks {
-		if o.attempt == t.Attempt && o.index == t.Index && o.job == t.Job {
+	for _, o := range m.placements {
+		if o.attempt == t.Attempt && o.index == t.Index && o.jobID == t.Job {
 			p = o
 			break
 		}
@@ -185,52 +185,52 @@
 	if p == nil {
 		p = c.adopt(m, t, now)
 		if t.State == Exited {
-			p.shown, p.beatMark, p.state, p.cause = true, true, Exited, t.Cause
-			m.tasks = append(m.tasks, p)
-			c.exited(p, now)
-			c.touch(m)
+			p.reported, p.inCurrentReport, p.state, p.cause = true, true, Exited, t.Cause
+			m.placements = append(m.placements, p)
+			c.taskExited(p, now)
+			c.queueCommands(m)
 			return
 		}
-		c.add(p)
+		c.addPlacement(p)
 	}
-	p.beatMark, p.listed = true, false
+	p.inCurrentReport, p.fromPartitionRecord = true, false
 	if t.State != Exited || t.Cause != CauseStopped {
 		p.fetching = t.State == Fetching // other ends come after it has its image
 	}
-	if p.again && !p.unwanted && t.State == Exited && t.Cause == CauseAlone {
+	if p.retryPending && !p.stopRequested && t.State == Exited && t.Cause == CausePeersMissing {
 		return // it has not been told yet
 	}
-	p.again = false
-	wasExited := p.shown && p.state == Exited
+	p.retryPending = false
+	wasExited := p.reported && p.state == Exited
 	if t.State != Exited {
-		if p.j != nil && (t.State == Running || t.State == Saving) {
-			p.j.ran = p.attempt
+		if p.job != nil && (t.State == Running || t.State == Checkpointing) {
+			p.job.lastRunAttempt = p.attempt
 		}
-		if p.j != nil && t.State == Running && p.state == Running && now-p.runningAt >= provenAfter {
-			c.ranWell(p.j, now)
+		if p.job != nil && t.State == Running && p.state == Running && now-p.runningAt >= provenRunTime {
+			c.markProven(p.job, now)
 		}
 		if t.State == Running && p.state != Running {
 			p.runningAt = now
-			if p.j != nil {
-				if p.j.firstStart == 0 {
-					p.j.firstStart = now
+			if p.job != nil {
+				if p.job.firstStart == 0 {
+					p.job.firstStart = now
 				}
-				p.j.lastStart = now
-				m.useImage(p.j.image, p.j.spec.ImageMB)
-				delete(m.failed, p.job)
+				p.job.lastStart = now
+				m.markImageUsed(p.job.imageID, p.job.spec.ImageMB)
+				delete(m.failedJobs, p.jobID)
 			}
 		}
 		if t.State == Fetching {
-			m.fetching++
+			m.fetchingTasks++
 		}
-		if !p.shown {
-			p.shown, p.sent = true, true
+		if !p.reported {
+			p.reported, p.startSent = true, true
 		}
 		p.state = t.State
-		c.countRunning(p, t.State == Running)
-		if j := p.j; j != nil && !j.started && j.running+j.done == len(j.status) {
-			j.started = true
-			c.out = append(c.out, Note{Text: "all tasks started", Debug: true, Args: []any{
+		c.setRunning(p, t.State == Running)
+		if j := p.job; j != nil && !j.allStarted && j.running+j.done == len(j.status) {
+			j.allStarted = true
+			c.actions = append(c.actions, LogEntry{Message: "all tasks started", Debug: true, Args: []any{
 				"job", j.spec.ID, "class", j.spec.Class, "team", j.spec.Team, "tasks", len(j.status), "after_ms", (now - j.submitted) / Millisecond}})
 		}
 		return
@@ -238,33 +238,33 @@
 	if wasExited {
 		return
 	}
-	held := p.holds()
-	p.shown, p.sent = true, true
+	held := p.occupies()
+	p.reported, p.startSent = true, true
 	p.state, p.cause = Exited, t.Cause
 	if held {
-		c.release(p, now)
-		if c.waitAgain(p) {
+		c.deallocate(p, now)
+		if c.retryWait(p) {
 			return
 		}
 	}
-	c.exited(p, now)
-	c.touch(m)
+	c.taskExited(p, now)
+	c.queueCommands(m)
 }
 
 // adopt makes a placement for a task that a former leader started.
 func (c *Core) adopt(m *machine, t *TaskReport, now Micros) *placement {
-	p := &placement{job: t.Job, index: t.Index, attempt: t.Attempt, m: m, sent: true, at: now}
+	p := &placement{jobID: t.Job, index: t.Index, attempt: t.Attempt, machine: m, startSent: true, placedAt: now}
 	j := c.jobs[t.Job]
 	if j == nil || t.Index >= len(j.status) {
-		p.unwanted, p.finalOK = true, true
-		c.touch(m)
+		p.stopRequested, p.completionRecorded = true, true
+		c.queueCommands(m)
 		return p
 	}
-	p.j, p.need = j, j.spec.Need
-	j.opened = true
+	p.job, p.need = j, j.spec.Request
+	j.mayHaveStarted = true
 	switch {
 	case j.cancelled, j.status[t.Index] == taskDone:
-		p.unwanted = true
+		p.stopRequested = true
 	case t.State != Exited:
 		switch q := j.live[t.Index]; {
 		case q == nil:
@@ -272,66 +272,66 @@
 			// One of the reports is a copy of an old one, and this attempt the earlier: it
 			// was known to be gone before the other was started. Until its machine shows
 			// that, it counts, and keeps the task from starting elsewhere (release).
-			p.unwanted = true
-			c.note("task reported on two machines", "job", t.Job, "task", t.Index, "machine", m.name, "other", q.m.name)
-		case q.listed:
-			c.unlist(q, now) // it was replaced after it was recorded
+			p.stopRequested = true
+			c.log("task reported on two machines", "job", t.Job, "task", t.Index, "machine", m.name, "other", q.machine.name)
+		case q.fromPartitionRecord:
+			c.dropRecordedPlacement(q, now) // it was replaced after it was recorded
 		default:
-			c.note("task reported on two machines", "job", t.Job, "task", t.Index, "machine", q.m.name, "other", m.name)
+			c.log("task reported on two machines", "job", t.Job, "task", t.Index, "machine", q.machine.name, "other", m.name)
 			delete(j.live, t.Index)
-			j.doubles = append(j.doubles, q)
-			c.unwant(q, now, 0)
+			j.duplicates = append(j.duplicates, q)
+			c.stopPlacement(q, now, 0)
 		}
-		if j.spec.Kind == Gang && !p.unwanted {
-			j.attempt = max(j.attempt, t.Attempt)
+		if j.spec.Kind == Gang && !p.stopRequested {
+			j.gangAttempt = max(j.gangAttempt, t.Attempt)
 		}
 	}
-	if p.unwanted {
-		c.touch(m)
+	if p.stopRequested {
+		c.queueCommands(m)
 	}
 	return p
 }
 
 // absorbMissing looks at placements that a newer report does not show.
-func (c *Core) absorbMissing(m *machine, r *Report, beat bool, now Micros) {
+func (c *Core) handleUnreportedTasks(m *machine, r *Report, beat bool, now Micros) {
 	missed := false
-	for i := len(m.tasks) - 1; i >= 0; i-- {
-		if i >= len(m.tasks) {
+	for i := len(m.placements) - 1; i >= 0; i-- {
+		if i >= len(m.placements) {
 			continue
 		}
-		p := m.tasks[i]
-		if p.beatMark || !p.sent {
+		p := m.placements[i]
+		if p.inCurrentReport || !p.startSent {
 			continue
 		}
 		switch {
-		case p.shown:
-			c.remove(p, now)
-		case p.inDo:
+		case p.reported:
+			c.removePlacement(p, now)
+		case p.inDirectCommand:
 			// The direct command may be executed after this report was made.
-		case p.late && m.token <= p.lateToken:
+		case p.startUnanswered && m.reportedToken <= p.startUnansweredToken:
 			// An unanswered direct command can still arrive while the machine
 			// accepts its token.
-			if p.unwanted {
-				c.wantRaise = true
+			if p.stopRequested {
+				c.tokenRaiseWanted = true
 			} else {
-				p.resend = beat
-				missed = missed || beat && p.beatSeq > 0 && r.Seq > p.beatSeq
+				p.resendStart = beat
+				missed = missed || beat && p.startReportSeq > 0 && r.Seq > p.startReportSeq
 			}
-		case beat && r.Seq > p.beatSeq:
+		case beat && r.Seq > p.startReportSeq:
 			// The answer that carried the start was lost or dropped: a worker
 			// has one report in flight, so it will not be executed any more.
-			p.late = false
-			if p.unwanted {
-				c.remove(p, now)
+			p.startUnanswered = false
+			if p.stopRequested {
+				c.removePlacement(p, now)
 			} else {
-				p.sent, missed = false, true
-				c.touch(m)
+				p.startSent, missed = false, true
+				c.queueCommands(m)
 			}
 		}
 	}
 	if missed {
-		c.missed(m)
+		c.noteUnexecutedAnswer(m)
 	} else if beat {
-		m.missed = 0
+		m.unexecutedAnswers = 0
 	}
 }
--- a/internal/core/return.go
+++ b/internal/core/return.go
@@ -7,64 +7,64 @@
 	"strings"
 )
 
-const silentWhy = "silent"
+const unreachableReason = "silent"
 
 // returns gives back machines that are lost, drained, overdue or idle.
-func (c *Core) returns(now Micros, short *Res) {
-	c.countSpare(now)
+func (c *Core) releaseMachines(now Micros, short *Resources) {
+	c.updateSpare(now)
 	var idle []*machine
-	for _, m := range c.order {
-		if m.returning {
+	for _, m := range c.sortedMachines {
+		if m.releasing {
 			continue
 		}
 		switch {
 		case m.lost:
 			// The cut may end before another machine could be there.
-			if m.typ == nil || !c.cutOff(m.zone, now) || now-m.lostAt >= m.typ.Boot {
-				c.giveBack(m, now, "lost")
+			if m.typ == nil || !c.partitioned(m.zone, now) || now-m.lostAt >= m.typ.BootTime {
+				c.queueRelease(m, now, "lost")
 			}
 		case m.booting:
-			if c.checkBoot(m, now); m.typ != nil && now-m.seen > givenUpAfter(m.typ) {
-				c.giveBack(m, now, "never came up")
+			if c.checkBootOverdue(m, now); m.typ != nil && now-m.discoveredAt > bootGiveUpAfter(m.typ) {
+				c.queueRelease(m, now, "never came up")
 			}
-		case (m.silent || c.silentInCut(m, now)) && !c.deaf && !(c.cutOff(m.zone, now) && c.keepsServices(m)):
+		case (m.unreachable || c.unreachableInPartition(m, now)) && !c.fleetUnreachable && !(c.partitioned(m.zone, now) && c.shouldRetain(m)):
 			// Deleting it frees its tasks at once; waiting for its lease would
 			// take longer. But when few others are heard, good machines would be
 			// deleted; and what serves in a zone that is cut off goes on serving.
-			m.silent = true
-			c.giveBack(m, now, silentWhy)
-		case !m.settled:
-		case m.typ == nil && m.used == (Res{}):
-			c.giveBack(m, now, "of a type that is not in the catalog")
-		case c.ownsEnds(m):
+			m.unreachable = true
+			c.queueRelease(m, now, unreachableReason)
+		case !m.reconciled:
+		case m.typ == nil && m.used == (Resources{}):
+			c.queueRelease(m, now, "of a type that is not in the catalog")
+		case c.hasUnrecordedCompletions(m):
 			// Until they are recorded, its reports are where finished tasks are known.
 		case m.draining, m.vacating:
-			if m.used == (Res{}) {
-				c.giveBack(m, now, "drained")
+			if m.used == (Resources{}) {
+				c.queueRelease(m, now, "drained")
 			}
-		case m.used == (Res{}) && m.idle > 0 && now-m.idle >= c.cfg.Tuning.Idle && now-m.rented >= 60*Second:
+		case m.used == (Resources{}) && m.idleSince > 0 && now-m.idleSince >= c.cfg.Tuning.IdleTimeout && now-m.rentedAt >= 60*Second:
 			idle = append(idle, m)
 		}
 	}
 	// The dearest go first.
-	slices.SortStableFunc(idle, func(a, b *machine) int { return cmp.Compare(b.price(), a.price()) })
+	slices.SortStableFunc(idle, func(a, b *machine) int { return cmp.Compare(b.hourlyPrice(), a.hourlyPrice()) })
 	for _, m := range idle {
-		if c.neededSpare(m) || short.Add(m.typ.Cap).lacks() {
+		if c.neededForSpare(m) || short.Add(m.typ.Capacity).lacksCPUOrGPU() {
 			continue
 		}
-		*short = short.Add(m.typ.Cap)
-		if !m.spot && c.spareNeed != (Res{}) {
-			c.spare[m.zone] -= c.spareOn(m)
+		*short = short.Add(m.typ.Capacity)
+		if !m.spot && c.spareTaskRequest != (Resources{}) {
+			c.spareByZone[m.zone] -= c.spareSlots(m)
 		}
-		c.giveBack(m, now, "idle")
+		c.queueRelease(m, now, "idle")
 	}
 }
 
 // ownsEnds reports whether the machine has tasks that are done and not recorded as done:
 // a leader that begins now learns of them from its reports alone.
-func (c *Core) ownsEnds(m *machine) bool {
-	for _, p := range m.tasks {
-		if p.shown && p.state == Exited && p.cause == CauseDone && !p.finalOK {
+func (c *Core) hasUnrecordedCompletions(m *machine) bool {
+	for _, p := range m.placements {
+		if p.reported && p.state == Exited && p.cause == CauseDone && !p.completionRecorded {
 			return true
 		}
 	}
@@ -72,83 +72,83 @@
 }
 
 // giveBack has a machine returned. What was not sent to it yet goes elsewhere.
-func (c *Core) giveBack(m *machine, now Micros, why string) {
-	if m.returning {
+func (c *Core) queueRelease(m *machine, now Micros, why string) {
+	if m.releasing {
 		return
 	}
-	m.returning, m.returnWhy = true, why
-	c.backlog = append(c.backlog, m)
-	for _, p := range slices.Clone(m.tasks) {
-		if !p.sent && !p.shown && !p.inDo {
-			c.remove(p, now)
+	m.releasing, m.releaseReason = true, why
+	c.releaseQueue = append(c.releaseQueue, m)
+	for _, p := range slices.Clone(m.placements) {
+		if !p.startSent && !p.reported && !p.inDirectCommand {
+			c.removePlacement(p, now)
 		}
 	}
 }
 
 // keep takes a machine off the backlog of returns, unless the cloud has been
 // asked already.
-func (c *Core) keep(m *machine) {
-	if i := slices.Index(c.backlog, m); i >= 0 {
-		c.backlog = slices.Delete(c.backlog, i, i+1)
-		m.returning = false
-		c.dirty = true
-		c.note("kept: it reports again", "machine", m.name, "reason", m.returnWhy)
+func (c *Core) cancelRelease(m *machine) {
+	if i := slices.Index(c.releaseQueue, m); i >= 0 {
+		c.releaseQueue = slices.Delete(c.releaseQueue, i, i+1)
+		m.releasing = false
+		c.needsPlacement = true
+		c.log("kept: it reports again", "machine", m.name, "reason", m.releaseReason)
 	}
 }
 
 // returnMost is how many machines go back with one request.
-const returnMost = 100
+const maxMachinesPerRelease = 100
 
 // sendReturns asks the cloud to take machines back, many with one request, one
 // request at a time and with a pause between two: in a wave a few machines are
 // given up every moment, the cloud's calls are few, and rentals go first.
-func (c *Core) sendReturns(now Micros) {
-	if c.returnOut || len(c.backlog) == 0 || now < c.returnFrom {
+func (c *Core) sendRelease(now Micros) {
+	if c.releaseInFlight || len(c.releaseQueue) == 0 || now < c.nextReleaseAt {
 		return
 	}
-	batch := c.backlog[:min(len(c.backlog), returnMost)]
-	c.backlog = slices.Clone(c.backlog[len(batch):])
-	var r Return
+	batch := c.releaseQueue[:min(len(c.releaseQueue), maxMachinesPerRelease)]
+	c.releaseQueue = slices.Clone(c.releaseQueue[len(batch):])
+	var r Release
 	for _, m := range batch {
 		r.Machines = append(r.Machines, m.name)
-		if !strings.Contains(r.Reason, m.returnWhy) {
-			r.Reason = strings.TrimPrefix(r.Reason+", "+m.returnWhy, ", ")
+		if !strings.Contains(r.Reason, m.releaseReason) {
+			r.Reason = strings.TrimPrefix(r.Reason+", "+m.releaseReason, ", ")
 		}
 	}
-	c.returnOut = true
-	c.out = append(c.out, r)
+	c.releaseInFlight = true
+	c.actions = append(c.actions, r)
 }
 
 // Returned is the result of a Return: after ok, the machines and all that was
 // on them are gone.
-func (c *Core) Returned(now Micros, names []string, ok bool) {
+func (c *Core) ReleaseResult(now Micros, names []string, ok bool) {
 	if !c.leading {
 		return
 	}
-	c.returnOut = false
-	c.returnFrom = now + c.cfg.ReturnPause
+	c.releaseInFlight = false
+	c.nextReleaseAt = now + c.cfg.ReleaseInterval
 	for _, name := range names {
 		switch m := c.machines[name]; {
 		case m == nil:
 		case ok:
 			c.removeMachine(m, now)
 		default:
-			c.backlog = append(c.backlog, m)
+			c.releaseQueue = append(c.releaseQueue, m)
 		}
 	}
 }
 
 func (c *Core) removeMachine(m *machine, now Micros) {
-	c.clear(m, now)
-	c.settle(m)
-	c.probeOver(m) // its result finds no machine any more
-	c.unkeep(m)
+	c.clearMachine(m, now)
+	c.markReconciled(m)
+	c.finishProbe(m) // its result finds no machine any more
+	c.removeFromRetainedGroup(m)
 	delete(c.machines, m.name)
-	i := sort.Search(len(c.order), func(i int) bool { return c.order[i].name >= m.name })
-	c.order = append(c.order[:i:i], c.order[i+1:]...)
-	c.gone[m.name] = true
+	i := sort.Search(len(c.sortedMachines), func(i int) bool { return c.sortedMachines[i].name >= m.name })
+	c.sortedMachines = append(c.sortedMachines[:i:i], c.sortedMachines[i+1:]...)
+	c.deletedMachines[m.name] = true
 	c.vacating = slices.DeleteFunc(c.vacating, func(o *machine) bool { return o == m })
-	c.delist(m, now)
-	c.upRent(m.name)
-	c.dirty = true
+	c.removeFromGroup(m, now)
+	c.removeFromRental(m.name)
+	c.needsPlacement = true
 }
--- a/internal/core/show.go
+++ b/internal/core/show.go
@@ -1,7 +1,7 @@
 package core
 
 // Counts are a job's tasks that are done and that run, for display.
-func (c *Core) Counts(id string) (done, running int, ok bool) {
+func (c *Core) TaskCounts(id string) (done, running int, ok bool) {
 	if !c.leading {
 		return 0, 0, false
 	}
@@ -13,7 +13,7 @@
 }
 
 // Jobs lists the unfinished jobs.
-func (c *Core) Jobs() []string {
+func (c *Core) UnfinishedJobs() []string {
 	out := make([]string, 0, len(c.queue))
 	for _, j := range c.queue {
 		out = append(out, j.spec.ID)
@@ -48,7 +48,7 @@
 		}
 		v := TaskView{Index: i, Done: j.status[i] == taskDone}
 		if p != nil && !v.Done {
-			v.Attempt, v.Machine, v.State, v.Age = p.attempt, p.m.name, p.state, max(now-p.at, 0)
+			v.Attempt, v.Machine, v.State, v.Age = p.attempt, p.machine.name, p.state, max(now-p.placedAt, 0)
 		}
 		tasks = append(tasks, v)
 	}
@@ -64,10 +64,10 @@
 
 // Machines lists the machines that are up.
 func (c *Core) Machines() []MachineView {
-	out := make([]MachineView, 0, len(c.order))
-	for _, m := range c.order {
+	out := make([]MachineView, 0, len(c.sortedMachines))
+	for _, m := range c.sortedMachines {
 		if !m.booting && !m.lost {
-			out = append(out, MachineView{m.name, m.typeName, m.zone, m.spot, !m.silent})
+			out = append(out, MachineView{m.name, m.typeName, m.zone, m.spot, !m.unreachable})
 		}
 	}
 	return out
@@ -83,8 +83,8 @@
 }
 
 // moves notes that a job's counts changed.
-func (c *Core) moves(j *job) {
+func (c *Core) notifyProgress(j *job) {
 	if len(c.watched) > 0 && c.watched[j.spec.ID] {
-		c.out = append(c.out, Progress{j.spec.ID})
+		c.actions = append(c.actions, JobProgress{j.spec.ID})
 	}
 }
--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -13,93 +13,93 @@
 
 // arrivals is what has been seen of a class of services.
 type arrivals struct {
-	need  Res // of the last one's tasks
-	first Micros
-	last  Micros
-	count int
-	rate  float64 // tasks a microsecond, as of last
-	size  float64 // tasks of a job, smoothed
-	mb    float64 // of its image, smoothed
+	need        Resources // of the last one's tasks
+	firstAt     Micros
+	lastAt      Micros
+	count       int
+	rate        float64 // tasks a microsecond, as of last
+	meanTasks   float64 // tasks of a job, smoothed
+	meanImageMB float64 // of its image, smoothed
 }
 
 // rateWindow is over how long the rate is smoothed.
-const rateWindow = 60 * Second
+const arrivalRateWindow = 60 * Second
 
 // seen notes a service. After a takeover they come in no order.
-func (a *arrivals) seen(j *job) {
+func (a *arrivals) observe(j *job) {
 	tasks := float64(len(j.status))
 	if a.count == 0 {
-		a.first, a.last, a.size, a.mb = j.submitted, j.submitted, tasks, float64(j.spec.ImageMB)
+		a.firstAt, a.lastAt, a.meanTasks, a.meanImageMB = j.submitted, j.submitted, tasks, float64(j.spec.ImageMB)
 	}
-	a.mb += (float64(j.spec.ImageMB) - a.mb) / 8
-	a.need = j.spec.Need
-	a.size += (tasks - a.size) / 8
-	a.first = min(a.first, j.submitted)
-	if j.submitted > a.last {
+	a.meanImageMB += (float64(j.spec.ImageMB) - a.meanImageMB) / 8
+	a.need = j.spec.Request
+	a.meanTasks += (tasks - a.meanTasks) / 8
+	a.firstAt = min(a.firstAt, j.submitted)
+	if j.submitted > a.lastAt {
 		a.rate = a.rateAt(j.submitted)
-		a.last = j.submitted
+		a.lastAt = j.submitted
 	}
-	a.rate += tasks / float64(rateWindow) * math.Exp(-float64(a.last-j.submitted)/float64(rateWindow))
+	a.rate += tasks / float64(arrivalRateWindow) * math.Exp(-float64(a.lastAt-j.submitted)/float64(arrivalRateWindow))
 	a.count++
 }
 
 func (a *arrivals) rateAt(now Micros) float64 {
-	return a.rate * math.Exp(-float64(now-a.last)/float64(rateWindow))
+	return a.rate * math.Exp(-float64(now-a.lastAt)/float64(arrivalRateWindow))
 }
 
 // expected reports whether more services of the class are to be expected:
 // three times the usual pause has not passed yet.
-func (a *arrivals) expected(now Micros) bool {
+func (a *arrivals) moreExpected(now Micros) bool {
 	if a.count == 0 {
 		return false
 	}
 	pause := 10 * Second
 	if a.count > 1 {
-		pause = max(pause, (a.last-a.first)/Micros(a.count-1))
+		pause = max(pause, (a.lastAt-a.firstAt)/Micros(a.count-1))
 	}
-	return now-a.last < 3*pause
+	return now-a.lastAt < 3*pause
 }
 
 // countSpare works out for how many tasks of services room is wanted, and
 // counts, by zone, how many could start at once.
-func (c *Core) countSpare(now Micros) {
-	c.spareNeed, c.spareWant, c.spareInZone, c.spareRate = Res{}, 0, 0, 0
+func (c *Core) updateSpare(now Micros) {
+	c.spareTaskRequest, c.spareTarget, c.spareTargetPerZone, c.spareFetchRate = Resources{}, 0, 0, 0
 	want := 0.0
 	for _, k := range c.classes {
-		a := &k.services
-		if !a.expected(now) {
+		a := &k.serviceArrivals
+		if !a.moreExpected(now) {
 			continue
 		}
-		c.spareNeed.CPU = max(c.spareNeed.CPU, a.need.CPU)
-		c.spareNeed.GPU = max(c.spareNeed.GPU, a.need.GPU)
-		c.spareNeed.Mem = max(c.spareNeed.Mem, a.need.Mem)
-		if len(k.within) > 0 {
-			c.spareRate = max(c.spareRate, a.mb/(float64(k.within[0])/float64(Second)))
+		c.spareTaskRequest.CPU = max(c.spareTaskRequest.CPU, a.need.CPU)
+		c.spareTaskRequest.GPU = max(c.spareTaskRequest.GPU, a.need.GPU)
+		c.spareTaskRequest.Mem = max(c.spareTaskRequest.Mem, a.need.Mem)
+		if len(k.startObjectives) > 0 {
+			c.spareFetchRate = max(c.spareFetchRate, a.meanImageMB/(float64(k.startObjectives[0])/float64(Second)))
 		}
-		want += spareShare*a.rateAt(now)*float64(c.lead(&JobSpec{Need: a.need})) + a.size
+		want += spareShare*a.rateAt(now)*float64(c.provisioningTime(&JobSpec{Request: a.need})) + a.meanTasks
 	}
-	need, tasks := c.movingOut(now)
-	c.spareNeed = c.spareNeed.most(need)
+	need, tasks := c.evacuationDemand(now)
+	c.spareTaskRequest = c.spareTaskRequest.max(need)
 	want += float64(tasks)
-	clear(c.spare)
-	if c.spareNeed == (Res{}) {
+	clear(c.spareByZone)
+	if c.spareTaskRequest == (Resources{}) {
 		return
 	}
 	zones := map[string]bool{}
-	for _, t := range c.typeOrder {
-		if c.spareNeed.Fits(t.Cap) {
+	for _, t := range c.machineTypeList {
+		if c.spareTaskRequest.Fits(t.Capacity) {
 			for _, z := range t.Zones {
-				if !c.cutOff(z, now) {
+				if !c.partitioned(z, now) {
 					zones[z] = true
 				}
 			}
 		}
 	}
-	c.spareInZone = max(c.cfg.Tuning.SpareTasks, int(math.Ceil(want/float64(max(len(zones), 1)))))
-	c.spareWant = max(2*c.cfg.Tuning.SpareTasks, int(math.Ceil(want)))
-	for _, m := range c.order {
-		if !m.spot && c.usable(m, now) {
-			c.spare[m.zone] += c.spareOn(m)
+	c.spareTargetPerZone = max(c.cfg.Tuning.SpareTasks, int(math.Ceil(want/float64(max(len(zones), 1)))))
+	c.spareTarget = max(2*c.cfg.Tuning.SpareTasks, int(math.Ceil(want)))
+	for _, m := range c.sortedMachines {
+		if !m.spot && c.schedulable(m, now) {
+			c.spareByZone[m.zone] += c.spareSlots(m)
 		}
 	}
 }
@@ -107,95 +107,97 @@
 // spareOn is how many tasks of services the machine has room for. What is lent counts as if it
 // were there: kept anew out of the room that falls free, it would be taken from jobs that are
 // in time, for those that had waited for long.
-func (c *Core) spareOn(m *machine) int { return c.spareNeed.copies(m.free().Add(m.lent)) }
+func (c *Core) spareSlots(m *machine) int {
+	return c.spareTaskRequest.countIn(m.free().Add(m.spareUsed))
+}
 
 // takesSpare reports whether a batch task on the ordinary machine would take
 // room that is kept for services. Every machine keeps room for one, as each has
 // other images in its cache, if there is little room, or if a service's start is
 // too late once its image has to be fetched.
-func (c *Core) takesSpare(need Res, m *machine) bool {
-	if m.spot || c.spareNeed == (Res{}) {
+func (c *Core) takesSpare(need Resources, m *machine) bool {
+	if m.spot || c.spareTaskRequest == (Resources{}) {
 		return false
 	}
-	left := c.spareNeed.copies(m.free().Add(m.lent).Sub(need))
-	zone := c.spare[m.zone] - c.spareOn(m) + left
-	if zone < c.spareInZone || left > 0 {
-		return zone < c.spareInZone
+	left := c.spareTaskRequest.countIn(m.free().Add(m.spareUsed).Sub(need))
+	zone := c.spareByZone[m.zone] - c.spareSlots(m) + left
+	if zone < c.spareTargetPerZone || left > 0 {
+		return zone < c.spareTargetPerZone
 	}
-	return zone < 2*c.spareInZone || float64(m.typ.FetchMBps) < fetchSpread*c.spareRate
+	return zone < 2*c.spareTargetPerZone || float64(m.typ.FetchMBps) < fetchTimeMargin*c.spareFetchRate
 }
 
 // fetchSpread is how much longer than usual a fetch may well take.
-const fetchSpread = 1.5
+const fetchTimeMargin = 1.5
 
 // neededSpare reports whether services could lack room without the machine.
-func (c *Core) neededSpare(m *machine) bool {
-	if m.spot || c.spareNeed == (Res{}) {
+func (c *Core) neededForSpare(m *machine) bool {
+	if m.spot || c.spareTaskRequest == (Resources{}) {
 		return false
 	}
 	all := 0
-	for _, n := range c.spare {
+	for _, n := range c.spareByZone {
 		all += n
 	}
-	n := c.spareOn(m)
-	return c.spare[m.zone]-n < c.spareInZone || all-n < c.spareWant
+	n := c.spareSlots(m)
+	return c.spareByZone[m.zone]-n < c.spareTargetPerZone || all-n < c.spareTarget
 }
 
 // spareAtMost is how many times the cheapest price spare room may cost.
-const spareAtMost = 2.0
+const maxSparePriceRatio = 2.0
 
 // spare rents the room that is missing, in two zones at least.
-func (d *demand) spare() {
+func (d *demand) rentSpare() {
 	c := d.c
-	if c.spareNeed == (Res{}) {
+	if c.spareTaskRequest == (Resources{}) {
 		return
 	}
 	have, all := map[string]int{}, 0
-	for z, n := range c.spare {
+	for z, n := range c.spareByZone {
 		have[z] += n
 		all += n
 	}
-	for _, r := range d.coming {
+	for _, r := range d.incoming {
 		if !r.spot {
-			n := c.spareNeed.copies(r.free)
+			n := c.spareTaskRequest.countIn(r.free)
 			have[r.zone] += n
 			all += n
 		}
 	}
 	price := func(t *MachineType, missing int) float64 {
-		return t.Price / float64(min(c.spareNeed.copies(t.Cap), missing))
+		return t.Price / float64(min(c.spareTaskRequest.countIn(t.Capacity), missing))
 	}
 	cheapest := math.Inf(1)
-	for _, t := range c.typeOrder {
-		if c.spareNeed.Fits(t.Cap) {
-			cheapest = min(cheapest, price(t, c.spareInZone))
+	for _, t := range c.machineTypeList {
+		if c.spareTaskRequest.Fits(t.Capacity) {
+			cheapest = min(cheapest, price(t, c.spareTargetPerZone))
 		}
 	}
 	for {
 		good := 0
 		for _, n := range have {
-			if n >= c.spareInZone {
+			if n >= c.spareTargetPerZone {
 				good++
 			}
 		}
-		if good >= 2 && all >= c.spareWant {
+		if good >= 2 && all >= c.spareTarget {
 			return
 		}
 		var best offer
 		// Room that may never be used is not worth a machine that is dear for
 		// its size; it is tried again when the cheap ones are not refused.
-		bestPrice := spareAtMost * cheapest
-		for _, t := range c.typeOrder {
-			if !c.spareNeed.Fits(t.Cap) {
+		bestPrice := maxSparePriceRatio * cheapest
+		for _, t := range c.machineTypeList {
+			if !c.spareTaskRequest.Fits(t.Capacity) {
 				continue
 			}
 			for _, z := range t.Zones {
-				missing := c.spareWant - all
+				missing := c.spareTarget - all
 				if good < 2 {
-					missing = c.spareInZone - have[z]
+					missing = c.spareTargetPerZone - have[z]
 				}
 				of := offer{t.Name, z, false}
-				if missing > 0 && d.open(of) && price(t, missing) < bestPrice {
+				if missing > 0 && d.mayRequest(of) && price(t, missing) < bestPrice {
 					best, bestPrice = of, price(t, missing)
 				}
 			}
@@ -203,7 +205,7 @@
 		if best == (offer{}) {
 			return
 		}
-		n := c.spareNeed.copies(d.add(best, "spare room for services").free)
+		n := c.spareTaskRequest.countIn(d.addRental(best, "spare room for services").free)
 		have[best.zone] += n
 		all += n
 	}
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -1,17 +1,17 @@
 package core
 
 // unwant marks a placement to be stopped; one that was never sent goes at once.
-func (c *Core) unwant(p *placement, now Micros, grace Micros) {
-	if p.unwanted && grace >= p.grace {
+func (c *Core) stopPlacement(p *placement, now Micros, grace Micros) {
+	if p.stopRequested && grace >= p.grace {
 		return
 	}
-	if p.unwanted {
-		p.stopSent = 0
+	if p.stopRequested {
+		p.stopSentAt = 0
 	}
-	p.unwanted, p.grace = true, grace
-	c.touch(p.m)
-	if !p.sent && !p.shown && !p.inDo {
-		c.remove(p, now)
+	p.stopRequested, p.grace = true, grace
+	c.queueCommands(p.machine)
+	if !p.startSent && !p.reported && !p.inDirectCommand {
+		c.removePlacement(p, now)
 	}
 }
 
@@ -22,13 +22,13 @@
 		return
 	}
 	m.draining = true
-	c.dirty = true
-	for i := len(m.tasks) - 1; i >= 0; i-- {
-		if i >= len(m.tasks) {
+	c.needsPlacement = true
+	for i := len(m.placements) - 1; i >= 0; i-- {
+		if i >= len(m.placements) {
 			continue
 		}
-		p := m.tasks[i]
-		if !p.holds() || p.unwanted {
+		p := m.placements[i]
+		if !p.occupies() || p.stopRequested {
 			continue
 		}
 		c.stopTask(p, now, by)
@@ -37,28 +37,28 @@
 
 // stopTask stops a task, and with it its gang.
 func (c *Core) stopTask(p *placement, now, by Micros) {
-	if p.j == nil {
-		c.unwant(p, now, 0)
+	if p.job == nil {
+		c.stopPlacement(p, now, 0)
 		return
 	}
 	grace := Micros(0)
 	// Going back to the last checkpoint loses half an interval, on the average;
 	// saving holds the machine up for as long as it takes.
-	if p.j.spec.SaveCost < p.j.spec.Checkpoint/2 && (by == 0 || now+p.j.spec.SaveCost < by) {
-		grace = p.j.spec.SaveCost + Second
+	if p.job.spec.CheckpointCost < p.job.spec.CheckpointInterval/2 && (by == 0 || now+p.job.spec.CheckpointCost < by) {
+		grace = p.job.spec.CheckpointCost + Second
 	}
-	if p.j.spec.Kind == Gang && !p.j.waiting() {
-		c.stopGang(p.j, now, grace)
+	if p.job.spec.Kind == Gang && !p.job.awaitsGangStart() {
+		c.stopGang(p.job, now, grace)
 		return
 	}
-	c.unwant(p, now, grace)
+	c.stopPlacement(p, now, grace)
 }
 
-func (c *Core) dropUnwantedUnsent(m *machine, now Micros) {
-	for i := len(m.tasks) - 1; i >= 0; i-- {
-		if i < len(m.tasks) {
-			if p := m.tasks[i]; p.unwanted && !p.sent && !p.shown && !p.inDo {
-				c.remove(p, now)
+func (c *Core) removeUnsentStopped(m *machine, now Micros) {
+	for i := len(m.placements) - 1; i >= 0; i-- {
+		if i < len(m.placements) {
+			if p := m.placements[i]; p.stopRequested && !p.startSent && !p.reported && !p.inDirectCommand {
+				c.removePlacement(p, now)
 			}
 		}
 	}
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -3,67 +3,67 @@
 // Begin starts a term: jobs are all jobs that are unfinished, and the
 // cancelled ones; snap is the bookkeeping, read after the leader's key was
 // written. wall is the time of day at now.
-func (c *Core) Begin(now, wall Micros, token uint64, jobs []JobRecord, snap Snapshot) {
-	c.leading, c.token, c.settleToken, c.attempts = true, token, token, 0
+func (c *Core) BeginTerm(now, wall Micros, token uint64, jobs []JobRecord, snap Snapshot) {
+	c.leading, c.token, c.termToken, c.attemptCount = true, token, token, 0
 	c.jobs = map[string]*job{}
 	c.queue = nil
 	c.machines = map[string]*machine{}
-	c.order = nil
-	c.touched, c.retouch, c.ended = nil, nil, nil
-	c.probes, c.probing = nil, 0
-	c.gone = map[string]bool{}
-	c.rents = map[string]*rent{}
-	c.rentOf = map[string]*rent{}
-	c.chunks, c.kept = nil, nil
-	c.unsettled = 0
-	c.refused = map[offer]Micros{}
-	c.backlog, c.returnOut, c.returnFrom = nil, false, 0
+	c.sortedMachines = nil
+	c.commandQueue, c.commandRetryQueue, c.completionQueue = nil, nil, nil
+	c.probeQueue, c.probesInFlight = nil, 0
+	c.deletedMachines = map[string]bool{}
+	c.rentals = map[string]*rental{}
+	c.rentalByMachine = map[string]*rental{}
+	c.machineGroups, c.partitionRecords = nil, nil
+	c.unreconciled = 0
+	c.refusedUntil = map[offer]Micros{}
+	c.releaseQueue, c.releaseInFlight, c.nextReleaseAt = nil, false, 0
 	c.vacating = nil
-	c.begun, c.holdFleet, c.lookedBack, c.held, c.holds = now, true, now, nil, nil
+	c.termBeganAt, c.reservationsUnknown, c.usageUpdatedAt, c.objectiveClasses, c.reservedClasses = now, true, now, nil, nil
 	for _, k := range c.classes {
-		k.services, k.batches = arrivals{}, holding{}
+		k.serviceArrivals, k.reservation = arrivals{}, reservation{}
 	}
-	c.writes = map[uint64]func(Micros, WriteOutcome){}
-	c.out = nil
-	c.wantRaise, c.raising = false, 0
-	c.fleetAt, c.probeAt = now, now
+	c.pendingWrites = map[uint64]func(Micros, WriteOutcome){}
+	c.actions = nil
+	c.tokenRaiseWanted, c.nextTokenRaiseAt = false, 0
+	c.nextFleetReviewAt, c.nextLeaseCheckAt = now, now
 	for _, t := range c.teams {
-		t.used, t.placed = Res{}, [Production + 1]int{}
+		t.used, t.placedByPriority = Resources{}, [Production + 1]int{}
 	}
-	c.zoneOf, c.aloneFrom, c.deafFrom, c.taken = map[string]*zone{}, 0, 0, false
-	for _, ds := range c.deputies {
+	c.zoneByName, c.isolatedSince, c.fleetUnreachableSince, c.tokenAcknowledged = map[string]*zone{}, 0, 0, false
+	for _, ds := range c.delegates {
 		for _, d := range ds {
-			d.begin()
+			d.resetTerm()
 		}
 	}
-	for _, r := range snap.Machines {
-		ch := &chunk{key: r.Key}
-		c.chunks = append(c.chunks, ch)
+	for _, r := range snap.MachineGroups {
+		ch := &machineGroup{key: r.Key}
+		c.machineGroups = append(c.machineGroups, ch)
 		for _, rec := range r.Machines {
 			if c.machines[rec.Name] != nil {
-				ch.want(now) // it is in another record too
+				ch.scheduleWrite(now) // it is in another record too
 				continue
 			}
 			m := &machine{
 				name: rec.Name, address: rec.Address, typeName: rec.Type, zone: rec.Zone, spot: rec.Spot,
-				chunk: ch, recorded: true, seen: now, heard: now,
+				record: ch, recorded: true, discoveredAt: now, lastReport: now,
 				// As if it had reported so lately that it is due again: what a probe finds is
 				// of use until then.
-				reported: now + c.silence() - c.cfg.Lease/2,
+				lastPeriodicReport: now + c.reportTimeout() - c.cfg.WorkerLease/2,
 				// The former leader may have answered it for as long as it might.
-				answered: now + c.cfg.AnswerGrace,
+				lastAcknowledged: now + c.cfg.AnswerGrace,
 			}
 			ch.machines = append(ch.machines, m)
 			c.addMachine(m)
-			c.probe(m)
-			c.unsettled++
+			c.queueProbe(m)
+			c.unreconciled++
 		}
 		if len(ch.machines) == 0 {
-			ch.want(now)
+			ch.scheduleWrite(now)
 		}
 	}
 	open := map[string]bool{}
-	for _, id := range snap.Open {
+	for _, id := range snap.Started {
 		open[id] = true
 	}
 	for _, rec := range jobs {
@@ -72,106 +72,106 @@
 		}
 	}
 	stray := Write{}
-	for _, id := range snap.Open {
+	for _, id := range snap.Started {
 		if c.jobs[id] == nil {
-			stray.Drops = append(stray.Drops, OpenPrefix+id)
+			stray.Deletes = append(stray.Deletes, StartedPrefix+id)
 		}
 	}
-	for _, r := range snap.Ranges {
+	for _, r := range snap.Completions {
 		j := c.jobs[r.Job]
 		if j == nil {
-			stray.Drops = append(stray.Drops, r.Key)
+			stray.Deletes = append(stray.Deletes, r.Key)
 			continue
 		}
-		j.stored[r.Key] = true
+		j.completionKeys[r.Key] = true
 		for i := 0; i+1 < len(r.Ranges); i += 2 {
 			for n := r.Ranges[i]; n <= r.Ranges[i+1]; n++ {
 				if k := r.Chunk*c.cfg.ChunkSize + n; k < len(j.status) {
-					j.set(k, taskDone)
+					j.setStatus(k, taskDone)
 				}
 			}
 		}
 	}
-	for _, r := range snap.Rents {
-		rt := &rent{RentRecord: r, granted: true, seen: now - max(wall-r.At, 0)}
-		c.rents[r.Request] = rt
-		if c.expect(rt, false); rt.coming == 0 {
-			c.dropRent(rt)
+	for _, r := range snap.Rentals {
+		rt := &rental{RentalRecord: r, granted: true, decidedAt: now - max(wall-r.RentedAt, 0)}
+		c.rentals[r.Request] = rt
+		if c.awaitMachines(rt, false); rt.awaited == 0 {
+			c.deleteRental(rt)
 		}
 	}
-	for _, r := range snap.Kept {
+	for _, r := range snap.Partitions {
 		if r.Zone != "" {
-			c.takeKept(r, now, wall)
+			c.adoptPartitionRecord(r, now, wall)
 		} else {
-			stray.Drops = append(stray.Drops, r.Key)
+			stray.Deletes = append(stray.Deletes, r.Key)
 		}
 	}
-	if len(stray.Drops) > 0 {
+	if len(stray.Deletes) > 0 {
 		c.write(stray, nil) // of jobs and cuts that are over
 	}
-	c.dirty = true
-	if c.unsettled == 0 {
+	c.needsPlacement = true
+	if c.unreconciled == 0 {
 		for _, j := range c.sortedJobs() {
-			c.unhold(j)
+			c.clearUnaccounted(j)
 		}
 	}
 	for _, j := range c.sortedJobs() {
-		c.checkDone(j, now)
+		c.checkCompletion(j, now)
 	}
-	c.note("term begins", "token", token, "jobs", len(c.jobs), "machines", len(c.machines), "unsettled", c.unsettled)
+	c.log("term begins", "token", token, "jobs", len(c.jobs), "machines", len(c.machines), "unsettled", c.unreconciled)
 }
 
 // End ends the term; nothing of it is kept.
-func (c *Core) End() {
+func (c *Core) EndTerm() {
 	c.leading = false
-	c.jobs, c.queue, c.machines, c.order, c.rents, c.writes, c.out = nil, nil, nil, nil, nil, nil, nil
+	c.jobs, c.queue, c.machines, c.sortedMachines, c.rentals, c.pendingWrites, c.actions = nil, nil, nil, nil, nil, nil, nil
 }
 
 // settle notes that all that can run on the machine is known.
-func (c *Core) settle(m *machine) {
-	if m.settled {
+func (c *Core) markReconciled(m *machine) {
+	if m.reconciled {
 		return
 	}
-	m.settled = true
-	c.unsettled--
-	c.dirty = true
-	if c.unsettled > 0 {
+	m.reconciled = true
+	c.unreconciled--
+	c.needsPlacement = true
+	if c.unreconciled > 0 {
 		return
 	}
 	// Every place has been heard of or is over: what was not seen runs nowhere.
-	c.note("takeover settled")
+	c.log("takeover settled")
 	for _, j := range c.jobs {
-		c.unhold(j)
+		c.clearUnaccounted(j)
 	}
 }
 
-func (c *Core) unhold(j *job) {
-	if !j.held {
+func (c *Core) clearUnaccounted(j *job) {
+	if !j.unaccounted {
 		return
 	}
-	j.held = false
-	c.dirty = true
-	c.closeIfOver(j)
+	j.unaccounted = false
+	c.needsPlacement = true
+	c.cleanUpCancelled(j)
 }
 
 // Raised says that the leader's key was written again and what the token is now.
-func (c *Core) Raised(now Micros, token uint64) {
-	c.raising = 0
+func (c *Core) TokenRaised(now Micros, token uint64) {
+	c.nextTokenRaiseAt = 0
 	if token > c.token {
-		c.note("token raised", "from", c.token, "to", token)
-		c.token, c.attempts = token, 0
-		c.wantRaise = false
-		for _, m := range c.order {
+		c.log("token raised", "from", c.token, "to", token)
+		c.token, c.attemptCount = token, 0
+		c.tokenRaiseWanted = false
+		for _, m := range c.sortedMachines {
 			// Others see the token with their next beat, which is soon enough.
-			if m.hasLate() {
-				c.probe(m)
+			if m.hasUnansweredStart() {
+				c.queueProbe(m)
 			}
 		}
 	}
 }
 
 func (c *Core) nextAttempt() uint64 {
-	c.attempts++
+	c.attemptCount++
 	// A token is never given twice, so neither is an attempt, by any leader.
-	return c.token<<24 | c.attempts
+	return c.token<<24 | c.attemptCount
 }
--- a/internal/core/term.go
+++ b/internal/core/term.go
@@ -2,25 +2,25 @@
 
 // The steady clocks of two machines drift apart by at most 0.05%; twice that
 // covers a duration measured on one and compared on the other.
-const driftParts = 1000
+const clockDriftDivisor = 1000
 
 // LeaseUntil says until when a lease in the state service is certainly alive
 // by the holder's own clock: counted from when the last successful renewal was
 // sent, less the drift and a margin for what happens between the check and the
 // packet leaving.
-func LeaseUntil(sent, ttl Micros) Micros {
-	return sent + ttl - ttl/driftParts - 50*Millisecond
+func LeaseValidUntil(sent, ttl Micros) Micros {
+	return sent + ttl - ttl/clockDriftDivisor - 50*Millisecond
 }
 
 // leaseOver says when a worker's lease has certainly run out, given when it
 // was last answered: the worker counts from when it sent the report, which is
 // earlier, so this is safe by the network's delay as well.
-func (c *Core) leaseOver(answered Micros) Micros {
-	return answered + c.cfg.Lease + c.cfg.Lease/driftParts + 300*Millisecond
+func (c *Core) leaseExpiry(answered Micros) Micros {
+	return answered + c.cfg.WorkerLease + c.cfg.WorkerLease/clockDriftDivisor + 300*Millisecond
 }
 
 // resignAfter is for how long no worker can have been silent by chance.
-func resignAfter(reportGap Micros) Micros { return 2*reportGap + Second }
+func resignTimeout(reportGap Micros) Micros { return 2*reportGap + Second }
 
 // ShouldResign reports whether a leader should give the term up: no worker has
 // reached it for longer than all of them can have been silent by chance, while
@@ -28,8 +28,8 @@
 // Where workers reached it in this term and none took what it answered, they are deaf
 // and go from node to node: no other leader would be better off.
 func ShouldResign(now, begun, lastBeat, reportGap Micros, peerHears, taken bool) bool {
-	return peerHears && now-max(begun, lastBeat) > resignAfter(reportGap) && (taken || lastBeat <= begun)
+	return peerHears && now-max(begun, lastBeat) > resignTimeout(reportGap) && (taken || lastBeat <= begun)
 }
 
 // Taken reports whether any machine took an answer of this term.
-func (c *Core) Taken() bool { return c.taken }
+func (c *Core) TokenAcknowledged() bool { return c.tokenAcknowledged }
