--- a/internal/core/term_test.go
+++ b/internal/core/term_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // TestLeaseUntil: a leader stops before its lease can be over by another clock.
-func TestLeaseUntil(t *testing.T) {
-	if got := LeaseUntil(10*Second, 3*Second); got >= 13*Second || got < 12*Second {
+func TestLeaseValidUntil(t *testing.T) {
+	if got := LeaseValidUntil(10*Second, 3*Second); got >= 13*Second || got < 12*Second {
 		t.Errorf("acts until %d", got)
 	}
 }
@@ -39,41 +39,44 @@
 func TestLostMachine(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		event func(w *world, f *fake)
+		event func(w *world, f *fakeWorker)
 		moved bool
 	}{
-		{"silent for less than the lease", func(w *world, f *fake) { w.pass(15 * Second) }, false},
-		{"lease over", func(w *world, f *fake) { w.pass(17 * Second) }, true},
-		{"new session", func(w *world, f *fake) {
-			f.r.Session, f.r.Tasks = 2, nil
-			f.r.Seq++
-			r := f.r
-			w.c.Beat(w.now, &r)
+		{"silent for less than the lease", func(w *world, f *fakeWorker) { w.advance(15 * Second) }, false},
+		{"lease over", func(w *world, f *fakeWorker) { w.advance(17 * Second) }, true},
+		{"new session", func(w *world, f *fakeWorker) {
+			f.status.Session, f.status.Tasks = 2, nil
+			f.status.Seq++
+			r := f.status
+			w.c.HandleReport(w.now, &r)
 			w.step()
 		}, true},
-		{"older report", func(w *world, f *fake) {
-			r := f.r
+		{"older report", func(w *world, f *fakeWorker) {
+			r := f.status
 			r.Seq, r.Tasks = 1, nil
-			w.c.Beat(w.now, &r)
+			w.c.HandleReport(w.now, &r)
 			w.step()
 		}, false},
-		{"return not answered", func(w *world, f *fake) { w.c.Returned(w.now, []string{"n-1"}, false); w.step() }, false},
-		{"return answered", func(w *world, f *fake) { w.c.Returned(w.now, []string{"n-1"}, true); w.step() }, true},
-		{"listed as failed", func(w *world, f *fake) { w.c.Listed(w.now, []Listed{{Name: "n-1", Failed: true}}); w.step() }, true},
-		{"missing from the late list", func(w *world, f *fake) { w.c.Listed(w.now, nil); w.step() }, false},
+		{"return not answered", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, false); w.step() }, false},
+		{"return answered", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, true); w.step() }, true},
+		{"listed as failed", func(w *world, f *fakeWorker) {
+			w.c.HandleMachineList(w.now, []ListedMachine{{Name: "n-1", Failed: true}})
+			w.step()
+		}, true},
+		{"missing from the late list", func(w *world, f *fakeWorker) { w.c.HandleMachineList(w.now, nil); w.step() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, blue)
-			w.begin(100, nil, Snapshot{})
-			f := w.machine("n-1", "a").beat()
+			w.beginTerm(100, nil, Snapshot{})
+			f := w.newWorker("n-1", "a").report()
 			w.submit(JobSpec{ID: "job-1", Tasks: 1})
-			f.direct()
-			f.beat()
-			w.want("runs", f.live(), "job-1/0 ")
+			f.executeDirect()
+			f.report()
+			w.want("runs", f.liveTasks(), "job-1/0 ")
 			w.sent = nil
 			c.event(w, f)
 			p := w.c.jobs["job-1"].live[0]
-			w.want("moved", p == nil || p.m.name != "n-1" || p.attempt != w.c.token<<24|1, c.moved)
+			w.want("moved", p == nil || p.machine.name != "n-1" || p.attempt != w.c.token<<24|1, c.moved)
 		})
 	}
 }
@@ -84,23 +87,23 @@
 // nothing before it reports again (TestMuteMachine).
 func TestSessionLease(t *testing.T) {
 	w := newWorld(t, blue)
-	w.begin(100, nil, Snapshot{})
-	f := w.machine("n-1", "a").beat()
-	w.pass(15 * Second)
+	w.beginTerm(100, nil, Snapshot{})
+	f := w.newWorker("n-1", "a").report()
+	w.advance(15 * Second)
 	// A direct command is refused: the worker has begun its next session.
-	r := f.r
+	r := f.status
 	r.Session, r.Seq = 2, 1
-	w.c.Commanded(w.now, "n-1", 100, Refused, &r)
-	f.r = r
+	w.c.CommandResult(w.now, "n-1", 100, Refused, &r)
+	f.status = r
 	w.submit(JobSpec{ID: "job-1", Tasks: 1})
-	f.direct()
-	w.want("started directly", f.live(), "")
-	w.want("its lease counts from", w.c.machines["n-1"].answered, w.now)
+	f.executeDirect()
+	w.want("started directly", f.liveTasks(), "")
+	w.want("its lease counts from", w.c.machines["n-1"].lastAcknowledged, w.now)
 	for range 5 {
-		w.pass(3 * Second)
-		f.direct()
+		w.advance(3 * Second)
+		f.executeDirect()
 		w.want("lost", w.c.machines["n-1"].lost, false)
 	}
-	w.pass(3 * Second)
+	w.advance(3 * Second)
 	w.want("lost, its lease is over", w.c.machines["n-1"].lost, true)
 }
--- a/internal/core/twice_test.go
+++ b/internal/core/twice_test.go
@@ -12,7 +12,7 @@
 // it, and as soon as the other had shown that it was empty, it was started a second time
 // beside it.
 func TestTaskOnTwoMachines(t *testing.T) {
-	spec := JobSpec{ID: "job-1", Tasks: 1, Team: "blue", Need: Res{2000, 0, 2000}, Image: "im"}
+	spec := JobSpec{ID: "job-1", Tasks: 1, Team: "blue", Request: Resources{2000, 0, 2000}, Image: "im"}
 	const earlier, later = 90<<24 | 1, 95<<24 | 1
 	for _, c := range []struct {
 		what      string
@@ -27,22 +27,22 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
-			w.begin(100, []JobRecord{{Spec: spec, Stamp: 3}}, Snapshot{Machines: recorded("n-1", "n-2", "n-3"), Open: []string{"job-1"}})
-			left, has, third := w.machine("n-1", "a"), w.machine("n-2", "a"), w.machine("n-3", "a")
-			for _, f := range []*fake{left, has, third} {
-				f.r.Token = 99
+			w.beginTerm(100, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{MachineGroups: recordedMachines("n-1", "n-2", "n-3"), Started: []string{"job-1"}})
+			left, has, third := w.newWorker("n-1", "a"), w.newWorker("n-2", "a"), w.newWorker("n-3", "a")
+			for _, f := range []*fakeWorker{left, has, third} {
+				f.status.Token = 99
 			}
 			w.sent = nil // probes are under way
-			old := left.r
+			old := left.status
 			old.Seq, old.Tasks = 5, []TaskReport{{Job: "job-1", Index: 0, Attempt: c.copied, State: Running}}
-			copied := func() { w.c.Beat(w.now, &old); w.step() }
-			has.r.Tasks = []TaskReport{{Job: "job-1", Index: 0, Attempt: later, State: Running}}
-			has.lossy = true // what it is told is held up
+			copied := func() { w.c.HandleReport(w.now, &old); w.step() }
+			has.status.Tasks = []TaskReport{{Job: "job-1", Index: 0, Attempt: later, State: Running}}
+			has.losesCommands = true // what it is told is held up
 			show := func() {
-				has.r.Seq++
-				r := has.r
-				r.Tasks = append([]TaskReport(nil), has.r.Tasks...)
-				w.c.Beat(w.now, &r)
+				has.status.Seq++
+				r := has.status
+				r.Tasks = append([]TaskReport(nil), has.status.Tasks...)
+				w.c.HandleReport(w.now, &r)
 				w.step()
 			}
 			if c.copyFirst {
@@ -52,30 +52,30 @@
 			if !c.copyFirst {
 				copied()
 			}
-			has.r.Token = 100
+			has.status.Token = 100
 			show()
-			left.r.Seq, left.r.Token = 9, 100
-			left.beat()
-			third.r.Token = 100
-			third.beat()
+			left.status.Seq, left.status.Token = 9, 100
+			left.report()
+			third.status.Token = 100
+			third.report()
 			for range 5 {
-				w.pass(Second / 2)
-				third.direct()
-				left.direct()
+				w.advance(Second / 2)
+				third.executeDirect()
+				left.executeDirect()
 				show()
 			}
-			w.want("settled", w.c.unsettled, 0)
-			w.want("on other machines", left.live()+third.live(), "")
-			w.want("counted", w.c.team("blue").used, Res{2000, 0, 2000})
+			w.want("settled", w.c.unreconciled, 0)
+			w.want("on other machines", left.liveTasks()+third.liveTasks(), "")
+			w.want("counted", w.c.team("blue").used, Resources{2000, 0, 2000})
 			p := w.c.jobs["job-1"].live[0]
-			w.want("goes on", p != nil && p.m.name == "n-2" && !p.unwanted, c.goesOn)
+			w.want("goes on", p != nil && p.machine.name == "n-2" && !p.stopRequested, c.goesOn)
 			if !c.goesOn { // it was told to stop, and does: now it may start
-				has.exit(0, CauseStopped)
+				has.exitTask(0, CauseStopped)
 				show()
-				w.pass(Second)
-				third.direct()
-				left.direct()
-				w.want("started again", fmt.Sprint(w.c.jobs["job-1"].on), "1")
+				w.advance(Second)
+				third.executeDirect()
+				left.executeDirect()
+				w.want("started again", fmt.Sprint(w.c.jobs["job-1"].occupying), "1")
 			}
 		})
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -47,36 +47,40 @@
 }
 
 // Res is an amount of each resource, in thousandths.
-type Res struct{ CPU, GPU, Mem int64 }
+type Resources struct{ CPU, GPU, Mem int64 }
 
 // Add returns r+o.
-func (r Res) Add(o Res) Res { return Res{r.CPU + o.CPU, r.GPU + o.GPU, r.Mem + o.Mem} }
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.CPU + o.CPU, r.GPU + o.GPU, r.Mem + o.Mem}
+}
 
 // Sub returns r-o.
-func (r Res) Sub(o Res) Res { return Res{r.CPU - o.CPU, r.GPU - o.GPU, r.Mem - o.Mem} }
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.CPU - o.CPU, r.GPU - o.GPU, r.Mem - o.Mem}
+}
 
 // Times returns n times r.
-func (r Res) Times(n int) Res {
-	return Res{r.CPU * int64(n), r.GPU * int64(n), r.Mem * int64(n)}
+func (r Resources) Times(n int) Resources {
+	return Resources{r.CPU * int64(n), r.GPU * int64(n), r.Mem * int64(n)}
 }
 
 // Fits reports whether r is within o in every resource.
-func (r Res) Fits(o Res) bool { return r.CPU <= o.CPU && r.GPU <= o.GPU && r.Mem <= o.Mem }
+func (r Resources) Fits(o Resources) bool { return r.CPU <= o.CPU && r.GPU <= o.GPU && r.Mem <= o.Mem }
 
 // most and least combine r and o by resource.
-func (r Res) most(o Res) Res {
-	return Res{max(r.CPU, o.CPU), max(r.GPU, o.GPU), max(r.Mem, o.Mem)}
+func (r Resources) max(o Resources) Resources {
+	return Resources{max(r.CPU, o.CPU), max(r.GPU, o.GPU), max(r.Mem, o.Mem)}
 }
-func (r Res) least(o Res) Res {
-	return Res{min(r.CPU, o.CPU), min(r.GPU, o.GPU), min(r.Mem, o.Mem)}
+func (r Resources) min(o Resources) Resources {
+	return Resources{min(r.CPU, o.CPU), min(r.GPU, o.GPU), min(r.Mem, o.Mem)}
 }
 
-func (r Res) scaled(by float64) Res {
-	return Res{int64(float64(r.CPU) * by), int64(float64(r.GPU) * by), int64(float64(r.Mem) * by)}
+func (r Resources) scaled(by float64) Resources {
+	return Resources{int64(float64(r.CPU) * by), int64(float64(r.GPU) * by), int64(float64(r.Mem) * by)}
 }
 
 // share is the part of o that r takes, by the resource of which it takes most.
-func (r Res) share(o Res) float64 {
+func (r Resources) dominantShare(o Resources) float64 {
 	most := 0.0
 	for _, p := range [3][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Mem, o.Mem}} {
 		if p[1] > 0 {
@@ -87,7 +91,7 @@
 }
 
 // copies says how many of r fit into o.
-func (r Res) copies(o Res) int {
+func (r Resources) countIn(o Resources) int {
 	n := int64(1 << 30)
 	for _, p := range [3][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Mem, o.Mem}} {
 		if p[0] > 0 {
@@ -99,37 +103,37 @@
 
 // JobSpec is what a user asked for.
 type JobSpec struct {
-	ID         string
-	Class      string
-	Team       string
-	Kind       Kind
-	Priority   Priority
-	Tasks      int
-	Need       Res // of each task
-	Types      []string
-	Zone       string // "" for any
-	OneZone    bool
-	Spread     bool
-	Spot       bool
-	Image      string
-	ImageMB    int64
-	Estimate   Micros
-	Checkpoint Micros // interval; 0: the task never saves
-	SaveCost   Micros
-	Due        Micros // after submission; 0: no deadline
+	ID                 string
+	Class              string
+	Team               string
+	Kind               Kind
+	Priority           Priority
+	Tasks              int
+	Request            Resources // of each task
+	Types              []string
+	Zone               string // "" for any
+	OneZone            bool
+	Spread             bool
+	Spot               bool
+	Image              string
+	ImageMB            int64
+	EstimatedRun       Micros
+	CheckpointInterval Micros // interval; 0: the task never saves
+	CheckpointCost     Micros
+	Deadline           Micros // after submission; 0: no deadline
 }
 
 // What a job may ask for, whatever form it is submitted in.
 const (
-	MaxTasks   = 100_000
-	MaxAmount  = 1e6 // of a resource, for a task
-	MaxSeconds = 1e8
-	MaxName    = 200 // bytes
+	MaxTasks        = 100_000
+	MaxTaskResource = 1e6 // of a resource, for a task
+	MaxSeconds      = 1e8
+	MaxNameBytes    = 200 // bytes
 )
 
 // Amount turns an amount that is asked for into thousandths. It rounds up, so
 // that a request is never taken for less than it is.
-func Amount(f float64) int64 { return int64(math.Ceil(f*1000 - 1e-6)) }
+func MilliUnits(f float64) int64 { return int64(math.Ceil(f*1000 - 1e-6)) }
 
 // Phase is what a user is told of a job.
 type Phase uint8
@@ -143,34 +147,34 @@
 
 // JobRecord is a job as the state service keeps it.
 type JobRecord struct {
-	Spec      JobSpec
-	Phase     Phase
-	Submitted Micros // wall clock
-	Stamp     uint64 // revision of the record
+	Spec        JobSpec
+	Phase       Phase
+	SubmittedAt Micros // wall clock
+	Revision    uint64 // revision of the record
 	// Born is the revision at which the job was accepted, once the record has
 	// another, and Ended when that was, by the wall clock.
-	Born  uint64
-	Ended Micros
+	AcceptedRevision uint64
+	EndedAt          Micros
 }
 
 // Final is the record of the job once it has ended.
 func (r JobRecord) Final(p Phase, wall Micros) JobRecord {
-	if r.Born == 0 {
-		r.Born = r.Stamp
+	if r.AcceptedRevision == 0 {
+		r.AcceptedRevision = r.Revision
 	}
-	r.Phase, r.Ended = p, wall
+	r.Phase, r.EndedAt = p, wall
 	return r
 }
 
 // MachineType is a row of the cloud's catalog.
 type MachineType struct {
 	Name      string
-	Cap       Res
+	Capacity  Resources
 	CacheMB   int64
 	FetchMBps int64
 	Price     float64 // an hour
 	SpotPrice float64
-	Boot      Micros
+	BootTime  Micros
 	Zones     []string
 }
 
@@ -178,7 +182,7 @@
 // means no maximum for that resource.
 type Team struct {
 	Name     string
-	Min, Max Res
+	Min, Max Resources
 }
 
 // TaskState is a task's state on its machine, as its worker reports it.
@@ -187,9 +191,9 @@
 // The task states.
 const (
 	Fetching TaskState = iota
-	Waiting
+	WaitingForPeers
 	Running
-	Saving
+	Checkpointing
 	Exited
 )
 
@@ -200,36 +204,36 @@
 const (
 	CauseDone Cause = iota
 	CauseStopped
-	CausePeers
-	CauseAlone
+	CausePeersLost
+	CausePeersMissing
 	CauseError
-	CauseNoRoom
-	CauseBusy
-	CauseUnknown
+	CauseNoCapacity
+	CauseAlreadyPresent
+	CauseUnknownTask
 )
 
 // TaskReport is a task in a worker's report.
 type TaskReport struct {
-	Job     string
-	Index   int
-	Attempt uint64
-	State   TaskState
-	Cause   Cause
-	Saved   bool
+	Job          string
+	Index        int
+	Attempt      uint64
+	State        TaskState
+	Cause        Cause
+	Checkpointed bool
 }
 
 // Report is a worker's report.
 type Report struct {
-	Machine string
-	Address string
-	Type    string
-	Zone    string
-	Spot    bool
-	Session uint64
-	Seq     uint64
-	Token   uint64
-	Notice  Micros // -1: none
-	Tasks   []TaskReport
+	Machine    string
+	Address    string
+	Type       string
+	Zone       string
+	Spot       bool
+	Session    uint64
+	Seq        uint64
+	Token      uint64
+	SpotNotice Micros // -1: none
+	Tasks      []TaskReport
 }
 
 // Op is a command's verb.
@@ -244,21 +248,21 @@
 
 // Command is a command to a worker.
 type Command struct {
-	Op      Op
-	Job     string
-	Index   int
-	Attempt uint64
-	Grace   Micros
+	Op          Op
+	Job         string
+	Index       int
+	Attempt     uint64
+	GracePeriod Micros
 }
 
 // Config is what the core knows from the settings.
 type Config struct {
-	Teams []Team
-	Lease Micros // a worker's lease
+	Teams       []Team
+	WorkerLease Micros // a worker's lease
 	// PlacePause is the least time between two passes over the queue: what comes
 	// meanwhile shares the next one.
-	PlacePause Micros
-	ReportGap  Micros
+	PlacementInterval Micros
+	ReportInterval    Micros
 	// LeaderLease is how long a leader leads without the state service.
 	LeaderLease Micros
 	// AnswerGrace is how long at most workers are answered, without commands,
@@ -268,34 +272,34 @@
 	AnswerGrace Micros
 	// Blind is for how long after a cancellation a machine's lease may be renewed on
 	// which the job's tasks may still be, or be started by a command under way.
-	Blind       Micros
-	ReturnPause Micros // between two returns of machines
-	ListLag     Micros // the cloud's list is late by this, or by twice as much
-	ChunkSize   int    // tasks in one record of finished ranges
+	MaxCancelStaleness Micros
+	ReleaseInterval    Micros // between two returns of machines
+	ListLag            Micros // the cloud's list is late by this, or by twice as much
+	ChunkSize          int    // tasks in one record of finished ranges
 	// RecordPause lets machines that come up shortly after one another share a
 	// write.
-	RecordPause Micros
+	RecordInterval Micros
 	// ValueBytes is how much a record may hold, as JSON.
-	ValueBytes int
+	MaxRecordBytes int
 	// MachinesPerRecord is how many machines share one record.
 	MachinesPerRecord int
-	StartWithin       map[string][]Micros // aims for how soon a class's tasks start, the earliest first
-	LateTimes         float64             // a late job is still worth something within this many times its due time
+	StartObjectives   map[string][]Micros // aims for how soon a class's tasks start, the earliest first
+	LateFactor        float64             // a late job is still worth something within this many times its due time
 	Tuning            Tuning
 }
 
 // Tuning is what operators may set; see docs/OPERATION.md.
 type Tuning struct {
-	Idle         Micros // an idle machine is returned after this
-	RefusalPause Micros // an offer that was refused rests this long
-	Hold         Micros // what was used at a peak is held for about this long
-	Quarantine   Micros // a machine that fails starts rests this long
-	Suspect      Micros // a silent machine is probed after this
-	SpareTasks   int    // service tasks that room is kept for, per zone
+	IdleTimeout      Micros // an idle machine is returned after this
+	RefusalBackoff   Micros // an offer that was refused rests this long
+	ReservationDecay Micros // what was used at a peak is held for about this long
+	Quarantine       Micros // a machine that fails starts rests this long
+	SuspectAfter     Micros // a silent machine is probed after this
+	SpareTasks       int    // service tasks that room is kept for, per zone
 }
 
 // Listed is a machine in the cloud's list.
-type Listed struct {
+type ListedMachine struct {
 	Name    string
 	Address string
 	Type    string
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -9,42 +9,42 @@
 // world is a core with a clock and with workers that do what they are told, so
 // that a case reads as what happens and what is to follow.
 type world struct {
-	t     *testing.T
-	c     *Core
-	now   Micros
-	sent  []SendCommands
-	rents []Rent
-	backs []Return
-	puts  map[string]any // what was written
-	drops map[string]bool
-	notes []string
-	raise int
+	t           *testing.T
+	c           *Core
+	now         Micros
+	sent        []SendCommands
+	rentals     []Rent
+	releases    []Release
+	puts        map[string]any // what was written
+	deletes     map[string]bool
+	logs        []string
+	tokenRaises int
 	// failWrites makes writes fail, as in an outage; with failKey, only those
 	// of keys that begin with it.
-	failWrites bool
-	failKey    string
-	failAs     WriteOutcome
-	hold       string // writes of keys that begin with it get no answer
-	held       []uint64
+	failWrites  bool
+	failPrefix  string
+	failOutcome WriteOutcome
+	holdPrefix  string // writes of keys that begin with it get no answer
+	heldWrites  []uint64
 }
 
 var testTypes = []MachineType{
-	{Name: "m", Cap: Res{8000, 0, 32000}, CacheMB: 50000, FetchMBps: 1000, Price: 1, SpotPrice: 0.4, Boot: 20 * Second, Zones: []string{"a", "b"}},
-	{Name: "g", Cap: Res{8000, 2000, 32000}, CacheMB: 50000, FetchMBps: 1000, Price: 3, SpotPrice: 1, Boot: 20 * Second, Zones: []string{"a"}},
+	{Name: "m", Capacity: Resources{8000, 0, 32000}, CacheMB: 50000, FetchMBps: 1000, Price: 1, SpotPrice: 0.4, BootTime: 20 * Second, Zones: []string{"a", "b"}},
+	{Name: "g", Capacity: Resources{8000, 2000, 32000}, CacheMB: 50000, FetchMBps: 1000, Price: 3, SpotPrice: 1, BootTime: 20 * Second, Zones: []string{"a"}},
 }
 
 func newWorld(t *testing.T, teams ...Team) *world {
 	c := New(Config{
-		Teams: teams, Lease: 16 * Second, Blind: 25 * Second, ReportGap: 3 * Second, ListLag: 4 * Second, ChunkSize: 16, MachinesPerRecord: 4,
-		Tuning: Tuning{Idle: 10 * Second, RefusalPause: 15 * Second, Quarantine: 60 * Second, Suspect: 7 * Second, SpareTasks: 0},
+		Teams: teams, WorkerLease: 16 * Second, MaxCancelStaleness: 25 * Second, ReportInterval: 3 * Second, ListLag: 4 * Second, ChunkSize: 16, MachinesPerRecord: 4,
+		Tuning: Tuning{IdleTimeout: 10 * Second, RefusalBackoff: 15 * Second, Quarantine: 60 * Second, SuspectAfter: 7 * Second, SpareTasks: 0},
 	})
-	w := &world{t: t, c: c, now: Second, puts: map[string]any{}, drops: map[string]bool{}, failAs: WriteRefused}
-	c.Catalog(testTypes)
+	w := &world{t: t, c: c, now: Second, puts: map[string]any{}, deletes: map[string]bool{}, failOutcome: WriteRefused}
+	c.SetCatalog(testTypes)
 	return w
 }
 
-func (w *world) begin(token uint64, jobs []JobRecord, snap Snapshot) {
-	w.c.Begin(w.now, w.now, token, jobs, snap)
+func (w *world) beginTerm(token uint64, jobs []JobRecord, snap Snapshot) {
+	w.c.BeginTerm(w.now, w.now, token, jobs, snap)
 	w.step()
 }
 
@@ -60,52 +60,52 @@
 			case SendCommands:
 				w.sent = append(w.sent, a)
 			case Rent:
-				w.rents = append(w.rents, a)
-			case Return:
-				w.backs = append(w.backs, a)
+				w.rentals = append(w.rentals, a)
+			case Release:
+				w.releases = append(w.releases, a)
 			case RaiseToken:
-				w.raise++
-			case Note:
-				w.notes = append(w.notes, a.Text)
+				w.tokenRaises++
+			case LogEntry:
+				w.logs = append(w.logs, a.Message)
 			case Write:
-				if w.hold != "" && len(a.Puts) > 0 && strings.HasPrefix(a.Puts[0].Key, w.hold) {
-					w.held = append(w.held, a.ID)
+				if w.holdPrefix != "" && len(a.Puts) > 0 && strings.HasPrefix(a.Puts[0].Key, w.holdPrefix) {
+					w.heldWrites = append(w.heldWrites, a.ID)
 					continue
 				}
 				fail := w.failWrites
 				for _, p := range a.Puts {
-					fail = fail || w.failKey != "" && strings.HasPrefix(p.Key, w.failKey)
+					fail = fail || w.failPrefix != "" && strings.HasPrefix(p.Key, w.failPrefix)
 				}
 				if !fail {
 					for _, p := range a.Puts {
-						if r, ok := p.Value.(KeptRecord); ok {
-							r.Key, r.Began = p.Key, w.now-r.Ago
+						if r, ok := p.Value.(PartitionRecord); ok {
+							r.Key, r.BeganAt = p.Key, w.now-r.Elapsed
 							p.Value = r
 						}
 						w.puts[p.Key] = p.Value
 					}
-					for _, k := range a.Drops {
-						w.drops[k] = true
+					for _, k := range a.Deletes {
+						w.deletes[k] = true
 					}
 				}
 				o := Stored
 				if fail {
-					o = w.failAs
+					o = w.failOutcome
 				}
-				w.c.Written(w.now, a.ID, o)
+				w.c.WriteResult(w.now, a.ID, o)
 			}
 		}
 	}
 }
 
-func (w *world) pass(d Micros) {
+func (w *world) advance(d Micros) {
 	w.now += d
 	w.step()
 }
 
 func (w *world) submit(s JobSpec) {
-	if s.Need == (Res{}) {
-		s.Need = Res{2000, 0, 2000}
+	if s.Request == (Resources{}) {
+		s.Request = Resources{2000, 0, 2000}
 	}
 	if s.Image == "" {
 		s.Image = "im"
@@ -113,78 +113,78 @@
 	if s.Team == "" {
 		s.Team = "blue"
 	}
-	w.c.Job(w.now, w.now, JobRecord{Spec: s, Submitted: w.now, Stamp: 5})
+	w.c.UpdateJob(w.now, w.now, JobRecord{Spec: s, SubmittedAt: w.now, Revision: 5})
 	w.step()
 }
 
 func (w *world) cancel(id string) {
-	rec := w.c.jobs[id].rec
+	rec := w.c.jobs[id].record
 	rec.Phase = Cancelled
-	w.c.Job(w.now, w.now, rec)
+	w.c.UpdateJob(w.now, w.now, rec)
 	w.step()
 }
 
 // fake is a worker as the core sees it.
-type fake struct {
-	w     *world
-	r     Report
-	cmds  []Command // from the answer to the last beat
-	lossy bool      // direct commands go unanswered
-	slow  bool      // what is started has to fetch its image
+type fakeWorker struct {
+	w             *world
+	status        Report
+	replyCommands []Command // from the answer to the last beat
+	losesCommands bool      // direct commands go unanswered
+	fetchesImage  bool      // what is started has to fetch its image
 }
 
-func (w *world) machine(name, zone string) *fake {
-	return &fake{w: w, r: Report{Machine: name, Address: name + ":1", Type: "m", Zone: zone, Session: 1, Token: w.c.token, Notice: -1}}
+func (w *world) newWorker(name, zone string) *fakeWorker {
+	return &fakeWorker{w: w, status: Report{Machine: name, Address: name + ":1", Type: "m", Zone: zone, Session: 1, Token: w.c.token, SpotNotice: -1}}
 }
 
 // beat reports and executes the commands of the answer.
-func (f *fake) beat() *fake {
-	f.r.Seq++
-	r := f.r
-	r.Tasks = append([]TaskReport(nil), f.r.Tasks...)
-	cmds, token, ok := f.w.c.Beat(f.w.now, &r)
+func (f *fakeWorker) report() *fakeWorker {
+	f.status.Seq++
+	r := f.status
+	r.Tasks = append([]TaskReport(nil), f.status.Tasks...)
+	cmds, token, ok := f.w.c.HandleReport(f.w.now, &r)
 	if !ok {
 		f.w.t.Fatal("beat refused")
 	}
-	f.r.Token = max(f.r.Token, token)
-	f.cmds = cmds
+	f.status.Token = max(f.status.Token, token)
+	f.replyCommands = cmds
 	f.execute(cmds)
 	f.w.step()
-	f.direct()
+	f.executeDirect()
 	return f
 }
 
 // rounds lets all workers report so many times, a second apart.
-func (w *world) rounds(n int, fs []*fake) {
+func (w *world) reportRounds(n int, fs []*fakeWorker) {
 	for range n {
-		w.pass(Second)
+		w.advance(Second)
 		for _, f := range fs {
-			f.direct()
-			f.beat()
+			f.executeDirect()
+			f.report()
 		}
 	}
 }
 
-func (f *fake) execute(cmds []Command) {
+func (f *fakeWorker) execute(cmds []Command) {
 	for _, c := range cmds {
-		i := f.index(c.Job, c.Index, c.Attempt)
+		i := f.taskIndex(c.Job, c.Index, c.Attempt)
 		switch {
 		case c.Op == Start && i < 0:
 			state := Running
-			if f.slow {
+			if f.fetchesImage {
 				state = Fetching
 			}
-			f.r.Tasks = append(f.r.Tasks, TaskReport{Job: c.Job, Index: c.Index, Attempt: c.Attempt, State: state})
+			f.status.Tasks = append(f.status.Tasks, TaskReport{Job: c.Job, Index: c.Index, Attempt: c.Attempt, State: state})
 		case c.Op == Stop && i >= 0:
-			f.exit(i, CauseStopped)
+			f.exitTask(i, CauseStopped)
 		case c.Op == Forget && i >= 0:
-			f.r.Tasks = append(f.r.Tasks[:i], f.r.Tasks[i+1:]...)
+			f.status.Tasks = append(f.status.Tasks[:i], f.status.Tasks[i+1:]...)
 		}
 	}
 }
 
-func (f *fake) index(job string, index int, attempt uint64) int {
-	for i, t := range f.r.Tasks {
+func (f *fakeWorker) taskIndex(job string, index int, attempt uint64) int {
+	for i, t := range f.status.Tasks {
 		if t.Job == job && t.Index == index && t.Attempt == attempt {
 			return i
 		}
@@ -192,36 +192,38 @@
 	return -1
 }
 
-func (f *fake) exit(i int, why Cause) { f.r.Tasks[i].State, f.r.Tasks[i].Cause = Exited, why }
+func (f *fakeWorker) exitTask(i int, why Cause) {
+	f.status.Tasks[i].State, f.status.Tasks[i].Cause = Exited, why
+}
 
 // direct executes the direct commands that were sent to the worker.
-func (f *fake) direct() {
+func (f *fakeWorker) executeDirect() {
 	w := f.w
 	for n := 0; n < len(w.sent); n++ {
 		s := w.sent[n]
-		if s.Machine != f.r.Machine {
+		if s.Machine != f.status.Machine {
 			continue
 		}
 		w.sent = append(w.sent[:n], w.sent[n+1:]...)
 		n--
-		if f.lossy {
-			w.c.Commanded(w.now, s.Machine, s.Token, Unanswered, nil)
+		if f.losesCommands {
+			w.c.CommandResult(w.now, s.Machine, s.Token, Unanswered, nil)
 			continue
 		}
-		f.r.Token = max(f.r.Token, s.Token)
+		f.status.Token = max(f.status.Token, s.Token)
 		f.execute(s.Commands)
-		f.r.Seq++
-		r := f.r
-		r.Tasks = append([]TaskReport(nil), f.r.Tasks...)
-		w.c.Commanded(w.now, s.Machine, s.Token, Executed, &r)
+		f.status.Seq++
+		r := f.status
+		r.Tasks = append([]TaskReport(nil), f.status.Tasks...)
+		w.c.CommandResult(w.now, s.Machine, s.Token, Executed, &r)
 		w.step()
 		n = -1
 	}
 }
 
-func (f *fake) live() string {
+func (f *fakeWorker) liveTasks() string {
 	out := ""
-	for _, t := range f.r.Tasks {
+	for _, t := range f.status.Tasks {
 		if t.State != Exited {
 			out += fmt.Sprintf("%s/%d ", t.Job, t.Index)
 		}
@@ -236,14 +238,14 @@
 	}
 }
 
-var blue = Team{Name: "blue", Min: Res{CPU: 4000}, Max: Res{CPU: 12000}}
-var green = Team{Name: "green", Min: Res{CPU: 8000}, Max: Res{CPU: 16000}}
+var blue = Team{Name: "blue", Min: Resources{CPU: 4000}, Max: Resources{CPU: 12000}}
+var green = Team{Name: "green", Min: Resources{CPU: 8000}, Max: Resources{CPU: 16000}}
 
 // recorded is a record of machines as a former leader left it.
-func recorded(names ...string) []MachinesRecord {
-	r := MachinesRecord{Key: MachinePrefix + "50-1"}
+func recordedMachines(names ...string) []MachineGroupRecord {
+	r := MachineGroupRecord{Key: MachinePrefix + "50-1"}
 	for _, n := range names {
 		r.Machines = append(r.Machines, MachineRecord{Name: n, Address: n + ":1", Type: "m", Zone: "a"})
 	}
-	return []MachinesRecord{r}
+	return []MachineGroupRecord{r}
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -15,7 +15,7 @@
 )
 
 // Answer is what a request is answered with.
-type Answer struct {
+type Response struct {
 	Status     int
 	Body       any           // encoded unless Raw is set
 	Raw        []byte        // an encoded body
@@ -24,8 +24,8 @@
 }
 
 // Unavailable tells a user when to come back.
-func Unavailable() Answer {
-	return Answer{Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
+func Unavailable() Response {
+	return Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
 }
 
 // Service is what answers the requests; every method returns by itself before
@@ -33,10 +33,10 @@
 type Service interface {
 	// Submit takes a submission. spec is nil if it is malformed, and id then
 	// tells which job it may be a retry of.
-	Submit(ctx context.Context, id string, spec *core.JobSpec) Answer
-	Poll(ctx context.Context, id string) Answer
-	Cancel(ctx context.Context, id string) Answer
-	Report(ctx context.Context, r *core.Report) Answer
+	Submit(ctx context.Context, id string, spec *core.JobSpec) Response
+	Poll(ctx context.Context, id string) Response
+	Cancel(ctx context.Context, id string) Response
+	Report(ctx context.Context, r *core.Report) Response
 	Healthy() bool
 }
 
@@ -44,24 +44,24 @@
 const (
 	submitDeadline = 3 * time.Second
 	pollDeadline   = 1500 * time.Millisecond
-	beatDeadline   = 2 * time.Second
+	reportDeadline = 2 * time.Second
 )
 
 // Handler returns the HTTP handler for a service.
 func Handler(s Service) http.Handler {
 	h := &handler{s}
 	mux := http.NewServeMux()
-	mux.HandleFunc(wire.HealthPath, h.health)
-	mux.HandleFunc(wire.ReportPath, h.report)
-	mux.HandleFunc(wire.JobsPath, h.submit)
-	mux.HandleFunc(wire.JobsPath+"/", h.job)
+	mux.HandleFunc(wire.HealthPath, h.handleHealth)
+	mux.HandleFunc(wire.ReportPath, h.handleReport)
+	mux.HandleFunc(wire.JobsPath, h.handleSubmit)
+	mux.HandleFunc(wire.JobsPath+"/", h.handleJob)
 	return mux
 }
 
-type handler struct{ s Service }
+type handler struct{ service Service }
 
-func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
-	if h.s.Healthy() {
+func (h *handler) handleHealth(w http.ResponseWriter, _ *http.Request) {
+	if h.service.Healthy() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -70,7 +70,7 @@
 
 // body reads a request's body; ok is false if it was too long or cut short,
 // and then the request has been answered.
-func body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err == nil {
 		return b, true
@@ -82,12 +82,12 @@
 	return nil, false
 }
 
-func (h *handler) submit(w http.ResponseWriter, r *http.Request) {
+func (h *handler) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		w.WriteHeader(http.StatusMethodNotAllowed)
 		return
 	}
-	b, ok := body(w, r)
+	b, ok := readBody(w, r)
 	if !ok {
 		return
 	}
@@ -95,7 +95,7 @@
 	defer cancel()
 	spec, err := wire.ParseSubmission(b)
 	if err == nil {
-		write(w, h.s.Submit(ctx, spec.ID, &spec))
+		writeResponse(w, h.service.Submit(ctx, spec.ID, &spec))
 		return
 	}
 	id := wire.SubmissionID(b)
@@ -103,10 +103,10 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	write(w, h.s.Submit(ctx, id, nil))
+	writeResponse(w, h.service.Submit(ctx, id, nil))
 }
 
-func (h *handler) job(w http.ResponseWriter, r *http.Request) {
+func (h *handler) handleJob(w http.ResponseWriter, r *http.Request) {
 	id, end, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, wire.JobsPath+"/"), "/")
 	switch {
 	case !wire.ValidID(id):
@@ -114,17 +114,17 @@
 	case end == "" && r.Method == http.MethodGet:
 		ctx, cancel := context.WithTimeout(r.Context(), pollDeadline)
 		defer cancel()
-		write(w, h.s.Poll(ctx, id))
+		writeResponse(w, h.service.Poll(ctx, id))
 	case end == wire.CancelEnd && r.Method == http.MethodPost:
 		ctx, cancel := context.WithTimeout(r.Context(), submitDeadline)
 		defer cancel()
-		write(w, h.s.Cancel(ctx, id))
+		writeResponse(w, h.service.Cancel(ctx, id))
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-func (h *handler) report(w http.ResponseWriter, r *http.Request) {
+func (h *handler) handleReport(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16*wire.MaxBody))
 	if err != nil {
 		return
@@ -134,12 +134,12 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), beatDeadline)
+	ctx, cancel := context.WithTimeout(r.Context(), reportDeadline)
 	defer cancel()
-	write(w, h.s.Report(ctx, rep))
+	writeResponse(w, h.service.Report(ctx, rep))
 }
 
-func write(w http.ResponseWriter, a Answer) {
+func writeResponse(w http.ResponseWriter, a Response) {
 	if a.Fresh != nil && !a.Fresh() {
 		// The time between the decision and this line is the processor's to take, and
 		// a process may stand still here while others go on: a leader whose lease is
--- a/internal/netdial/shed_test.go
+++ b/internal/netdial/shed_test.go
@@ -9,7 +9,7 @@
 
 // TestShed: what comes beyond the limit is closed at once, and there is room again as soon
 // as a connection ends, however often it is closed.
-func TestShed(t *testing.T) {
+func TestShedListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -17,7 +17,7 @@
 	defer l.Close()
 	accepted := make(chan net.Conn, 10)
 	go func() {
-		s := Shed(l, 2)
+		s := ShedListener(l, 2)
 		for {
 			c, err := s.Accept()
 			if err != nil {
--- a/internal/node/answers_test.go
+++ b/internal/node/answers_test.go
@@ -16,17 +16,17 @@
 // TestRefusedUnknown: a submission that can't be accepted, and the cancellation of a job that
 // is not known, are refused by what was read when they came. A process that stood still
 // since must not say so: another node may have accepted the job meanwhile.
-func TestRefusedUnknown(t *testing.T) {
+func TestUnknownJobResponseExpires(t *testing.T) {
 	lame := &core.JobSpec{ID: "job-1", Team: "nobody", Tasks: 1}
 	for _, c := range []struct {
 		name   string
-		ask    func(n *Node, reply func(httpapi.Answer))
+		ask    func(n *Node, reply func(httpapi.Response))
 		status int
 	}{
-		{"a malformed submission", func(n *Node, reply func(httpapi.Answer)) { n.submit("job-1", nil, reply) }, http.StatusBadRequest},
-		{"one that can never run", func(n *Node, reply func(httpapi.Answer)) { n.submit("job-1", lame, reply) }, http.StatusUnprocessableEntity},
-		{"a cancellation", func(n *Node, reply func(httpapi.Answer)) { n.cancel("job-1", 3, reply) }, http.StatusNotFound},
-		{"a question", func(n *Node, reply func(httpapi.Answer)) { n.poll("job-1", reply) }, http.StatusNotFound},
+		{"a malformed submission", func(n *Node, reply func(httpapi.Response)) { n.submit("job-1", nil, reply) }, http.StatusBadRequest},
+		{"one that can never run", func(n *Node, reply func(httpapi.Response)) { n.submit("job-1", lame, reply) }, http.StatusUnprocessableEntity},
+		{"a cancellation", func(n *Node, reply func(httpapi.Response)) { n.cancel("job-1", 3, reply) }, http.StatusNotFound},
+		{"a question", func(n *Node, reply func(httpapi.Response)) { n.poll("job-1", reply) }, http.StatusNotFound},
 	} {
 		for _, k := range []struct {
 			after time.Duration
@@ -34,12 +34,12 @@
 		}{{time.Second, true}, {2 * time.Second, false}} {
 			synctest.Test(t, func(t *testing.T) {
 				n := New(&config.Platform{}, config.DefaultSettings(), slog.New(slog.DiscardHandler), nil)
-				n.view.ready, n.stateHeard = true, time.Now()
-				n.catalog = []core.MachineType{{Name: "m", Cap: core.Res{CPU: 8000}}}
-				n.syncing = true // the read is under way
-				var got *httpapi.Answer
-				c.ask(n, func(a httpapi.Answer) { got = &a })
-				for _, f := range n.waiting {
+				n.view.ready, n.lastStateResponse = true, time.Now()
+				n.catalog = []core.MachineType{{Name: "m", Capacity: core.Resources{CPU: 8000}}}
+				n.readPending = true // the read is under way
+				var got *httpapi.Response
+				c.ask(n, func(a httpapi.Response) { got = &a })
+				for _, f := range n.readWaiters {
 					f(true)
 				}
 				if got == nil || got.Status != c.status {
@@ -56,7 +56,7 @@
 
 // TestCatalogOfOthers: a node that does not lead takes a newer catalog that the leader
 // recorded: with the one that it had first it would refuse for good what the leader accepts.
-func TestCatalogOfOthers(t *testing.T) {
+func TestFollowerAppliesNewerCatalog(t *testing.T) {
 	catalog := func(cores float64) []byte {
 		raw, err := wire.Marshal(map[string]any{"breeds": []any{map[string]any{"label": "m", "cores": cores, "gpus": 0.0, "ram_gb": 64.0, "local_gb": 10.0,
 			"fetch_gb_per_s": 1.0, "rate": 1.0, "low_price": 0.5, "ready_s": 20.0, "paddocks": []any{"a"}}}})
@@ -69,36 +69,36 @@
 		}
 		return b
 	}
-	n := quietNode()
+	n := newTestNode()
 	addTeam(n, "blue", 0)
-	spec := &core.JobSpec{ID: "job-1", Team: "blue", Tasks: 1, Need: core.Res{CPU: 16000}}
+	spec := &core.JobSpec{ID: "job-1", Team: "blue", Tasks: 1, Request: core.Resources{CPU: 16000}}
 	n.applyPut(catalogKey, catalog(8), 3)
-	if n.cannotRun(spec) == "" {
+	if n.infeasibleReason(spec) == "" {
 		t.Fatal("16 CPUs fit a machine of 8")
 	}
 	n.applyPut(catalogKey, catalog(32), 9)
-	if why := n.cannotRun(spec); why != "" {
+	if why := n.infeasibleReason(spec); why != "" {
 		t.Errorf("under the newer catalog: %s", why)
 	}
 	n.applyPut(catalogKey, catalog(8), 5) // a read that overlapped
-	if why := n.cannotRun(spec); why != "" {
+	if why := n.infeasibleReason(spec); why != "" {
 		t.Errorf("after an older read: %s", why)
 	}
 }
 
 func addTeam(n *Node, name string, most float64) {
-	n.cfg.Params.Teams = append(n.cfg.Params.Teams, config.Team{Name: name, CPUsMax: most})
-	n.config.init(n.cfg, n.settings) // as if it had been in the platform's file from the beginning
+	n.platform.Params.Teams = append(n.platform.Params.Teams, config.Team{Name: name, CPUsMax: most})
+	n.clusterConfig.init(n.platform, n.settings) // as if it had been in the platform's file from the beginning
 }
 
 // TestCannotRun: a job that can never run is not accepted. One bound to a zone that there is
 // not was: it waited without end.
-func TestCannotRun(t *testing.T) {
-	n := quietNode()
+func TestInfeasibleReason(t *testing.T) {
+	n := newTestNode()
 	addTeam(n, "blue", 16)
-	n.cfg.Params.Zones = []string{"a", "b"}
-	n.catalog = []core.MachineType{{Name: "m", Cap: core.Res{CPU: 8000}}, {Name: "l", Cap: core.Res{CPU: 12000}}}
-	good := core.JobSpec{ID: "job-1", Team: "blue", Tasks: 2, Need: core.Res{CPU: 8000}}
+	n.platform.Params.Zones = []string{"a", "b"}
+	n.catalog = []core.MachineType{{Name: "m", Capacity: core.Resources{CPU: 8000}}, {Name: "l", Capacity: core.Resources{CPU: 12000}}}
+	good := core.JobSpec{ID: "job-1", Team: "blue", Tasks: 2, Request: core.Resources{CPU: 8000}}
 	for _, c := range []struct {
 		what   string
 		change func(s *core.JobSpec)
@@ -106,9 +106,9 @@
 	}{
 		{"it can", func(*core.JobSpec) {}, true},
 		{"no such team", func(s *core.JobSpec) { s.Team = "red" }, false},
-		{"no machine is as large", func(s *core.JobSpec) { s.Need.CPU = 13000 }, false},
-		{"none of its types is", func(s *core.JobSpec) { s.Need.CPU, s.Types = 12000, []string{"m"} }, false},
-		{"one of its types is", func(s *core.JobSpec) { s.Need.CPU, s.Types, s.Tasks = 12000, []string{"m", "l"}, 1 }, true},
+		{"no machine is as large", func(s *core.JobSpec) { s.Request.CPU = 13000 }, false},
+		{"none of its types is", func(s *core.JobSpec) { s.Request.CPU, s.Types = 12000, []string{"m"} }, false},
+		{"one of its types is", func(s *core.JobSpec) { s.Request.CPU, s.Types, s.Tasks = 12000, []string{"m", "l"}, 1 }, true},
 		{"no type", func(s *core.JobSpec) { s.Types = []string{} }, false},
 		{"a zone", func(s *core.JobSpec) { s.Zone = "b" }, true},
 		{"no such zone", func(s *core.JobSpec) { s.Zone = "c" }, false},
@@ -118,7 +118,7 @@
 	} {
 		s := good
 		c.change(&s)
-		if why := n.cannotRun(&s); (why == "") != c.runs {
+		if why := n.infeasibleReason(&s); (why == "") != c.runs {
 			t.Errorf("%s: %q", c.what, why)
 		}
 	}
--- a/internal/node/clusterconfig_test.go
+++ b/internal/node/clusterconfig_test.go
@@ -15,7 +15,7 @@
 // TestMayStart: a command that starts a task goes out only if the configuration by which it
 // was placed was read of late, also where the process stood still between the decision and
 // the moment in which the command leaves; others go out as long as the node leads.
-func TestMayStart(t *testing.T) {
+func TestSendCheck(t *testing.T) {
 	start, stop := []core.Command{{Op: core.Stop}, {Op: core.Start}}, []core.Command{{Op: core.Stop}, {Op: core.Forget}}
 	for _, c := range []struct {
 		name             string
@@ -32,20 +32,20 @@
 		{"does not lead", true, clusterconfig.Format, 0, false, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := quietNode()
+			n := newTestNode()
 			now := n.now()
 			if c.leads {
-				n.actUntil.Store(int64(now + 100*core.Second))
+				n.leaseValidUntil.Store(int64(now + 100*core.Second))
 			}
 			if c.head {
-				n.config.follower.Head(clusterconfig.Head{Format: c.format}, 7, nil)
+				n.clusterConfig.follower.Head(clusterconfig.Head{Format: c.format}, 7, nil)
 			}
-			n.knownAt = now - c.read
+			n.currentAsOf = now - c.read
 			n.resolveConfig()
-			if got := n.maySend(start)(); got != c.starts {
+			if got := n.sendCheck(start)(); got != c.starts {
 				t.Errorf("starts may go out: %v", got)
 			}
-			if got := n.maySend(stop)(); got != c.commands {
+			if got := n.sendCheck(stop)(); got != c.commands {
 				t.Errorf("other commands may go out: %v", got)
 			}
 		})
@@ -55,13 +55,13 @@
 // TestRefusalAsConfigChanges: a submission that could not run when it came is judged again by
 // what has been read since, and a refusal is not written once the configuration has changed:
 // the operator may have been told that it is in force.
-func TestRefusalAsConfigChanges(t *testing.T) {
-	spec := core.JobSpec{ID: "job-1", Team: "red", Tasks: 1, Need: core.Res{CPU: 1000}}
+func TestRefusalAfterConfigChange(t *testing.T) {
+	spec := core.JobSpec{ID: "job-1", Team: "red", Tasks: 1, Request: core.Resources{CPU: 1000}}
 	put := func(n *Node, teams map[string]clusterconfig.Team, stamp uint64) {
 		key := fmt.Sprint(clusterconfig.PagePrefix, stamp)
-		n.config.follower.Page(key, clusterconfig.Page{Teams: teams}, stamp)
-		n.config.follower.Head(clusterconfig.Head{Format: clusterconfig.Format, Pages: []string{key}}, stamp, nil)
-		n.knownAt = n.now()
+		n.clusterConfig.follower.Page(key, clusterconfig.Page{Teams: teams}, stamp)
+		n.clusterConfig.follower.Head(clusterconfig.Head{Format: clusterconfig.Format, Pages: []string{key}}, stamp, nil)
+		n.currentAsOf = n.now()
 		n.resolveConfig()
 	}
 	red := map[string]clusterconfig.Team{"red": {Cap: core.Production}}
@@ -76,12 +76,12 @@
 		{"its team is added before it is written", nil, red, http.StatusUnprocessableEntity, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := quietNode()
+			n := newTestNode()
 			n.view.ready = true
-			n.catalog = []core.MachineType{{Name: "m", Cap: core.Res{CPU: 8000}}}
+			n.catalog = []core.MachineType{{Name: "m", Capacity: core.Resources{CPU: 8000}}}
 			put(n, c.before, 1)
-			var got httpapi.Answer
-			n.refuseOrCreate(&spec, n.now(), func(a httpapi.Answer) { got = a })
+			var got httpapi.Response
+			n.refuseOrCreate(&spec, n.now(), func(a httpapi.Response) { got = a })
 			if c.after != nil {
 				put(n, c.after, 2)
 			}
@@ -94,16 +94,16 @@
 
 // TestEarlierPeers: a peer whose last word says nothing of configuration is of an earlier
 // version, until one that does is heard.
-func TestEarlierPeers(t *testing.T) {
-	n := quietNode()
-	n.cfg.Peers = []config.Peer{{Member: "n-1"}}
+func TestOlderVersionPeers(t *testing.T) {
+	n := newTestNode()
+	n.platform.Peers = []config.Peer{{Member: "n-1"}}
 	n.peers["n-1"] = &peerState{}
 	for i, c := range []struct {
 		format int
 		want   int
 	}{{clusterconfig.Format, 0}, {0, 1}, {0, 1}, {clusterconfig.Format, 0}} {
-		n.heardPeer(&peer.Status{Node: "n-1", Life: uint64(i), ConfigFormat: c.format})
-		if got := n.earlierPeers(); len(got) != c.want {
+		n.applyPeerStatus(&peer.Status{Node: "n-1", Incarnation: uint64(i), ConfigFormat: c.format})
+		if got := n.olderVersionPeers(); len(got) != c.want {
 			t.Errorf("after word %d: %q", i, got)
 		}
 	}
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -10,14 +10,14 @@
 
 // item is one change that succeeds or fails by itself, whatever it shares a
 // transaction with.
-type item struct {
-	term  *term // of the leader's bookkeeping: nothing of it is executed after the next began
-	conds []wire.Cond
-	ops   []wire.Write
-	size  int
-	done  func(revision uint64, err error)
-	later bool // waits while the service refuses
-	alone bool // was in a transaction that failed: tried again by itself
+type writeRequest struct {
+	term       *term // of the leader's bookkeeping: nothing of it is executed after the next began
+	conds      []wire.Cond
+	ops        []wire.Write
+	size       int
+	done       func(revision uint64, err error)
+	background bool // waits while the service refuses
+	unbatched  bool // was in a transaction that failed: tried again by itself
 }
 
 // committer groups changes into transactions within the service's limits.
@@ -27,24 +27,24 @@
 // the leader's bookkeeping goes in order, one transaction at a time, with what is left
 // then, and waits out what the service refuses.
 type committer struct {
-	n         *Node
-	urgent    []*item
-	soon      [core.Production + 1][]*item
-	later     []*item
-	urgentOut int
-	laterOut  bool
-	laterFrom core.Micros // not before this
+	n                   *Node
+	userQueue           []*writeRequest
+	taskQueues          [core.Production + 1][]*writeRequest
+	backgroundQueue     []*writeRequest
+	foregroundInFlight  int
+	backgroundInFlight  bool
+	backgroundNotBefore core.Micros // not before this
 }
 
 const (
-	maxUrgentOut = 4
-	maxSoonOut   = 3 // what tasks wait for goes only while fewer are out: one is left to users
-	maxQueued    = 1000
-	laterPause   = core.Second / 2
-	maxTxnBytes  = 40 << 10 // encoded; the limit of 64 KiB is counted as JSON
+	maxForegroundInFlight = 4
+	maxTaskWritesInFlight = 3 // what tasks wait for goes only while fewer are out: one is left to users
+	maxQueued             = 1000
+	backgroundRetryPause  = core.Second / 2
+	maxTxnBytes           = 40 << 10 // encoded; the limit of 64 KiB is counted as JSON
 )
 
-func (it *item) measure() {
+func (it *writeRequest) computeSize() {
 	for i := range it.ops {
 		it.size += len(it.ops[i].Value)*3/2 + len(it.ops[i].Put) + len(it.ops[i].Delete) + 40
 	}
@@ -52,78 +52,78 @@
 
 // addSoon queues an item of the leader's that tasks of a priority wait for; false if
 // the queue is full.
-func (c *committer) addSoon(it *item, p core.Priority) bool {
-	if len(c.soon[p]) >= maxQueued {
+func (c *committer) addTaskWrite(it *writeRequest, p core.Priority) bool {
+	if len(c.taskQueues[p]) >= maxQueued {
 		return false
 	}
-	it.measure()
-	c.soon[p] = append(c.soon[p], it)
-	c.pump()
+	it.computeSize()
+	c.taskQueues[p] = append(c.taskQueues[p], it)
+	c.dispatch()
 	return true
 }
 
 // add queues an item; false if the queue is full.
-func (c *committer) add(it *item, urgent bool) bool {
-	it.measure()
+func (c *committer) add(it *writeRequest, urgent bool) bool {
+	it.computeSize()
 	if urgent {
-		if len(c.urgent) >= maxQueued {
+		if len(c.userQueue) >= maxQueued {
 			return false
 		}
-		c.urgent = append(c.urgent, it)
+		c.userQueue = append(c.userQueue, it)
 	} else {
-		it.later = true
-		c.later = append(c.later, it)
+		it.background = true
+		c.backgroundQueue = append(c.backgroundQueue, it)
 	}
-	c.pump()
+	c.dispatch()
 	return true
 }
 
-func (c *committer) pump() {
-	for c.urgentOut < maxUrgentOut && len(c.urgent) > 0 {
-		c.urgentOut++
-		c.send(c.batch(&c.urgent), func() { c.urgentOut-- })
+func (c *committer) dispatch() {
+	for c.foregroundInFlight < maxForegroundInFlight && len(c.userQueue) > 0 {
+		c.foregroundInFlight++
+		c.send(c.nextBatch(&c.userQueue), func() { c.foregroundInFlight-- })
 	}
-	for p := len(c.soon) - 1; p >= 0; p-- {
-		for len(c.soon[p]) > 0 {
-			if c.urgentOut >= maxSoonOut || !c.n.store.Soon(c.opsOf(c.soon[p])) {
+	for p := len(c.taskQueues) - 1; p >= 0; p-- {
+		for len(c.taskQueues[p]) > 0 {
+			if c.foregroundInFlight >= maxTaskWritesInFlight || !c.n.stateClient.HasPriorityBudget(c.nextTxnOps(c.taskQueues[p])) {
 				return
 			}
-			c.urgentOut++
-			c.send(c.batch(&c.soon[p]), func() { c.urgentOut-- })
+			c.foregroundInFlight++
+			c.send(c.nextBatch(&c.taskQueues[p]), func() { c.foregroundInFlight-- })
 		}
 	}
-	if c.laterOut || len(c.later) == 0 || len(c.urgent) > 0 || c.n.now() < c.laterFrom || !c.n.store.Spare(c.n.cfg.Params.State.TxnOps) {
+	if c.backgroundInFlight || len(c.backgroundQueue) == 0 || len(c.userQueue) > 0 || c.n.now() < c.backgroundNotBefore || !c.n.stateClient.HasBackgroundBudget(c.n.platform.Params.State.TxnOps) {
 		return
 	}
-	c.laterOut = true
-	c.send(c.batch(&c.later), func() { c.laterOut = false })
+	c.backgroundInFlight = true
+	c.send(c.nextBatch(&c.backgroundQueue), func() { c.backgroundInFlight = false })
 }
 
 // opsOf says how many changes the next transaction from a queue may have.
-func (c *committer) opsOf(queue []*item) int {
+func (c *committer) nextTxnOps(queue []*writeRequest) int {
 	ops := 0
 	for _, it := range queue {
-		if ops += len(it.ops); ops >= c.n.cfg.Params.State.TxnOps {
-			return c.n.cfg.Params.State.TxnOps
+		if ops += len(it.ops); ops >= c.n.platform.Params.State.TxnOps {
+			return c.n.platform.Params.State.TxnOps
 		}
 	}
 	return ops
 }
 
 // endTerm forgets what the leader of a term that is over had to write.
-func (c *committer) endTerm() {
-	c.later = nil
-	clear(c.soon[:])
+func (c *committer) dropTermWrites() {
+	c.backgroundQueue = nil
+	clear(c.taskQueues[:])
 }
 
 // batch takes items that fit into one transaction.
-func (c *committer) batch(queue *[]*item) []*item {
-	limit := c.n.cfg.Params.State.TxnOps
-	var out []*item
+func (c *committer) nextBatch(queue *[]*writeRequest) []*writeRequest {
+	limit := c.n.platform.Params.State.TxnOps
+	var out []*writeRequest
 	ops, conds, size := 0, 1, 0 // the leader's key
 	for len(*queue) > 0 {
 		it := (*queue)[0]
-		if len(out) > 0 && (it.alone || out[0].alone || ops+len(it.ops) > limit || conds+len(it.conds) > 4*limit || size+it.size > maxTxnBytes) {
+		if len(out) > 0 && (it.unbatched || out[0].unbatched || ops+len(it.ops) > limit || conds+len(it.conds) > 4*limit || size+it.size > maxTxnBytes) {
 			break
 		}
 		out = append(out, it)
@@ -138,14 +138,14 @@
 	return out
 }
 
-func (c *committer) send(items []*item, finished func()) {
+func (c *committer) send(items []*writeRequest, finished func()) {
 	txn := &wire.Txn{If: []wire.Cond{}}
 	seen := map[wire.Cond]bool{}
 	for _, it := range items {
 		conds := it.conds
 		if it.term != nil {
 			// Its key may have been written again since the item was queued.
-			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, Version: it.term.stamp})
+			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, Version: it.term.token})
 		}
 		for _, cond := range conds {
 			if !seen[cond] {
@@ -156,49 +156,49 @@
 		txn.Then = append(txn.Then, it.ops...)
 	}
 	go func() {
-		rev, err := c.n.store.Commit(c.n.ctx, txn)
+		rev, err := c.n.stateClient.Commit(c.n.ctx, txn)
 		c.n.post(func() {
 			finished()
-			if items[0].later && errors.Is(err, statestore.ErrNotExecuted) {
+			if items[0].background && errors.Is(err, statestore.ErrNotExecuted) {
 				if items[0].term == c.n.term {
-					c.later = append(items, c.later...)
-					c.laterFrom = c.n.now() + laterPause
+					c.backgroundQueue = append(items, c.backgroundQueue...)
+					c.backgroundNotBefore = c.n.now() + backgroundRetryPause
 				}
 				return
 			}
 			if len(items) > 1 && (errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid)) {
 				// One of them is at fault: its neighbours are not to suffer.
 				for _, it := range items {
-					it.alone = true
+					it.unbatched = true
 				}
-				c.urgent = append(append([]*item(nil), items...), c.urgent...)
-				c.pump()
+				c.userQueue = append(append([]*writeRequest(nil), items...), c.userQueue...)
+				c.dispatch()
 				return
 			}
 			for _, it := range items {
 				it.done(rev, err)
 			}
-			c.pump()
+			c.dispatch()
 		})
 	}()
 }
 
 // bookkeeping queues a write of the core's.
-func (c *committer) bookkeeping(t *term, w core.Write) {
+func (c *committer) addCoreWrite(t *term, w core.Write) {
 	n := c.n
-	it := &item{term: t}
+	it := &writeRequest{term: t}
 	fail := func() {
-		n.post(func() { n.ifTerm(t, func() { n.core.Written(n.now(), w.ID, core.WriteRefused) }) })
+		n.post(func() { n.ifCurrentTerm(t, func() { n.core.WriteResult(n.now(), w.ID, core.WriteRefused) }) })
 	}
 	for i, p := range w.Puts {
 		key := p.Key
 		switch v := p.Value.(type) {
-		case core.JobDone:
+		case core.FinalRecord:
 			key = jobPrefix + v.Record.Spec.ID
-			p.Value = core.JobDone{Record: v.Record.Final(core.Done, wall())}
+			p.Value = core.FinalRecord{Record: v.Record.Final(core.Done, wallClock())}
 			w.Puts[i] = p
-		case core.KeptRecord:
-			v.Began = wall() - v.Ago
+		case core.PartitionRecord:
+			v.BeganAt = wallClock() - v.Elapsed
 			p.Value = v
 		}
 		b, err := wire.EncodeRecord(p.Value)
@@ -209,17 +209,17 @@
 		}
 		it.ops = append(it.ops, wire.Write{Put: key, Value: b})
 	}
-	for _, k := range w.Drops {
+	for _, k := range w.Deletes {
 		it.ops = append(it.ops, wire.Write{Delete: k})
 	}
 	// A job with many chunks has more keys to drop than fit: what is left over is
 	// dropped by writes of its own, once it is stored that the job is over. Dropped
 	// before, what its finished tasks are would be lost with a leader that ends then.
-	limit := n.cfg.Params.State.TxnOps
+	limit := n.platform.Params.State.TxnOps
 	rest := it.ops[min(len(it.ops), limit):]
 	it.ops = it.ops[:len(it.ops)-len(rest)]
 	if w.IfJob != "" {
-		it.conds = append(it.conds, wire.Cond{Key: jobPrefix + w.IfJob, Version: w.IfStamp})
+		it.conds = append(it.conds, wire.Cond{Key: jobPrefix + w.IfJob, Version: w.IfRevision})
 	}
 	if w.IfAbsent != "" {
 		it.conds = append(it.conds, wire.Cond{Key: w.IfAbsent})
@@ -228,19 +228,19 @@
 		if err != nil {
 			n.log.Debug("write failed", "err", err, "job", w.IfJob)
 		}
-		n.ifTerm(t, func() { n.core.Written(n.now(), w.ID, writeOutcome(err)) })
+		n.ifCurrentTerm(t, func() { n.core.WriteResult(n.now(), w.ID, writeOutcome(err)) })
 		if err == nil && w.IfJob != "" {
-			n.wroteFinal(w, rev)
+			n.applyFinalRecords(w, rev)
 		}
 		for err == nil && n.term == t && len(rest) > 0 {
 			k := min(limit, len(rest))
-			c.add(&item{term: t, ops: rest[:k], done: func(uint64, error) {}}, false)
+			c.add(&writeRequest{term: t, ops: rest[:k], done: func(uint64, error) {}}, false)
 			rest = rest[k:]
 		}
 	}
 	var ok bool
 	if w.Urgent {
-		ok = c.addSoon(it, w.Priority)
+		ok = c.addTaskWrite(it, w.Priority)
 	} else {
 		ok = c.add(it, false)
 	}
@@ -261,11 +261,11 @@
 
 // wroteFinal notes the final record of a job, so that it can be told without
 // waiting for the watch.
-func (n *Node) wroteFinal(w core.Write, rev uint64) {
+func (n *Node) applyFinalRecords(w core.Write, rev uint64) {
 	for _, p := range w.Puts {
-		if d, ok := p.Value.(core.JobDone); ok {
-			d.Record.Stamp = rev
-			n.learnJob(d.Record)
+		if d, ok := p.Value.(core.FinalRecord); ok {
+			d.Record.Revision = rev
+			n.applyJob(d.Record)
 		}
 	}
 }
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -19,110 +19,110 @@
 
 // nomad is what a node keeps of jobs that came in as job files. Its fields
 // belong to the owning goroutine.
-type nomad struct {
-	reg   *registry.Registry
-	most  int // waiters at once
-	count int
+type nomadState struct {
+	registry    *registry.Registry
+	maxWaiters  int // waiters at once
+	waiterCount int
 	// waiters by what they wait for: a job, or with an empty ID all of a team.
 	waiters map[registry.Name]map[*waiter]bool
 	// progress are waiters by native job whose counts they want.
-	progress map[string]map[*waiter]bool
+	progressWaiters map[string]map[*waiter]bool
 	// movedAt is when this node last learnt of new counts of an unfinished
 	// native job.
-	movedAt map[string]core.Micros
+	countsChangedAt map[string]core.Micros
 }
 
 // settle is how soon after a change of counts a query that waits for them is
 // answered at the latest. Counts are in no record, so they have no index, and a
 // change between two queries of a client would be missed: one that comes back
 // within this time is answered once more.
-const settle = 5 * core.Second
+const recentCountsWindow = 5 * core.Second
 
 // forgetWithin is how long a query whose client has gone waits for the owning
 // goroutine to forget it.
-const forgetWithin = 10 * time.Second
+const waiterCleanupTimeout = 10 * time.Second
 
 // waiter is a query that waits for a change.
 type waiter struct {
-	of      registry.Name
-	natives []string
-	wake    func()
+	name      registry.Name
+	nativeIDs []string
+	wake      func()
 }
 
-func newNomad(n *Node) *nomad {
+func newNomadState(n *Node) *nomadState {
 	if n.settings.Nomad == nil {
 		return nil
 	}
-	state := n.cfg.Params.State
-	return &nomad{
-		reg:     registry.New(registry.Limits{Ops: state.TxnOps, ValueLen: int(state.ValueKB * 1024)}, natives{n}),
-		most:    n.settings.Nomad.Watchers,
-		waiters: map[registry.Name]map[*waiter]bool{}, progress: map[string]map[*waiter]bool{},
-		movedAt: map[string]core.Micros{},
+	state := n.platform.Params.State
+	return &nomadState{
+		registry:   registry.New(registry.Limits{Ops: state.TxnOps, ValueLen: int(state.ValueKB * 1024)}, nativeJobs{n}),
+		maxWaiters: n.settings.Nomad.Watchers,
+		waiters:    map[registry.Name]map[*waiter]bool{}, progressWaiters: map[string]map[*waiter]bool{},
+		countsChangedAt: map[string]core.Micros{},
 	}
 }
 
 // natives tells the registry of native jobs.
-type natives struct{ n *Node }
+type nativeJobs struct{ n *Node }
 
-func (v natives) Record(id string) (core.JobRecord, bool) {
+func (v nativeJobs) Record(id string) (core.JobRecord, bool) {
 	rec, ok := v.n.view.jobs[id]
 	return rec, ok
 }
 
-func (v natives) Counts(id string) (done, running int) { return v.n.progressOf(id) }
+func (v nativeJobs) Counts(id string) (done, running int) { return v.n.jobCounts(id) }
 
 // progressOf is how far an unfinished job has come, as far as this node knows.
-func (n *Node) progressOf(id string) (done, running int) {
-	if done, running, ok := n.core.Counts(id); ok {
+func (n *Node) jobCounts(id string) (done, running int) {
+	if done, running, ok := n.core.TaskCounts(id); ok {
 		return done, running
 	}
-	k := n.counts[id]
+	k := n.leaderCounts[id]
 	return k.Done, k.Running
 }
 
 // put takes over a record that was read or written.
-func (v *nomad) put(n *Node, key string, value []byte, stamp uint64) {
+func (v *nomadState) putRecord(n *Node, key string, value []byte, stamp uint64) {
 	if v == nil {
 		return
 	}
-	name, changed, err := v.reg.Put(key, value, stamp)
+	name, changed, err := v.registry.Put(key, value, stamp)
 	if err != nil {
 		n.log.Error("record of a job file", "err", err)
 	}
 	if !changed {
 		return
 	}
-	v.wake(name)
-	if j := v.reg.Get(name); j != nil {
+	v.wakeWaiters(name)
+	if j := v.registry.Get(name); j != nil {
 		for _, g := range j.Groups {
-			v.follow(n, g.Native)
+			v.watchCounts(n, g.Native)
 		}
 	}
 }
 
 // follow has the core say when counts of an unfinished native job change.
-func (v *nomad) follow(n *Node, id string) {
+func (v *nomadState) watchCounts(n *Node, id string) {
 	rec, ok := n.view.jobs[id]
-	j, _ := v.reg.ByNative(id)
+	j, _ := v.registry.ByNative(id)
 	on := ok && j != nil && rec.Phase == core.Pending
 	n.core.Watch(id, on)
 	if !on {
-		delete(v.movedAt, id)
+		delete(v.countsChangedAt, id)
 	}
 }
 
-func (v *nomad) drop(key string, stamp uint64) {
+func (v *nomadState) dropRecord(key string, stamp uint64) {
 	if v == nil {
 		return
 	}
-	if name, changed := v.reg.Drop(key, stamp); changed {
-		v.wake(name)
+	if name, changed := v.registry.Drop(key, stamp); changed {
+		v.wakeWaiters(name)
 	}
 }
 
 // missing drops what a whole list of the records no longer holds.
-func (v *nomad) missing(entries []wire.Entry, rev uint64) {
+func (v *nomadState) dropMissing(entries []wire.Entry, rev uint64) {
 	if v == nil {
 		return
 	}
@@ -130,36 +130,36 @@
 	for i := range entries {
 		have[entries[i].Key] = true
 	}
-	for _, name := range v.reg.Missing(have, rev) {
-		v.wake(name)
+	for _, name := range v.registry.Missing(have, rev) {
+		v.wakeWaiters(name)
 	}
 }
 
 // native notes that a native job's record changed.
-func (v *nomad) native(n *Node, rec *core.JobRecord) {
+func (v *nomadState) nativeJobChanged(n *Node, rec *core.JobRecord) {
 	if v == nil {
 		return
 	}
-	v.follow(n, rec.Spec.ID)
-	if name, ok := v.reg.NativeChanged(rec.Spec.ID, rec.Stamp); ok {
-		v.wake(name)
+	v.watchCounts(n, rec.Spec.ID)
+	if name, ok := v.registry.NativeChanged(rec.Spec.ID, rec.Revision); ok {
+		v.wakeWaiters(name)
 	}
 }
 
 // moved notes that a native job's counts changed.
-func (v *nomad) moved(n *Node, id string) {
+func (v *nomadState) countsChanged(n *Node, id string) {
 	if v == nil {
 		return
 	}
-	if j, _ := v.reg.ByNative(id); j != nil && n.view.jobs[id].Phase == core.Pending {
-		v.movedAt[id] = n.now()
+	if j, _ := v.registry.ByNative(id); j != nil && n.view.jobs[id].Phase == core.Pending {
+		v.countsChangedAt[id] = n.now()
 	}
-	for w := range v.progress[id] {
+	for w := range v.progressWaiters[id] {
 		w.wake()
 	}
 }
 
-func (v *nomad) wake(name registry.Name) {
+func (v *nomadState) wakeWaiters(name registry.Name) {
 	for w := range v.waiters[name] {
 		w.wake()
 	}
@@ -168,30 +168,30 @@
 	}
 }
 
-func (v *nomad) add(w *waiter) {
-	v.count++
-	join(v.waiters, w.of, w)
-	for _, id := range w.natives {
-		join(v.progress, id, w)
+func (v *nomadState) addWaiter(w *waiter) {
+	v.waiterCount++
+	addTo(v.waiters, w.name, w)
+	for _, id := range w.nativeIDs {
+		addTo(v.progressWaiters, id, w)
 	}
 }
 
-func (v *nomad) remove(w *waiter) {
-	v.count--
-	leave(v.waiters, w.of, w)
-	for _, id := range w.natives {
-		leave(v.progress, id, w)
+func (v *nomadState) removeWaiter(w *waiter) {
+	v.waiterCount--
+	removeFrom(v.waiters, w.name, w)
+	for _, id := range w.nativeIDs {
+		removeFrom(v.progressWaiters, id, w)
 	}
 }
 
-func join[K comparable](m map[K]map[*waiter]bool, k K, w *waiter) {
+func addTo[K comparable](m map[K]map[*waiter]bool, k K, w *waiter) {
 	if m[k] == nil {
 		m[k] = map[*waiter]bool{}
 	}
 	m[k][w] = true
 }
 
-func leave[K comparable](m map[K]map[*waiter]bool, k K, w *waiter) {
+func removeFrom[K comparable](m map[K]map[*waiter]bool, k K, w *waiter) {
 	delete(m[k], w)
 	if len(m[k]) == 0 {
 		delete(m, k)
@@ -213,21 +213,21 @@
 	v := n.nomad
 	indexNow := func() uint64 {
 		if q.Of.ID == "" {
-			return v.reg.TeamIndex(q.Of.Team)
+			return v.registry.TeamIndex(q.Of.Team)
 		}
-		return v.reg.Index(q.Of)
+		return v.registry.Index(q.Of)
 	}
 	finish := func() {
 		if w != nil {
-			v.remove(w)
+			v.removeWaiter(w)
 			w = nil
 		}
-		see(v.reg)
+		see(v.registry)
 		out <- seen{max(indexNow(), q.After, 1), nil}
 	}
 	post := func(f func()) bool {
 		select {
-		case n.events <- f:
+		case n.inbox <- f:
 			return true
 		case <-ctx.Done():
 			return false
@@ -247,16 +247,16 @@
 			out <- seen{err: httpapi.ErrUnavailable}
 		case indexNow() > q.After:
 			finish()
-		case v.count >= v.most:
+		case v.waiterCount >= v.maxWaiters:
 			out <- seen{err: httpapi.ErrBusy}
 		default:
-			w = &waiter{of: q.Of}
+			w = &waiter{name: q.Of}
 			sooner := core.MaxMicros
-			if j := v.reg.Get(q.Of); j != nil && q.Progress {
+			if j := v.registry.Get(q.Of); j != nil && q.Progress {
 				for _, g := range j.Groups {
-					w.natives = append(w.natives, g.Native)
-					if at, ok := v.movedAt[g.Native]; ok && n.now()-at < settle {
-						sooner = min(sooner, at+settle-n.now())
+					w.nativeIDs = append(w.nativeIDs, g.Native)
+					if at, ok := v.countsChangedAt[g.Native]; ok && n.now()-at < recentCountsWindow {
+						sooner = min(sooner, at+recentCountsWindow-n.now())
 					}
 				}
 			}
@@ -276,7 +276,7 @@
 					}
 				})
 			}
-			v.add(w)
+			v.addWaiter(w)
 		}
 	}
 	if !post(begin) {
@@ -308,11 +308,11 @@
 		case <-ctx.Done():
 			// The client is gone: nothing is left behind, unless this node ends.
 			go func() {
-				ctx, cancel := context.WithTimeout(context.Background(), forgetWithin)
+				ctx, cancel := context.WithTimeout(context.Background(), waiterCleanupTimeout)
 				defer cancel()
 				_, _ = call(ctx, n, func(reply func(struct{})) {
 					if w != nil {
-						v.remove(w)
+						v.removeWaiter(w)
 						w = nil
 					}
 					reply(struct{}{})
@@ -324,8 +324,8 @@
 }
 
 // Waiting says how many queries wait.
-func (n *Node) Waiting(ctx context.Context) int {
-	k, _ := call(ctx, n, func(reply func(int)) { reply(n.nomad.count) })
+func (n *Node) BlockingQueries(ctx context.Context) int {
+	k, _ := call(ctx, n, func(reply func(int)) { reply(n.nomad.waiterCount) })
 	return k
 }
 
@@ -333,46 +333,46 @@
 func (n *Node) Terms(team string) translate.Terms {
 	s := n.settings.Nomad
 	return translate.Terms{
-		Team: team, Zones: n.cfg.Params.Zones, MHzPerCPU: s.MHzPerCPU, ScratchMB: s.ScratchMB, GPUs: s.GPUDevices, Cap: n.priorityCap,
+		Team: team, Zones: n.platform.Params.Zones, MHzPerCPU: s.MHzPerCPU, ScratchMB: s.ScratchMB, GPUs: s.GPUDevices, Cap: n.priorityCap,
 	}
 }
 
 // result is an answer or an error, to cross goroutines.
-type result[T any] struct {
-	v   T
-	err error
+type valueOrError[T any] struct {
+	value T
+	err   error
 }
 
 // ask runs f on the owning goroutine and waits for what it replies; late is the
 // error if that does not come before ctx ends.
-func ask[T any](ctx context.Context, n *Node, late error, f func(reply func(T, error))) (T, error) {
-	r, ok := call(ctx, n, func(reply func(result[T])) {
-		f(func(v T, err error) { reply(result[T]{v, err}) })
+func callWithError[T any](ctx context.Context, n *Node, late error, f func(reply func(T, error))) (T, error) {
+	r, ok := call(ctx, n, func(reply func(valueOrError[T])) {
+		f(func(v T, err error) { reply(valueOrError[T]{v, err}) })
 	})
 	if !ok {
-		return r.v, late
+		return r.value, late
 	}
-	return r.v, r.err
+	return r.value, r.err
 }
 
 // maxTries is how often a change is worked out anew when another one came
 // between.
-const maxTries = 4
+const maxChangeAttempts = 4
 
 // Register takes a job file's job. It is done once it is written: the job, its
 // version, and the native job of each group, in one transaction.
 func (n *Node) Register(ctx context.Context, reg registry.Registration) (httpapi.Registered, error) {
-	return ask(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
-		n.changeJob(maxTries, reply, func() (*registry.Change, error) {
+	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
+		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
 			if len(n.catalog) == 0 || !n.mayDecide() {
 				return nil, httpapi.ErrUnavailable // what could run is not known
 			}
 			for i := range reg.Groups {
-				if why := n.cannotRun(&reg.Groups[i].Spec); why != "" {
+				if why := n.infeasibleReason(&reg.Groups[i].Spec); why != "" {
 					return nil, &httpapi.RefusedError{Why: fmt.Sprintf("group %q can never run here: %s", reg.Groups[i].Name, why)}
 				}
 			}
-			return n.nomad.reg.Register(reg, newID, wall())
+			return n.nomad.registry.Register(reg, newNativeID, wallClock())
 		}, reg.Name)
 	})
 }
@@ -383,15 +383,15 @@
 		ch  *registry.Change
 		old *registry.Job
 	}
-	p, err := ask(ctx, n, httpapi.ErrUnavailable, func(reply func(planned, error)) {
+	p, err := callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(planned, error)) {
 		n.readLinearizable(func(ok bool) {
 			if !ok || len(n.catalog) == 0 {
 				reply(planned{}, httpapi.ErrUnavailable)
 				return
 			}
-			ch, err := n.nomad.reg.Register(reg, func() string { return "" }, wall())
+			ch, err := n.nomad.registry.Register(reg, func() string { return "" }, wallClock())
 			var old *registry.Job
-			if j := n.nomad.reg.Get(reg.Name); j != nil {
+			if j := n.nomad.registry.Get(reg.Name); j != nil {
 				k := *j
 				old = &k
 			}
@@ -403,9 +403,9 @@
 
 // Deregister stops a job, or purges it.
 func (n *Node) Deregister(ctx context.Context, name registry.Name, purge bool) (httpapi.Registered, error) {
-	return ask(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
-		n.changeJob(maxTries, reply, func() (*registry.Change, error) {
-			ch, err := n.nomad.reg.Deregister(name, purge)
+	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
+		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
+			ch, err := n.nomad.registry.Deregister(name, purge)
 			if err == nil && ch == nil {
 				err = httpapi.ErrNoJob
 			}
@@ -427,10 +427,10 @@
 			return
 		}
 		if ch.Empty() {
-			reply(n.registered(name, 0), nil)
+			reply(n.registeredState(name, 0), nil)
 			return
 		}
-		it, learn, err := n.itemOf(ch)
+		it, learn, err := n.changeRequest(ch)
 		if err != nil {
 			n.log.Error("encode job", "err", err)
 			reply(httpapi.Registered{}, err)
@@ -441,7 +441,7 @@
 			case err == nil:
 				learn(rev)
 				n.log.Info("job file", "team", name.Team, "job", name.ID, "started", len(ch.Start), "ended", len(ch.End), "kept", len(ch.Keep), "revision", rev)
-				reply(n.registered(name, rev), nil)
+				reply(n.registeredState(name, rev), nil)
 			case errors.Is(err, statestore.ErrConflict) && tries > 1:
 				n.changeJob(tries-1, reply, plan, name)
 			case errors.Is(err, statestore.ErrInvalid):
@@ -451,15 +451,15 @@
 				reply(httpapi.Registered{}, httpapi.ErrUnavailable)
 			}
 		}
-		if !n.commit.add(it, true) {
+		if !n.committer.add(it, true) {
 			reply(httpapi.Registered{}, httpapi.ErrUnavailable)
 		}
 	})
 }
 
 // registered is how a job stands; one that was just purged is not there.
-func (n *Node) registered(name registry.Name, rev uint64) httpapi.Registered {
-	j := n.nomad.reg.Get(name)
+func (n *Node) registeredState(name registry.Name, rev uint64) httpapi.Registered {
+	j := n.nomad.registry.Get(name)
 	if j == nil {
 		return httpapi.Registered{Index: rev}
 	}
@@ -471,50 +471,50 @@
 }
 
 // itemOf makes a transaction of a change, and what to learn once it is written.
-func (n *Node) itemOf(ch *registry.Change) (it *item, learn func(rev uint64), err error) {
-	it = &item{conds: ch.Conds, ops: ch.Puts}
+func (n *Node) changeRequest(ch *registry.Change) (it *writeRequest, learn func(rev uint64), err error) {
+	it = &writeRequest{conds: ch.Conds, ops: ch.Puts}
 	if len(ch.Start) > 0 {
-		it.conds = append(it.conds, n.configConds()...)
+		it.conds = append(it.conds, n.configConditions()...)
 	}
 	var recs []core.JobRecord
 	put := func(rec core.JobRecord) error {
 		key := jobPrefix + rec.Spec.ID
 		b, err := wire.EncodeJob(&rec)
-		it.conds = append(it.conds, wire.Cond{Key: key, Version: rec.Stamp})
+		it.conds = append(it.conds, wire.Cond{Key: key, Version: rec.Revision})
 		it.ops = append(it.ops, wire.Write{Put: key, Value: b})
 		recs = append(recs, rec)
 		return err
 	}
 	for _, spec := range ch.Start {
-		if err := put(core.JobRecord{Spec: spec, Submitted: wall()}); err != nil {
+		if err := put(core.JobRecord{Spec: spec, SubmittedAt: wallClock()}); err != nil {
 			return nil, nil, err
 		}
 	}
 	for _, rec := range ch.End {
-		if err := put(rec.Final(core.Cancelled, wall())); err != nil {
+		if err := put(rec.Final(core.Cancelled, wallClock())); err != nil {
 			return nil, nil, err
 		}
 	}
 	return it, func(rev uint64) {
 		for _, rec := range recs {
-			rec.Stamp = rev
-			n.learnJob(rec)
+			rec.Revision = rev
+			n.applyJob(rec)
 		}
 		if rev <= n.view.revision {
 			return // the watch was faster, and may have brought what came after
 		}
 		for _, w := range ch.Puts {
 			if w.Put != "" {
-				n.nomad.put(n, w.Put, w.Value, rev)
+				n.nomad.putRecord(n, w.Put, w.Value, rev)
 			} else {
-				n.nomad.drop(w.Delete, rev)
+				n.nomad.dropRecord(w.Delete, rev)
 			}
 		}
 	}, nil
 }
 
 // newID makes an id of a native job that nobody can have chosen before.
-func newID() string {
+func newNativeID() string {
 	i, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 128))
 	if err != nil {
 		panic(err) // it never fails
@@ -523,21 +523,21 @@
 }
 
 // Show asks the leader where tasks and machines are.
-func (n *Node) Show(ctx context.Context, a *peer.Ask) (*peer.Shown, error) {
-	return ask(ctx, n, httpapi.ErrUnavailable, func(reply func(*peer.Shown, error)) {
-		if n.term == nil || !n.mayAct() {
+func (n *Node) Views(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
+	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(*peer.ViewResponse, error)) {
+		if n.term == nil || !n.leaseValid() {
 			reply(nil, httpapi.ErrNoLeader)
 			return
 		}
-		s := &peer.Shown{}
+		s := &peer.ViewResponse{}
 		left := a.Limit
 		for _, j := range a.Jobs {
 			if left <= 0 {
 				break
 			}
-			tasks, more, ok := n.core.Tasks(n.now(), j.Job, j.From, left)
+			tasks, more, ok := n.core.Tasks(n.now(), j.Job, j.FirstTask, left)
 			if ok {
-				s.Jobs = append(s.Jobs, peer.JobShown{Job: j.Job, Tasks: tasks, More: more})
+				s.Jobs = append(s.Jobs, peer.JobView{Job: j.Job, Tasks: tasks, More: more})
 				left -= len(tasks)
 			}
 		}
@@ -549,15 +549,15 @@
 }
 
 // ShowAll answers a question to the leader, on whatever node.
-func (n *Node) ShowAll(ctx context.Context, a *peer.Ask) (*peer.Shown, error) {
+func (n *Node) ShowAll(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
 	c, here := n.leaderClient(ctx)
 	switch {
 	case here:
-		return n.Show(ctx, a)
+		return n.Views(ctx, a)
 	case c == nil:
 		return nil, httpapi.ErrNoLeader
 	}
-	s, err := c.Show(ctx, a)
+	s, err := c.Views(ctx, a)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", httpapi.ErrNoLeader, err)
 	}
@@ -568,17 +568,17 @@
 // nil if nobody is known to lead.
 func (n *Node) leaderClient(ctx context.Context) (c *peer.Client, here bool) {
 	leader, _ := call(ctx, n, func(reply func(string)) { reply(n.view.leader) })
-	return n.clients[leader], leader == n.cfg.Member
+	return n.peerClients[leader], leader == n.platform.Member
 }
 
 // Members lists the controllers.
 func (n *Node) Members(ctx context.Context) httpapi.Members {
 	leader, _ := call(ctx, n, func(reply func(string)) { reply(n.view.leader) })
-	m := httpapi.Members{Self: n.cfg.Member, Zone: n.cfg.Zone, All: []string{n.cfg.ClusterListen}}
-	if leader == n.cfg.Member {
-		m.Leader = n.cfg.ClusterListen
+	m := httpapi.Members{Self: n.platform.Member, Zone: n.platform.Zone, All: []string{n.platform.ClusterListen}}
+	if leader == n.platform.Member {
+		m.Leader = n.platform.ClusterListen
 	}
-	for _, p := range n.cfg.Peers {
+	for _, p := range n.platform.Peers {
 		m.All = append(m.All, p.Endpoint)
 		if p.Member == leader {
 			m.Leader = p.Endpoint
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -23,19 +23,19 @@
 
 // Keys of the outbox. Only a leader reads them, as its term begins.
 const (
-	outboxPrefix = "o/"
-	marksKey     = outboxPrefix + "marks" // by subscription
-	setPrefix    = outboxPrefix + "set/"  // and the subscription, and the chunk
-	deadPrefix   = outboxPrefix + "dead/" // and the subscription, the job and the kind
+	outboxPrefix     = "o/"
+	marksKey         = outboxPrefix + "marks" // by subscription
+	chunkPrefix      = outboxPrefix + "set/"  // and the subscription, and the chunk
+	deadLetterPrefix = outboxPrefix + "dead/" // and the subscription, the job and the kind
 )
 
 // notifier is what a node has for notifications. box belongs to the owning
 // goroutine, and is there only while this node leads and has read what is
 // settled.
 type notifier struct {
-	names   []string                   // of the subscriptions
-	senders map[string]*deliver.Sender // by subscription; those of one receiver share one
-	box     *notify.Outbox
+	subscriptions []string                   // of the subscriptions
+	senders       map[string]*deliver.Sender // by subscription; those of one receiver share one
+	outbox        *notify.Outbox
 }
 
 func newNotifier(n *Node) *notifier {
@@ -49,7 +49,7 @@
 		byName[r.Limits.Name] = deliver.New(r.Reach, n.dial)
 	}
 	for _, sub := range s.Subs {
-		v.names = append(v.names, sub.Name)
+		v.subscriptions = append(v.subscriptions, sub.Name)
 		v.senders[sub.Name] = byName[sub.Receiver]
 	}
 	return v
@@ -60,7 +60,7 @@
 	c := notify.Config{
 		Begin: n.now(), Subs: n.settings.Notify.Subs, Window: 1000, SaveGap: 5 * core.Second, ChunkGap: 15 * core.Second,
 		// The rest of the transaction is for what jobs wait for.
-		ChunksPerSave: max(n.cfg.Params.State.TxnOps/2, 2),
+		ChunksPerSave: max(n.platform.Params.State.TxnOps/2, 2),
 		FirstRetry:    core.Second, LastRetry: 120 * core.Second,
 	}
 	for _, r := range n.settings.Notify.Receivers {
@@ -71,9 +71,9 @@
 
 // beginOutbox reads what is settled and begins to deliver. A subscription that is
 // new begins now, and that is written before anything else.
-func (n *Node) beginOutbox(ctx context.Context, t *term) {
+func (n *Node) startOutbox(ctx context.Context, t *term) {
 	for ctx.Err() == nil {
-		err := n.tryOutbox(ctx, t)
+		err := n.tryStartOutbox(ctx, t)
 		if err == nil {
 			return
 		}
@@ -82,17 +82,17 @@
 	}
 }
 
-func (n *Node) tryOutbox(ctx context.Context, t *term) error {
-	if !n.refresh(ctx) {
+func (n *Node) tryStartOutbox(ctx context.Context, t *term) error {
+	if !n.refreshView(ctx) {
 		return errors.New("the view is not up to date")
 	}
 	// What is written after this reading is in the view by then.
 	type moment struct{ since, token uint64 }
-	at, ok := call(ctx, n, func(reply func(moment)) { reply(moment{n.view.revision, t.stamp}) })
+	at, ok := call(ctx, n, func(reply func(moment)) { reply(moment{n.view.revision, t.token}) })
 	if !ok {
 		return ctx.Err()
 	}
-	entries, _, err := n.store.List(ctx, outboxPrefix)
+	entries, _, err := n.stateClient.List(ctx, outboxPrefix)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	marks, stamp := map[string]uint64{}, uint64(0)
 	for _, e := range entries {
 		if e.Key != marksKey {
-			if err := loadOutbox(box, e); err != nil {
+			if err := loadOutboxRecord(box, e); err != nil {
 				return err
 			}
 			continue
@@ -111,7 +111,7 @@
 		}
 	}
 	fresh := false
-	for _, sub := range n.notifier.names {
+	for _, sub := range n.notifier.subscriptions {
 		if _, ok := marks[sub]; !ok {
 			marks[sub], fresh = at.since, true
 		}
@@ -122,7 +122,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = n.store.Commit(ctx, &wire.Txn{
+		_, err = n.stateClient.Commit(ctx, &wire.Txn{
 			If:   []wire.Cond{{Key: leaderKey, Version: at.token}, {Key: marksKey, Version: stamp}},
 			Then: []wire.Write{{Put: marksKey, Value: v}},
 		})
@@ -131,23 +131,23 @@
 		}
 	}
 	n.post(func() {
-		n.ifTerm(t, func() {
+		n.ifCurrentTerm(t, func() {
 			for _, e := range n.eventsAfter(box.From(), n.view.revision) {
 				box.Event(n.now(), e)
 			}
 			box.Complete(n.view.revision)
-			n.notifier.box = box
-			n.log.Info("notifications begin", "subscriptions", len(n.notifier.names))
+			n.notifier.outbox = box
+			n.log.Info("notifications begin", "subscriptions", len(n.notifier.subscriptions))
 		})
 	})
 	return nil
 }
 
 // loadOutbox takes over one record, but for the marks.
-func loadOutbox(box *notify.Outbox, e wire.Entry) error {
+func loadOutboxRecord(box *notify.Outbox, e wire.Entry) error {
 	switch {
-	case strings.HasPrefix(e.Key, setPrefix):
-		sub, chunk, _ := strings.Cut(e.Key[len(setPrefix):], "/")
+	case strings.HasPrefix(e.Key, chunkPrefix):
+		sub, chunk, _ := strings.Cut(e.Key[len(chunkPrefix):], "/")
 		c, err := strconv.ParseUint(chunk, 10, 64)
 		if err != nil {
 			return fmt.Errorf("record %s: %w", e.Key, err)
@@ -157,8 +157,8 @@
 			return fmt.Errorf("record %s: %w", e.Key, err)
 		}
 		return box.LoadChunk(notify.Chunk{ChunkKey: notify.ChunkKey{Sub: sub, Chunk: c}, Bitmap: bitmap})
-	case strings.HasPrefix(e.Key, deadPrefix):
-		var d deadRecord
+	case strings.HasPrefix(e.Key, deadLetterPrefix):
+		var d deadLetterRecord
 		if err := wire.Unmarshal(e.Value, &d); err != nil {
 			return fmt.Errorf("record %s: %w", e.Key, err)
 		}
@@ -174,7 +174,7 @@
 }
 
 // deadRecord is a dead letter as it is kept.
-type deadRecord struct {
+type deadLetterRecord struct {
 	Sub      string `msgpack:"s"`
 	Job      string `msgpack:"j"`
 	Team     string `msgpack:"t"`
@@ -185,29 +185,29 @@
 	Why      string `msgpack:"w"`
 }
 
-func deadKey(d *notify.DeadLetter) string {
-	return deadPrefix + d.Sub + "/" + d.Event.Job + "." + d.Event.Kind.String()
+func deadLetterKey(d *notify.DeadLetter) string {
+	return deadLetterPrefix + d.Sub + "/" + d.Event.Job + "." + d.Event.Kind.String()
 }
 
 // eventsOf are the events that a job's record implies, those after a revision.
-func eventsOf(rec *core.JobRecord, after uint64) []notify.Event {
+func jobEvents(rec *core.JobRecord, after uint64) []notify.Event {
 	var out []notify.Event
 	add := func(k notify.Kind, rev uint64, at core.Micros) {
 		if rev > after {
 			out = append(out, notify.Event{Job: rec.Spec.ID, Team: rec.Spec.Team, Class: rec.Spec.Class, Kind: k, Revision: rev, At: at})
 		}
 	}
-	add(notify.Accepted, cmp.Or(rec.Born, rec.Stamp), rec.Submitted)
+	add(notify.Accepted, cmp.Or(rec.AcceptedRevision, rec.Revision), rec.SubmittedAt)
 	switch rec.Phase {
 	case core.Done:
-		add(notify.Done, rec.Stamp, rec.Ended)
+		add(notify.Done, rec.Revision, rec.EndedAt)
 	case core.Cancelled:
-		add(notify.Cancelled, rec.Stamp, rec.Ended)
+		add(notify.Cancelled, rec.Revision, rec.EndedAt)
 	}
 	return out
 }
 
-func inOrder(events []notify.Event) []notify.Event {
+func sortEvents(events []notify.Event) []notify.Event {
 	slices.SortFunc(events, func(a, b notify.Event) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Job, b.Job))
 	})
@@ -218,59 +218,59 @@
 func (n *Node) eventsAfter(after, upTo uint64) []notify.Event {
 	var out []notify.Event
 	for _, rec := range n.view.jobs {
-		for _, e := range eventsOf(&rec, after) {
+		for _, e := range jobEvents(&rec, after) {
 			if e.Revision <= upTo {
 				out = append(out, e)
 			}
 		}
 	}
-	return inOrder(out)
+	return sortEvents(out)
 }
 
 // tellOutbox hands on what the watch brought of jobs, up to a revision; the view
 // held all before.
-func (n *Node) tellOutbox(ids []string, before, upTo uint64) {
+func (n *Node) feedOutbox(ids []string, before, upTo uint64) {
 	v := n.notifier
-	if v == nil || v.box == nil || upTo <= before {
+	if v == nil || v.outbox == nil || upTo <= before {
 		return
 	}
 	var events []notify.Event
 	slices.Sort(ids)
 	for _, id := range slices.Compact(ids) {
 		rec := n.view.jobs[id]
-		for _, e := range eventsOf(&rec, before) {
+		for _, e := range jobEvents(&rec, before) {
 			if e.Revision <= upTo {
 				events = append(events, e)
 			}
 		}
 	}
-	for _, e := range inOrder(events) {
-		v.box.Event(n.now(), e)
+	for _, e := range sortEvents(events) {
+		v.outbox.Event(n.now(), e)
 	}
-	v.box.Complete(upTo)
+	v.outbox.Complete(upTo)
 }
 
 // actOutbox does what the outbox wants; mayAct holds.
-func (n *Node) actOutbox() {
-	t, box := n.term, n.notifier.box
+func (n *Node) stepOutbox() {
+	t, box := n.term, n.notifier.outbox
 	// The time of day at the start and the steady clock from there: a clock that is
 	// set forward must not end deadlines.
 	day := core.Micros(n.started.UnixMicro()) + n.now()
 	for _, a := range box.Step(n.now(), day) {
 		switch a := a.(type) {
 		case notify.Send:
-			go n.deliver(t.stamp, box, a)
+			go n.deliver(t.token, box, a)
 		case notify.Save:
 			n.saveOutbox(t, box, a)
 		case notify.Page:
-			events, upTo, all := n.pageOfEvents(a)
+			events, upTo, all := n.eventPage(a)
 			box.Events(n.now(), a.Sub, events, upTo, all)
 		}
 	}
 }
 
 // pageOfEvents reads on where a subscription's memory ended.
-func (n *Node) pageOfEvents(a notify.Page) (events []notify.Event, upTo uint64, all bool) {
+func (n *Node) eventPage(a notify.Page) (events []notify.Event, upTo uint64, all bool) {
 	events = n.eventsAfter(a.After, n.view.revision)
 	for i, e := range events {
 		if i >= a.Limit && e.Revision > events[i-1].Revision {
@@ -283,14 +283,14 @@
 func (n *Node) deliver(token uint64, box *notify.Outbox, a notify.Send) {
 	out, after := notify.NotSent, core.Micros(0)
 	begun := time.Now()
-	if n.mayAct() {
+	if n.leaseValid() {
 		out, after = n.notifier.senders[a.Sub].Send(n.ctx, a, token)
 	}
 	words := [...]string{"delivered", "not taken", "in doubt", "refused"}
 	n.log.Info("notification "+words[out], "subscription", a.Sub, "job", a.Event.Job, "event", a.Event.Kind.String(), "key", a.Key,
 		"attempt", a.Attempt, "took_ms", time.Since(begun).Milliseconds())
 	n.post(func() {
-		if n.notifier.box == box {
+		if n.notifier.outbox == box {
 			box.Sent(n.now(), a.ID, out, after)
 		}
 	})
@@ -299,7 +299,7 @@
 // saveOutbox writes what is settled, in one transaction, with what the leader
 // writes besides: behind what users and tasks wait for.
 func (n *Node) saveOutbox(t *term, box *notify.Outbox, a notify.Save) {
-	it := &item{term: t}
+	it := &writeRequest{term: t}
 	put := func(key string, v any) {
 		b, err := wire.Marshal(v)
 		if err != nil {
@@ -315,20 +315,20 @@
 		put(marksKey, marks)
 	}
 	for _, c := range a.Put {
-		put(fmt.Sprintf("%s%s/%d", setPrefix, c.Sub, c.Chunk), c.Bitmap)
+		put(fmt.Sprintf("%s%s/%d", chunkPrefix, c.Sub, c.Chunk), c.Bitmap)
 	}
 	for _, d := range a.Dead {
 		n.log.Warn("notification put aside", "subscription", d.Sub, "job", d.Event.Job, "event", d.Event.Kind.String(), "why", d.Why)
-		put(deadKey(&d), &deadRecord{d.Sub, d.Event.Job, d.Event.Team, d.Event.Class, d.Event.Kind.String(), d.Event.Revision, int64(d.Event.At), d.Why})
+		put(deadLetterKey(&d), &deadLetterRecord{d.Sub, d.Event.Job, d.Event.Team, d.Event.Class, d.Event.Kind.String(), d.Event.Revision, int64(d.Event.At), d.Why})
 	}
 	for _, k := range a.Drop {
-		it.ops = append(it.ops, wire.Write{Delete: fmt.Sprintf("%s%s/%d", setPrefix, k.Sub, k.Chunk)})
+		it.ops = append(it.ops, wire.Write{Delete: fmt.Sprintf("%s%s/%d", chunkPrefix, k.Sub, k.Chunk)})
 	}
 	for _, d := range a.Alive {
-		it.ops = append(it.ops, wire.Write{Delete: deadKey(&d)})
+		it.ops = append(it.ops, wire.Write{Delete: deadLetterKey(&d)})
 	}
 	saved := func(ok bool) {
-		if n.notifier.box == box {
+		if n.notifier.outbox == box {
 			box.Saved(n.now(), a.ID, ok)
 		}
 	}
@@ -336,27 +336,27 @@
 		if writeOutcome(err) == core.WriteUnknown {
 			// It may be carried out after the next one, whose marks and bitmaps it would
 			// replace: what was told would be told again.
-			n.ifTerm(t, func() { t.void(func() { saved(false) }) })
+			n.ifCurrentTerm(t, func() { t.fenceWrites(func() { saved(false) }) })
 			return
 		}
 		saved(err == nil)
 	}
-	if !n.commit.add(it, false) {
+	if !n.committer.add(it, false) {
 		n.post(func() { saved(false) })
 	}
 }
 
 // Notify carries out an operator's request, if this node leads and delivers.
-func (n *Node) Notify(ctx context.Context, a *control.Ask) (*control.Answer, error) {
-	return ask(ctx, n, control.ErrNoLeader, func(reply func(*control.Answer, error)) {
-		if n.notifier == nil || n.notifier.box == nil || !n.mayAct() {
+func (n *Node) ControlNotifications(ctx context.Context, a *control.Ask) (*control.Answer, error) {
+	return callWithError(ctx, n, control.ErrNoLeader, func(reply func(*control.Answer, error)) {
+		if n.notifier == nil || n.notifier.outbox == nil || !n.leaseValid() {
 			reply(nil, control.ErrNoLeader)
 			return
 		}
 		if a.Op == control.Retry || a.Op == control.Drop {
 			n.log.Info("operator: notification", "op", string(a.Op), "subscription", a.Sub, "job", a.Job, "event", a.Kind)
 		}
-		reply(control.Do(n.notifier.box, n.settings.Notify.Subs, n.now(), a))
+		reply(control.Do(n.notifier.outbox, n.settings.Notify.Subs, n.now(), a))
 	})
 }
 
@@ -365,11 +365,11 @@
 	c, here := n.leaderClient(ctx)
 	switch {
 	case here:
-		return n.Notify(ctx, a)
+		return n.ControlNotifications(ctx, a)
 	case c == nil:
 		return nil, control.ErrNoLeader
 	}
-	out, err := c.Notify(ctx, a)
+	out, err := c.ControlNotifications(ctx, a)
 	if s, ok := status.FromError(err); ok && err != nil {
 		if s.Code() == codes.Unknown && s.Message() != control.ErrNoLeader.Error() {
 			return nil, errors.New(s.Message()) // the leader's own word
--- a/internal/node/notify_test.go
+++ b/internal/node/notify_test.go
@@ -10,12 +10,12 @@
 
 // A job's record implies each of its events once, at the revision at which it
 // happened, whatever was missed between.
-func TestEventsOf(t *testing.T) {
-	pending := core.JobRecord{Spec: core.JobSpec{ID: "job-1"}, Stamp: 10, Submitted: 5}
+func TestJobEvents(t *testing.T) {
+	pending := core.JobRecord{Spec: core.JobSpec{ID: "job-1"}, Revision: 10, SubmittedAt: 5}
 	done := pending.Final(core.Done, 99)
-	done.Stamp = 20
+	done.Revision = 20
 	cancelled := pending.Final(core.Cancelled, 77)
-	cancelled.Stamp = 15
+	cancelled.Revision = 15
 	for _, c := range []struct {
 		rec   core.JobRecord
 		after uint64
@@ -31,7 +31,7 @@
 		{done.Final(core.Done, 99), 10, "done@20 at 99"}, // its beginning stays what it was
 	} {
 		var got []string
-		for _, e := range eventsOf(&c.rec, c.after) {
+		for _, e := range jobEvents(&c.rec, c.after) {
 			got = append(got, fmt.Sprintf("%v@%d at %d", e.Kind, e.Revision, e.At))
 		}
 		if g := strings.Join(got, ", "); g != c.want {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,33 +15,33 @@
 // Peers tell each other their status: the leader every tellEvery, others only
 // while they do not reach the state service, to learn whether it is only them.
 const (
-	tellEvery = time.Second
+	statusInterval = time.Second
 	// stateGrace is how long the state service may be unheard before a node
 	// says that it does not reach it.
-	stateGrace = 2 * time.Second
+	stateTimeout = 2 * time.Second
 	// aloneAfter is how long this node must have been without the state service
 	// before a peer that reaches it counts: in an outage of all, the nodes
 	// notice one after the other. No answer of a service that is only slow takes as
 	// long, so from then on users are refused at once.
-	aloneAfter = 4 * time.Second
+	stateLostAfter = 4 * time.Second
 )
 
 // peerState is what a peer said last.
 type peerState struct {
-	at      time.Time
-	stateOK bool
-	nonce   uint64 // of its last reply to this node as the leader
-	replied core.Micros
+	lastStatus time.Time
+	stateOK    bool
+	replyNonce uint64 // of its last reply to this node as the leader
+	lastReply  core.Micros
 	// agreed: asked then, it told every cancellation that users can have from it.
-	agreed   core.Micros
-	deputy   core.Deputy // what it may have answered in this node's place
-	earlier  bool        // its last word was one of an earlier version of the program
-	noConfig uint64      // life of its process that is known not to act by the configuration
+	cancellationsAsOf   core.Micros
+	delegate            core.Delegate // what it may have answered in this node's place
+	olderVersion        bool          // its last word was one of an earlier version of the program
+	noConfigIncarnation uint64        // life of its process that is known not to act by the configuration
 }
 
 // tellPeers exchanges status with one peer until ctx ends.
-func (n *Node) tellPeers(ctx context.Context, member string) {
-	c := n.clients[member]
+func (n *Node) exchangeStatuses(ctx context.Context, member string) {
+	c := n.peerClients[member]
 	if c == nil {
 		return
 	}
@@ -49,7 +49,7 @@
 	sent := map[string]peer.Counts{}
 	var term uint64
 	for ctx.Err() == nil {
-		wait.For(ctx, tellEvery)
+		wait.For(ctx, statusInterval)
 		var asked core.Micros
 		s, ok := call(ctx, n, func(reply func(*peer.Status)) {
 			s := n.status()
@@ -65,9 +65,9 @@
 			if s.Token != 0 {
 				s.Counts = n.changedCounts(sent)
 				k := n.peers[member]
-				s.Echo = k.nonce
-				if s.Echo != 0 {
-					k.deputy.Permit(k.replied, n.grace)
+				s.EchoedNonce = k.replyNonce
+				if s.EchoedNonce != 0 {
+					k.delegate.Grant(k.lastReply, n.delegationTTL)
 				}
 			}
 			reply(s)
@@ -75,30 +75,30 @@
 		if !ok || s == nil {
 			continue
 		}
-		answer, err := c.Tell(ctx, s)
+		answer, err := c.ExchangeStatus(ctx, s)
 		if err != nil {
 			n.log.Debug("peer", "peer", member, "err", err)
 			clear(sent) // it may have missed these
 			continue
 		}
-		n.post(func() { n.replied(member, s, answer, asked) })
+		n.post(func() { n.handleStatusReply(member, s, answer, asked) })
 	}
 }
 
 // replied takes a peer's reply to the status that it was told.
-func (n *Node) replied(name string, told, answer *peer.Status, asked core.Micros) {
+func (n *Node) handleStatusReply(name string, told, answer *peer.Status, asked core.Micros) {
 	k := n.peers[name]
-	if t := n.term; t != nil && told.Token == t.stamp {
-		k.nonce, k.replied = answer.Nonce, n.now()
-		k.deputy.Heard(asked, n.now(), answer.Life, core.Micros(answer.AnsweredAgo))
+	if t := n.term; t != nil && told.Token == t.token {
+		k.replyNonce, k.lastReply = answer.Nonce, n.now()
+		k.delegate.HandleReply(asked, n.now(), answer.Incarnation, core.Micros(answer.DelegatedAnswerAge))
 	}
-	for _, c := range answer.Cancelled {
-		n.learnCancelled(c)
+	for _, c := range answer.Cancellations {
+		n.applyPeerCancellation(c)
 	}
-	if answer.Vouches && told.Have > 0 {
-		k.agreed = asked
+	if answer.CancellationsComplete && told.Revision > 0 {
+		k.cancellationsAsOf = asked
 	}
-	n.heardPeer(answer)
+	n.applyPeerStatus(answer)
 }
 
 // changedCounts lists the jobs whose counts differ from what was sent.
@@ -106,12 +106,12 @@
 	const most = 500
 	var out []peer.Counts
 	for id := range sent {
-		if _, _, ok := n.core.Counts(id); !ok {
+		if _, _, ok := n.core.TaskCounts(id); !ok {
 			delete(sent, id)
 		}
 	}
-	for _, id := range n.core.Jobs() {
-		done, running, ok := n.core.Counts(id)
+	for _, id := range n.core.UnfinishedJobs() {
+		done, running, ok := n.core.TaskCounts(id)
 		k := peer.Counts{Job: id, Done: done, Running: running}
 		if ok && sent[id] != k && len(out) < most {
 			sent[id] = k
@@ -124,40 +124,40 @@
 // status is what this node says of itself.
 func (n *Node) status() *peer.Status {
 	s := &peer.Status{
-		Node: n.cfg.Member, StateOK: n.stateOK(), Workers: n.beatHeard > 0 && n.now()-n.beatHeard < 3*core.Second,
-		Seen: math.MaxUint64, Life: n.life, AnsweredAgo: -1, Leader: n.view.lastLeader, LeaderToken: n.view.lastToken,
-		ConfigFormat: clusterconfig.Format, Config: n.config.stamp.Load(),
+		Node: n.platform.Member, StateOK: n.stateOK(), WorkersReporting: n.lastReport > 0 && n.now()-n.lastReport < 3*core.Second,
+		LegacySeen: math.MaxUint64, Incarnation: n.incarnation, DelegatedAnswerAge: -1, Leader: n.view.lastLeader, LeaderToken: n.view.lastLeaderToken,
+		ConfigFormat: clusterconfig.Format, ConfigRevision: n.clusterConfig.headRevision.Load(),
 	}
 	if n.view.ready {
-		s.Have = n.view.revision
+		s.Revision = n.view.revision
 	}
-	if t := n.term; t != nil && t.stamp > s.LeaderToken {
-		s.Leader, s.LeaderToken = n.cfg.Member, t.stamp
+	if t := n.term; t != nil && t.token > s.LeaderToken {
+		s.Leader, s.LeaderToken = n.platform.Member, t.token
 	}
-	if n.deputized > 0 {
-		s.AnsweredAgo = int64(n.now() - n.deputized)
+	if n.lastDelegatedAnswer > 0 {
+		s.DelegatedAnswerAge = int64(n.now() - n.lastDelegatedAnswer)
 	}
-	if n.term != nil && n.mayAct() {
-		s.Token = n.term.stamp
+	if n.term != nil && n.leaseValid() {
+		s.Token = n.term.token
 	}
 	return s
 }
 
-func (n *Node) stateOK() bool { return time.Since(n.stateHeard) < stateGrace }
+func (n *Node) stateOK() bool { return time.Since(n.lastStateResponse) < stateTimeout }
 
 // Told answers a peer's status.
-func (n *Node) Told(ctx context.Context, s *peer.Status) (*peer.Status, error) {
+func (n *Node) ExchangeStatus(ctx context.Context, s *peer.Status) (*peer.Status, error) {
 	out, ok := call(ctx, n, func(reply func(*peer.Status)) {
-		n.heardPeer(s)
+		n.applyPeerStatus(s)
 		out := n.status()
-		if s.Have > 0 && n.view.ready { // else what its former process told is not known
-			out.Cancelled, out.Vouches = n.cancelled.since(s.Have)
+		if s.Revision > 0 && n.view.ready { // else what its former process told is not known
+			out.Cancellations, out.CancellationsComplete = n.cancellations.since(s.Revision)
 		}
 		if s.Token != 0 {
 			// The leader: it names the last reply that it has, and has this one.
-			n.permit.Permitted(s.Token, s.Echo, n.grace)
+			n.delegation.Accept(s.Token, s.EchoedNonce, n.delegationTTL)
 			out.Nonce = rand.Uint64()
-			n.permit.Replied(n.now(), out.Nonce)
+			n.delegation.NoteReply(n.now(), out.Nonce)
 		}
 		reply(out)
 	})
@@ -167,48 +167,48 @@
 	return out, nil
 }
 
-func (n *Node) heardPeer(s *peer.Status) {
+func (n *Node) applyPeerStatus(s *peer.Status) {
 	k := n.peers[s.Node]
 	if k == nil {
 		return // not one of ours
 	}
-	k.at, k.stateOK = time.Now(), s.StateOK
-	k.deputy.Spoke(n.now())
-	n.noticeVersion(k, s)
+	k.lastStatus, k.stateOK = time.Now(), s.StateOK
+	k.delegate.NoteMessage(n.now())
+	n.checkPeerVersion(k, s)
 	if n.term == nil {
 		for _, c := range s.Counts {
-			if _, known := n.view.jobs[c.Job]; known || len(n.counts) < 100_000 {
-				n.counts[c.Job] = c
-				n.nomad.moved(n, c.Job)
+			if _, known := n.view.jobs[c.Job]; known || len(n.leaderCounts) < 100_000 {
+				n.leaderCounts[c.Job] = c
+				n.nomad.countsChanged(n, c.Job)
 			}
 		}
 	}
-	n.heardLeader(s.Node, s.Token) // all that a peer of an earlier version says
-	n.heardLeader(s.Leader, s.LeaderToken)
-	if t := n.term; t != nil && core.ShouldResign(n.now(), t.begun, n.beatHeard, core.Seconds(n.cfg.Params.Workers.ReportS), s.Workers, n.core.Taken()) {
+	n.noteLeader(s.Node, s.Token) // all that a peer of an earlier version says
+	n.noteLeader(s.Leader, s.LeaderToken)
+	if t := n.term; t != nil && core.ShouldResign(n.now(), t.begunAt, n.lastReport, core.Seconds(n.platform.Params.Workers.ReportS), s.WorkersReporting, n.core.TokenAcknowledged()) {
 		n.resign("workers reach a peer and not this node: " + s.Node)
 	}
-	n.judgeHealth()
+	n.updateHealth()
 }
 
 // abstainFor is how long a node that resigned leaves the leadership to others,
 // unless workers reach it again before.
-const abstainFor = 30 * core.Second
+const abstainDuration = 30 * core.Second
 
 // judgeHealth decides whether users should come here. During an outage of the
 // state service no node is better than another, and sending users away would
 // only make them wait longer afterwards; but if a peer is served and this node
 // is not, they are better off there. So they are if this node hears no peer
 // either: it is cut off, and who stays with it is refused all the time.
-func (n *Node) judgeHealth() {
+func (n *Node) updateHealth() {
 	ok := n.view.ready
-	if ok && n.unreached() {
-		alone := len(n.peers) > 0 && time.Since(n.stateHeard) > 2*aloneAfter
+	if ok && n.stateUnreachable() {
+		alone := len(n.peers) > 0 && time.Since(n.lastStateResponse) > 2*stateLostAfter
 		for _, p := range n.peers {
-			if p.stateOK && p.at.After(n.stateHeard.Add(aloneAfter)) {
+			if p.stateOK && p.lastStatus.After(n.lastStateResponse.Add(stateLostAfter)) {
 				ok = false
 			}
-			alone = alone && p.at.Before(n.stateHeard)
+			alone = alone && p.lastStatus.Before(n.lastStateResponse)
 		}
 		ok = ok && !alone
 	}
@@ -220,12 +220,14 @@
 // unreached reports whether the state service has not been heard for so long that
 // nothing that needs it is worth beginning: whoever asks is refused at once, and the
 // watch tells when that changes.
-func (n *Node) unreached() bool { return n.view.ready && time.Since(n.stateHeard) > aloneAfter }
+func (n *Node) stateUnreachable() bool {
+	return n.view.ready && time.Since(n.lastStateResponse) > stateLostAfter
+}
 
 // served reports whether a peer says that it reaches the state service.
-func (n *Node) served() bool {
+func (n *Node) peerReachesState() bool {
 	for _, p := range n.peers {
-		if p.stateOK && time.Since(p.at) < stateGrace {
+		if p.stateOK && time.Since(p.lastStatus) < stateTimeout {
 			return true
 		}
 	}
@@ -235,33 +237,33 @@
 // informed is up to when this node knows of every cancellation that a user can
 // have been told of: it has read the state service since, or every peer, asked
 // then, told it all that it knew of.
-func (n *Node) informed() core.Micros {
+func (n *Node) informedUntil() core.Micros {
 	agreed := core.MaxMicros
 	for _, p := range n.peers {
-		agreed = min(agreed, p.agreed)
+		agreed = min(agreed, p.cancellationsAsOf)
 	}
 	if len(n.peers) == 0 {
 		agreed = n.now()
 	}
-	return max(n.knownAt, agreed)
+	return max(n.currentAsOf, agreed)
 }
 
 // deputize gives the token under which this node may answer a worker in the
 // leader's place, 0 for none: it and the worker are of one zone and cut off
 // together from everything, and the leader has permitted it.
-func (n *Node) deputize(r *core.Report) uint64 {
-	if n.term != nil || r.Zone != n.cfg.Zone || n.stateOK() || n.served() || !n.mayRenew() {
+func (n *Node) delegatedToken(r *core.Report) uint64 {
+	if n.term != nil || r.Zone != n.platform.Zone || n.stateOK() || n.peerReachesState() || !n.mayRenewWorkerLeases() {
 		return 0
 	}
-	return n.permit.Token(n.now(), n.view.leaderStamp, r.Token)
+	return n.delegation.Token(n.now(), n.view.leaderRevision, r.Token)
 }
 
 // mayRenew reports whether a worker's lease may still be renewed without
 // knowledge of the cancellations that users are told of now.
-func (n *Node) mayRenew() bool { return n.now() < n.informed()+n.blind }
+func (n *Node) mayRenewWorkerLeases() bool { return n.now() < n.informedUntil()+n.maxCancelStaleness }
 
 // stops lists what a worker that is answered in the leader's place, or after its
 // lease, is told all the same.
-func (n *Node) stops(r *core.Report) []core.Command {
+func (n *Node) stopCommands(r *core.Report) []core.Command {
 	return core.StopCancelled(r.Tasks, n.isCancelled)
 }
--- a/internal/node/served.go
+++ b/internal/node/served.go
@@ -9,16 +9,16 @@
 
 // tellServed is how often the leader says in its log what became of the jobs, by
 // team and class.
-const tellServed = time.Minute
+const jobStatsInterval = time.Minute
 
 // logServed does so. It is also asked for when the process is told to end.
-func (n *Node) logServed() {
+func (n *Node) logJobStats() {
 	if n.term == nil {
 		return
 	}
-	for _, t := range core.TallyJobs(maps.Values(n.view.jobs), wall(), n.core.Begun) {
+	for _, t := range core.CollectJobStats(maps.Values(n.view.jobs), wallClock(), n.core.MayHaveStarted) {
 		n.log.Info("served", "team", t.Team, "class", t.Class, "accepted", t.Accepted, "done", t.Done, "cancelled", t.Cancelled,
-			"running", t.Running, "waiting", t.Waiting, "longest_wait_s", t.LongestWait/core.Second,
-			"largest", t.Largest.Jobs, "largest_begun", t.Largest.Begun, "largest_done", t.Largest.Done, "largest_wait_s", t.Largest.LongestWait/core.Second)
+			"running", t.Started, "waiting", t.Waiting, "longest_wait_s", t.LongestWait/core.Second,
+			"largest", t.Largest.Jobs, "largest_begun", t.Largest.Started, "largest_done", t.Largest.Done, "largest_wait_s", t.Largest.LongestWait/core.Second)
 	}
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -15,7 +15,7 @@
 
 // answer runs f on the owning goroutine and waits for its answer; whoever
 // waits too long is told to come back.
-func (n *Node) answer(ctx context.Context, f func(reply func(httpapi.Answer))) httpapi.Answer {
+func (n *Node) awaitResponse(ctx context.Context, f func(reply func(httpapi.Response))) httpapi.Response {
 	a, ok := call(ctx, n, f)
 	if !ok {
 		return httpapi.Unavailable()
@@ -24,27 +24,27 @@
 }
 
 // state is the answer for a job that is known.
-func (n *Node) state(rec core.JobRecord) httpapi.Answer {
+func (n *Node) jobResponse(rec core.JobRecord) httpapi.Response {
 	s := wire.JobState{ID: rec.Spec.ID, State: wire.PhaseName(rec.Phase)}
 	switch rec.Phase {
 	case core.Done:
 		s.Done = rec.Spec.Tasks
 	case core.Pending:
-		done, running := n.progressOf(rec.Spec.ID)
+		done, running := n.jobCounts(rec.Spec.ID)
 		s.Done, s.Running = done, running
 		if running > 0 {
 			s.State = wire.StateRunning
 		}
 	}
-	return httpapi.Answer{Status: http.StatusOK, Body: &s}
+	return httpapi.Response{Status: http.StatusOK, Body: &s}
 }
 
 // lookup answers with the job's record, or calls unknown if it is certain that
 // there is none. A final state is told from memory; anything else only once
 // the view is known to be current, since another node may have told more.
-func (n *Node) lookup(id string, reply func(httpapi.Answer), unknown func()) {
+func (n *Node) lookup(id string, reply func(httpapi.Response), unknown func()) {
 	if rec, ok := n.view.jobs[id]; ok && rec.Phase != core.Pending {
-		reply(n.state(rec))
+		reply(n.jobResponse(rec))
 		return
 	}
 	asked := n.now()
@@ -52,12 +52,12 @@
 		rec, known := n.view.jobs[id]
 		switch {
 		case known && rec.Phase != core.Pending:
-			reply(n.state(rec))
+			reply(n.jobResponse(rec))
 		case !ok:
 			reply(httpapi.Unavailable())
 		case known:
-			a := n.state(rec)
-			a.Fresh = n.toldFrom(asked)
+			a := n.jobResponse(rec)
+			a.Fresh = n.freshSince(asked)
 			reply(a)
 		default:
 			unknown()
@@ -67,22 +67,22 @@
 
 // toldWithin is how long after it was asked for an answer may be written that a later
 // one may differ from: a user does not wait longer, and asks elsewhere meanwhile.
-const toldWithin = 1500 * core.Millisecond
+const maxResponseAge = 1500 * core.Millisecond
 
 // toldFrom reports whether what was asked for at a time may still be told.
-func (n *Node) toldFrom(asked core.Micros) func() bool {
-	return func() bool { return n.now() < asked+toldWithin }
+func (n *Node) freshSince(asked core.Micros) func() bool {
+	return func() bool { return n.now() < asked+maxResponseAge }
 }
 
 // Submit takes a submission.
-func (n *Node) Submit(ctx context.Context, id string, spec *core.JobSpec) httpapi.Answer {
-	return n.answer(ctx, func(reply func(httpapi.Answer)) { n.submit(id, spec, reply) })
+func (n *Node) Submit(ctx context.Context, id string, spec *core.JobSpec) httpapi.Response {
+	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.submit(id, spec, reply) })
 }
 
-func (n *Node) submit(id string, spec *core.JobSpec, reply func(httpapi.Answer)) {
+func (n *Node) submit(id string, spec *core.JobSpec, reply func(httpapi.Response)) {
 	asked := n.now()
 	refuse := func(status int) func() {
-		return func() { reply(n.unknownAs(status, asked)) }
+		return func() { reply(n.unknownJobResponse(status, asked)) }
 	}
 	switch _, known := n.view.jobs[id]; {
 	case known:
@@ -91,9 +91,9 @@
 		n.lookup(id, reply, refuse(http.StatusBadRequest))
 	case !n.view.ready || len(n.catalog) == 0:
 		reply(httpapi.Unavailable())
-	case !n.config.follower.Current():
+	case !n.clusterConfig.follower.Current():
 		n.lookup(id, reply, refuse(http.StatusServiceUnavailable))
-	case n.cannotRun(spec) != "":
+	case n.infeasibleReason(spec) != "":
 		n.lookup(id, reply, func() { n.refuseOrCreate(spec, asked, reply) })
 	default:
 		n.create(spec, reply)
@@ -102,64 +102,64 @@
 
 // refuseOrCreate refuses a submission that can't run by what has been read since it came:
 // the configuration may have changed. Nor is it told once that changes before it is written.
-func (n *Node) refuseOrCreate(spec *core.JobSpec, asked core.Micros, reply func(httpapi.Answer)) {
+func (n *Node) refuseOrCreate(spec *core.JobSpec, asked core.Micros, reply func(httpapi.Response)) {
 	switch {
 	case !n.mayDecide():
 		reply(httpapi.Unavailable())
-	case n.cannotRun(spec) == "":
+	case n.infeasibleReason(spec) == "":
 		n.create(spec, reply)
 	default:
-		a := n.unknownAs(http.StatusUnprocessableEntity, asked)
-		inTime, stamp := a.Fresh, n.config.stamp.Load()
-		a.Fresh = func() bool { return inTime() && n.sameConfig(stamp) }
+		a := n.unknownJobResponse(http.StatusUnprocessableEntity, asked)
+		inTime, stamp := a.Fresh, n.clusterConfig.headRevision.Load()
+		a.Fresh = func() bool { return inTime() && n.configUnchanged(stamp) }
 		reply(a)
 	}
 }
 
-func (n *Node) create(spec *core.JobSpec, reply func(httpapi.Answer)) {
-	if n.unreached() {
+func (n *Node) create(spec *core.JobSpec, reply func(httpapi.Response)) {
+	if n.stateUnreachable() {
 		reply(httpapi.Unavailable())
 		return
 	}
-	rec := core.JobRecord{Spec: *spec, Submitted: wall()}
+	rec := core.JobRecord{Spec: *spec, SubmittedAt: wallClock()}
 	b, err := wire.EncodeJob(&rec)
 	if err != nil {
 		n.log.Error("encode job", "err", err)
-		reply(httpapi.Answer{Status: http.StatusInternalServerError})
+		reply(httpapi.Response{Status: http.StatusInternalServerError})
 		return
 	}
 	key := jobPrefix + spec.ID
-	judgedBy := n.config.stamp.Load()
-	it := &item{
-		conds: append(n.configConds(), wire.Cond{Key: key}),
+	judgedBy := n.clusterConfig.headRevision.Load()
+	it := &writeRequest{
+		conds: append(n.configConditions(), wire.Cond{Key: key}),
 		ops:   []wire.Write{{Put: key, Value: b}},
 		done: func(rev uint64, err error) {
 			switch {
 			case err == nil:
-				rec.Stamp = rev
-				n.learnJob(rec)
-				reply(httpapi.Answer{Status: http.StatusCreated, Body: &wire.Accepted{ID: spec.ID, State: wire.StatePending},
-					Fresh: n.toldFrom(n.now())}) // it may be cancelled by then, through another node
+				rec.Revision = rev
+				n.applyJob(rec)
+				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.Accepted{ID: spec.ID, State: wire.StatePending},
+					Fresh: n.freshSince(n.now())}) // it may be cancelled by then, through another node
 			case errors.Is(err, statestore.ErrConflict):
-				n.lookup(spec.ID, reply, func() { n.judgeAgain(spec, judgedBy, reply) })
+				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, judgedBy, reply) })
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("submission refused by the state service", "job", spec.ID, "err", err)
-				reply(httpapi.Answer{Status: http.StatusBadRequest})
+				reply(httpapi.Response{Status: http.StatusBadRequest})
 			default:
 				// Not executed, or not known: a retry finds out.
 				reply(httpapi.Unavailable())
 			}
 		},
 	}
-	if !n.commit.add(it, true) {
+	if !n.committer.add(it, true) {
 		reply(httpapi.Unavailable())
 	}
 }
 
 // judgeAgain submits a job that nobody knows once more if the configuration has changed since
 // it was judged: its write was on condition that it had not.
-func (n *Node) judgeAgain(spec *core.JobSpec, judgedBy uint64, reply func(httpapi.Answer)) {
-	if n.sameConfig(judgedBy) {
+func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, judgedBy uint64, reply func(httpapi.Response)) {
+	if n.configUnchanged(judgedBy) {
 		reply(httpapi.Unavailable())
 		return
 	}
@@ -167,8 +167,8 @@
 }
 
 // cannotRun says why a job could never run here, "" if it could.
-func (n *Node) cannotRun(s *core.JobSpec) string {
-	t, known := n.config.effective.Teams[s.Team]
+func (n *Node) infeasibleReason(s *core.JobSpec) string {
+	t, known := n.clusterConfig.effective.Teams[s.Team]
 	if !known {
 		return fmt.Sprintf("there is no team %q", s.Team)
 	}
@@ -178,18 +178,18 @@
 	if s.Priority > t.Cap {
 		return fmt.Sprintf("team %s may ask for %v priority at most, not %v", s.Team, t.Cap, s.Priority)
 	}
-	all := s.Need
+	all := s.Request
 	if s.Kind != core.Array {
-		all = s.Need.Times(s.Tasks)
+		all = s.Request.Times(s.Tasks)
 	}
 	if t.Max.CPU > 0 && all.CPU > t.Max.CPU || t.Max.GPU > 0 && all.GPU > t.Max.GPU {
 		return fmt.Sprintf("it needs more than the limit of team %s", s.Team)
 	}
-	if zones := n.cfg.Params.Zones; s.Zone != "" && len(zones) > 0 && !slices.Contains(zones, s.Zone) {
+	if zones := n.platform.Params.Zones; s.Zone != "" && len(zones) > 0 && !slices.Contains(zones, s.Zone) {
 		return fmt.Sprintf("there is no zone %q", s.Zone)
 	}
 	for i := range n.catalog {
-		if s.Need.Fits(n.catalog[i].Cap) && (s.Types == nil || slices.Contains(s.Types, n.catalog[i].Name)) {
+		if s.Request.Fits(n.catalog[i].Capacity) && (s.Types == nil || slices.Contains(s.Types, n.catalog[i].Name)) {
 			return ""
 		}
 	}
@@ -197,69 +197,69 @@
 }
 
 // Poll answers a user's question about a job.
-func (n *Node) Poll(ctx context.Context, id string) httpapi.Answer {
-	return n.answer(ctx, func(reply func(httpapi.Answer)) { n.poll(id, reply) })
+func (n *Node) Poll(ctx context.Context, id string) httpapi.Response {
+	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.poll(id, reply) })
 }
 
-func (n *Node) poll(id string, reply func(httpapi.Answer)) {
+func (n *Node) poll(id string, reply func(httpapi.Response)) {
 	asked := n.now()
-	n.lookup(id, reply, func() { reply(n.unknownAs(http.StatusNotFound, asked)) })
+	n.lookup(id, reply, func() { reply(n.unknownJobResponse(http.StatusNotFound, asked)) })
 }
 
 // unknownAs is the answer for a job that was not known when it was asked for: by the time
 // it is written, another node may have accepted the job.
-func (n *Node) unknownAs(status int, asked core.Micros) httpapi.Answer {
-	return httpapi.Answer{Status: status, Fresh: n.toldFrom(asked)}
+func (n *Node) unknownJobResponse(status int, asked core.Micros) httpapi.Response {
+	return httpapi.Response{Status: status, Fresh: n.freshSince(asked)}
 }
 
 // Cancel cancels a job unless it is done.
-func (n *Node) Cancel(ctx context.Context, id string) httpapi.Answer {
-	return n.answer(ctx, func(reply func(httpapi.Answer)) { n.cancel(id, 3, reply) })
+func (n *Node) Cancel(ctx context.Context, id string) httpapi.Response {
+	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.cancel(id, 3, reply) })
 }
 
-func (n *Node) cancel(id string, tries int, reply func(httpapi.Answer)) {
+func (n *Node) cancel(id string, tries int, reply func(httpapi.Response)) {
 	if _, known := n.view.jobs[id]; known {
 		n.cancelKnown(id, tries, reply)
 		return
 	}
 	asked := n.now()
-	n.lookup(id, func(httpapi.Answer) { n.cancelKnown(id, tries, reply) }, func() {
-		reply(n.unknownAs(http.StatusNotFound, asked))
+	n.lookup(id, func(httpapi.Response) { n.cancelKnown(id, tries, reply) }, func() {
+		reply(n.unknownJobResponse(http.StatusNotFound, asked))
 	})
 }
 
-func (n *Node) cancelKnown(id string, tries int, reply func(httpapi.Answer)) {
+func (n *Node) cancelKnown(id string, tries int, reply func(httpapi.Response)) {
 	rec, ok := n.view.jobs[id]
 	if !ok {
 		reply(httpapi.Unavailable())
 		return
 	}
 	if rec.Phase != core.Pending {
-		reply(n.state(rec))
+		reply(n.jobResponse(rec))
 		return
 	}
-	if n.unreached() {
+	if n.stateUnreachable() {
 		reply(httpapi.Unavailable())
 		return
 	}
-	stamp := rec.Stamp
-	rec = rec.Final(core.Cancelled, wall())
+	stamp := rec.Revision
+	rec = rec.Final(core.Cancelled, wallClock())
 	b, err := wire.EncodeJob(&rec)
 	if err != nil {
 		n.log.Error("encode job", "err", err)
-		reply(httpapi.Answer{Status: http.StatusInternalServerError})
+		reply(httpapi.Response{Status: http.StatusInternalServerError})
 		return
 	}
 	key := jobPrefix + id
-	it := &item{
+	it := &writeRequest{
 		conds: []wire.Cond{{Key: key, Version: stamp}},
 		ops:   []wire.Write{{Put: key, Value: b}},
 		done: func(rev uint64, err error) {
 			switch {
 			case err == nil:
-				rec.Stamp = rev
-				n.learnJob(rec)
-				reply(n.state(rec))
+				rec.Revision = rev
+				n.applyJob(rec)
+				reply(n.jobResponse(rec))
 			case errors.Is(err, statestore.ErrConflict) && tries > 0:
 				// Done, or cancelled through another node: read what it is now.
 				n.readLinearizable(func(ok bool) {
@@ -274,52 +274,52 @@
 			}
 		},
 	}
-	if !n.commit.add(it, true) {
+	if !n.committer.add(it, true) {
 		reply(httpapi.Unavailable())
 	}
 }
 
 // Report answers a worker.
-func (n *Node) Report(ctx context.Context, r *core.Report) httpapi.Answer {
-	return n.answer(ctx, func(reply func(httpapi.Answer)) {
-		n.beatHeard, n.abstain = n.now(), 0
-		if n.mayAnswer() {
-			if token, ok := n.core.BeatInGrace(n.now(), r); ok {
-				n.answerBeat(reply, token, n.stops(r), n.leaseOrGrace)
+func (n *Node) Report(ctx context.Context, r *core.Report) httpapi.Response {
+	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) {
+		n.lastReport, n.abstainUntil = n.now(), 0
+		if n.mayAnswerInGrace() {
+			if token, ok := n.core.HandleReportInGrace(n.now(), r); ok {
+				n.respondToReport(reply, token, n.stopCommands(r), n.withinAnswerGrace)
 				return
 			}
-			n.term.deposed = n.term.deposed || r.Token > n.term.stamp
+			n.term.deposed = n.term.deposed || r.Token > n.term.token
 		}
-		if token := n.deputize(r); token != 0 {
-			n.deputized = n.now()
-			n.answerBeat(reply, token, n.stops(r), nil) // the worker counts its lease from its report
+		if token := n.delegatedToken(r); token != 0 {
+			n.lastDelegatedAnswer = n.now()
+			n.respondToReport(reply, token, n.stopCommands(r), nil) // the worker counts its lease from its report
 			return
 		}
-		if !n.leads() {
-			if n.view.leader == "" || n.view.leader == n.cfg.Member {
+		if !n.isActiveLeader() {
+			if n.view.leader == "" || n.view.leader == n.platform.Member {
 				reply(httpapi.Unavailable())
 				return
 			}
-			reply(httpapi.Answer{Status: http.StatusMisdirectedRequest, Body: &wire.Redirect{Node: n.view.leader}})
+			reply(httpapi.Response{Status: http.StatusMisdirectedRequest, Body: &wire.Redirect{Node: n.view.leader}})
 			return
 		}
-		cmds, token, ok := n.core.Beat(n.now(), r)
+		cmds, token, ok := n.core.HandleReport(n.now(), r)
 		if !ok {
 			reply(httpapi.Unavailable())
 			return
 		}
-		n.answerBeat(reply, token, cmds, n.maySend(cmds))
+		n.respondToReport(reply, token, cmds, n.sendCheck(cmds))
 	})
 }
 
-func (n *Node) answerBeat(reply func(httpapi.Answer), token uint64, cmds []core.Command, fresh func() bool) {
+func (n *Node) respondToReport(reply func(httpapi.Response), token uint64, cmds []core.Command, fresh func() bool) {
 	b, err := wire.Commands(token, 0, cmds)
 	if err != nil {
 		n.log.Error("encode commands", "err", err)
 		reply(httpapi.Unavailable())
 		return
 	}
-	reply(httpapi.Answer{Status: http.StatusOK, Raw: b, Fresh: fresh})
+	reply(httpapi.Response{Status: http.StatusOK, Raw: b, Fresh: fresh})
 }
 
 // Healthy reports whether this node can take requests.
--- a/internal/node/service_test.go
+++ b/internal/node/service_test.go
@@ -15,7 +15,7 @@
 // TestStaleAnswer: what a user is told of a job that is not over, or not known, rests on
 // what was read when it was asked for. A process that stood still since must not say it:
 // the user may have been told more elsewhere.
-func TestStaleAnswer(t *testing.T) {
+func TestResponseExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		jobs  map[string]core.JobRecord
@@ -30,11 +30,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := New(&config.Platform{}, config.DefaultSettings(), slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
-				n.syncing = true // the read is under way
+				n.readPending = true // the read is under way
 				n.view.jobs = c.jobs
-				var got *httpapi.Answer
-				n.poll("job-1", func(a httpapi.Answer) { got = &a })
-				for _, f := range n.waiting {
+				var got *httpapi.Response
+				n.poll("job-1", func(a httpapi.Response) { got = &a })
+				for _, f := range n.readWaiters {
 					f(true)
 				}
 				time.Sleep(c.after)
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -15,32 +15,32 @@
 
 // term is one leadership of this node.
 type term struct {
-	n       *Node
-	lease   uint64
-	stamp   uint64 // version of the leader's key, which is the token
-	nth     uint64
-	raising bool
-	voided  []func() // to be called once the token is raised
+	n          *Node
+	leaseID    uint64
+	token      uint64 // version of the leader's key, which is the token
+	raiseCount uint64
+	raising    bool
+	afterRaise []func() // to be called once the token is raised
 
-	begun    core.Micros
+	begunAt  core.Micros
 	cancel   context.CancelFunc
 	resigned bool
 	deposed  bool // there is another leader
 }
 
 // standing is what the elector needs of the view.
-type standing struct {
-	ready  bool
-	leader string
-	stamp  uint64
-	pause  time.Duration // this node resigned: others first
+type electionState struct {
+	ready          bool
+	leader         string
+	leaderRevision uint64
+	abstainFor     time.Duration // this node resigned: others first
 }
 
 // elect runs for the leadership whenever nobody has it.
-func (n *Node) elect(ctx context.Context) {
+func (n *Node) runElections(ctx context.Context) {
 	for ctx.Err() == nil {
-		st, ok := call(ctx, n, func(reply func(standing)) {
-			reply(standing{n.view.ready, n.view.leader, n.view.leaderStamp, time.Duration(n.abstain-n.now()) * time.Microsecond})
+		st, ok := call(ctx, n, func(reply func(electionState)) {
+			reply(electionState{n.view.ready, n.view.leader, n.view.leaderRevision, time.Duration(n.abstainUntil-n.now()) * time.Microsecond})
 		})
 		if !ok {
 			return
@@ -49,14 +49,14 @@
 		wait := time.Hour
 		switch {
 		case !st.ready:
-		case st.leader == "" && st.pause > 0:
-			wait = st.pause
+		case st.leader == "" && st.abstainFor > 0:
+			wait = st.abstainFor
 		case st.leader == "":
-			err = n.campaign(ctx, st.stamp)
-		case st.leader == n.cfg.Member:
+			err = n.campaign(ctx, st.leaderRevision)
+		case st.leader == n.platform.Member:
 			// The key names this node, which does not lead: the process that
 			// wrote it is dead, or it is a campaign whose answer was lost.
-			err = n.endFormer(ctx)
+			err = n.revokePreviousLease(ctx)
 		}
 		if err != nil {
 			n.log.Info("election", "err", err)
@@ -65,43 +65,43 @@
 		t := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
-		case <-n.kick:
+		case <-n.electorWake:
 		case <-t.C:
 		}
 		t.Stop()
 	}
 }
 
-func (n *Node) endFormer(ctx context.Context) error {
-	e, err := n.store.Get(ctx, leaderKey)
+func (n *Node) revokePreviousLease(ctx context.Context) error {
+	e, err := n.stateClient.Get(ctx, leaderKey)
 	if errors.Is(err, statestore.ErrNotFound) {
-		return n.refreshed(ctx)
+		return n.refreshViewOrFail(ctx)
 	}
 	if err != nil {
 		return err
 	}
 	var l wire.Leader
-	if err := wire.Unmarshal(e.Value, &l); err != nil || l.Node != n.cfg.Member || e.Lease == 0 {
+	if err := wire.Unmarshal(e.Value, &l); err != nil || l.Node != n.platform.Member || e.Lease == 0 {
 		return err
 	}
 	n.log.Info("ending the lease of the former process", "lease", e.Lease)
-	if err := n.store.Revoke(ctx, e.Lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
+	if err := n.stateClient.Revoke(ctx, e.Lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
 		return err
 	}
-	return n.refreshed(ctx)
+	return n.refreshViewOrFail(ctx)
 }
 
 // refreshed is refresh for the elector, which tries again after an error: a
 // view that stays behind would leave it waiting for news that came already.
-func (n *Node) refreshed(ctx context.Context) error {
-	if !n.refresh(ctx) {
+func (n *Node) refreshViewOrFail(ctx context.Context) error {
+	if !n.refreshView(ctx) {
 		return errors.New("the view could not be brought up to date")
 	}
 	return nil
 }
 
 // refresh brings the view up to date.
-func (n *Node) refresh(ctx context.Context) bool {
+func (n *Node) refreshView(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	ok, _ := call(ctx, n, func(reply func(bool)) { n.readLinearizable(reply) })
@@ -113,23 +113,23 @@
 func (n *Node) campaign(ctx context.Context, seen uint64) error {
 	ttl := time.Duration(n.settings.LeaderLeaseS * float64(time.Second))
 	sent := n.now()
-	lease, err := n.store.Grant(ctx, ttl)
+	lease, err := n.stateClient.Grant(ctx, ttl)
 	if err != nil {
 		return fmt.Errorf("grant: %w", err)
 	}
 	// Renewals start once the key is ours; the time until then counts.
-	until := core.LeaseUntil(sent, core.Micros(ttl/time.Microsecond))
-	value, err := wire.Marshal(&wire.Leader{Node: n.cfg.Member})
+	until := core.LeaseValidUntil(sent, core.Micros(ttl/time.Microsecond))
+	value, err := wire.Marshal(&wire.Leader{Node: n.platform.Member})
 	if err != nil {
 		return err
 	}
-	stamp, err := n.store.Commit(ctx, &wire.Txn{
+	stamp, err := n.stateClient.Commit(ctx, &wire.Txn{
 		If:   []wire.Cond{{Key: leaderKey}},
 		Then: []wire.Write{{Put: leaderKey, Value: value, Lease: lease}},
 	})
 	if errors.Is(err, statestore.ErrConflict) {
-		_ = n.store.Revoke(ctx, lease)
-		return n.refreshed(ctx)
+		_ = n.stateClient.Revoke(ctx, lease)
+		return n.refreshViewOrFail(ctx)
 	}
 	if err != nil {
 		return fmt.Errorf("leader's key: %w", err)
@@ -137,53 +137,53 @@
 	n.log.Info("leadership won", "token", stamp, "lease", lease)
 	tctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	t := &term{n: n, lease: lease, stamp: stamp, cancel: cancel}
-	n.actUntil.Store(int64(until))
-	go n.begin(tctx, t)
-	n.hold(tctx, t, ttl)
-	n.actUntil.Store(0)
-	n.log.Info("term ends", "token", t.stamp)
+	t := &term{n: n, leaseID: lease, token: stamp, cancel: cancel}
+	n.leaseValidUntil.Store(int64(until))
+	go n.beginTerm(tctx, t)
+	n.renewLease(tctx, t, ttl)
+	n.leaseValidUntil.Store(0)
+	n.log.Info("term ends", "token", t.token)
 	resigned, _ := call(ctx, n, func(reply func(bool)) {
 		if n.term == t {
 			n.term = nil
-			n.core.End()
-			n.commit.endTerm()
+			n.core.EndTerm()
+			n.committer.dropTermWrites()
 			if n.notifier != nil {
-				n.notifier.box = nil
+				n.notifier.outbox = nil
 			}
 		}
 		reply(t.resigned)
 	})
 	if resigned {
 		// Nothing acts for the term any more: the next one need not wait.
-		if err := n.store.Revoke(ctx, lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
+		if err := n.stateClient.Revoke(ctx, lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
 			n.log.Info("lease not ended", "err", err)
 		}
 	}
-	return n.refreshed(ctx)
+	return n.refreshViewOrFail(ctx)
 }
 
 // hold renews the term's lease until it is over.
-func (n *Node) hold(ctx context.Context, t *term, ttl time.Duration) {
+func (n *Node) renewLease(ctx context.Context, t *term, ttl time.Duration) {
 	pause := ttl / 4
 	quiet := false // the failure has been logged
 	for ctx.Err() == nil {
 		wait.For(ctx, pause)
 		sent := n.now()
-		err := n.store.Renew(ctx, t.lease)
+		err := n.stateClient.Renew(ctx, t.leaseID)
 		switch {
 		case err == nil:
-			if !n.mayAct() {
-				n.log.Info("lease renewed late: the term goes on", "token", t.stamp)
+			if !n.leaseValid() {
+				n.log.Info("lease renewed late: the term goes on", "token", t.token)
 			}
-			n.actUntil.Store(int64(core.LeaseUntil(sent, core.Micros(ttl/time.Microsecond))))
+			n.leaseValidUntil.Store(int64(core.LeaseValidUntil(sent, core.Micros(ttl/time.Microsecond))))
 			pause, quiet = ttl/4, false
 		case errors.Is(err, statestore.ErrNotFound):
-			n.log.Info("lease is over", "token", t.stamp)
+			n.log.Info("lease is over", "token", t.token)
 			return
 		default:
 			if !quiet {
-				n.log.Info("lease not renewed; trying on", "err", err, "may_act", n.mayAct())
+				n.log.Info("lease not renewed; trying on", "err", err, "may_act", n.leaseValid())
 			}
 			quiet = true
 			pause = 150 * time.Millisecond
@@ -192,27 +192,27 @@
 }
 
 // begin reads all records and hands them to the core.
-func (n *Node) begin(ctx context.Context, t *term) {
+func (n *Node) beginTerm(ctx context.Context, t *term) {
 	for ctx.Err() == nil {
-		snap, err := n.snapshot(ctx)
-		if err == nil && n.refresh(ctx) {
+		snap, err := n.readSnapshot(ctx)
+		if err == nil && n.refreshView(ctx) {
 			n.post(func() {
 				if ctx.Err() != nil {
 					return
 				}
 				n.term = t
-				t.begun = n.now()
+				t.begunAt = n.now()
 				jobs := make([]core.JobRecord, 0, len(n.view.jobs))
 				for _, r := range n.view.jobs {
 					if r.Phase != core.Done {
 						jobs = append(jobs, r)
 					}
 				}
-				n.core.Begin(n.now(), wall(), t.stamp, jobs, snap)
+				n.core.BeginTerm(n.now(), wallClock(), t.token, jobs, snap)
 			})
-			go n.tendCloud(ctx, t)
+			go n.pollCloud(ctx, t)
 			if n.notifier != nil {
-				go n.beginOutbox(ctx, t)
+				go n.startOutbox(ctx, t)
 			}
 			return
 		}
@@ -221,9 +221,9 @@
 	}
 }
 
-func (n *Node) snapshot(ctx context.Context) (core.Snapshot, error) {
+func (n *Node) readSnapshot(ctx context.Context) (core.Snapshot, error) {
 	var s core.Snapshot
-	entries, _, err := n.store.List(ctx, "b/")
+	entries, _, err := n.stateClient.List(ctx, "b/")
 	if err != nil {
 		return s, err
 	}
@@ -231,23 +231,23 @@
 		var err error
 		switch {
 		case strings.HasPrefix(e.Key, core.MachinePrefix):
-			var r core.MachinesRecord
+			var r core.MachineGroupRecord
 			r, err = wire.DecodeMachines(e.Key, e.Value)
-			s.Machines = append(s.Machines, r)
-		case strings.HasPrefix(e.Key, core.RentPrefix):
-			var r core.RentRecord
+			s.MachineGroups = append(s.MachineGroups, r)
+		case strings.HasPrefix(e.Key, core.RentalPrefix):
+			var r core.RentalRecord
 			r, err = wire.DecodeRent(e.Value)
-			s.Rents = append(s.Rents, r)
-		case strings.HasPrefix(e.Key, core.RangesPrefix):
-			var r core.RangeRecord
+			s.Rentals = append(s.Rentals, r)
+		case strings.HasPrefix(e.Key, core.CompletionPrefix):
+			var r core.CompletionRecord
 			r, err = wire.DecodeRanges(e.Key, e.Value)
-			s.Ranges = append(s.Ranges, r)
-		case strings.HasPrefix(e.Key, core.KeptPrefix):
-			var r core.KeptRecord
+			s.Completions = append(s.Completions, r)
+		case strings.HasPrefix(e.Key, core.PartitionPrefix):
+			var r core.PartitionRecord
 			r, err = wire.DecodeKept(e.Key, e.Value)
-			s.Kept = append(s.Kept, r)
-		case strings.HasPrefix(e.Key, core.OpenPrefix):
-			s.Open = append(s.Open, e.Key[len(core.OpenPrefix):])
+			s.Partitions = append(s.Partitions, r)
+		case strings.HasPrefix(e.Key, core.StartedPrefix):
+			s.Started = append(s.Started, e.Key[len(core.StartedPrefix):])
 		}
 		if err != nil {
 			return s, fmt.Errorf("record %s: %w", e.Key, err)
@@ -258,77 +258,77 @@
 
 // raise writes the leader's key again: its new revision is a new token, under
 // which commands that are still under way are void.
-func (t *term) raise() {
+func (t *term) raiseToken() {
 	if t.raising {
 		return
 	}
 	t.raising = true
 	n := t.n
-	t.nth++
-	value, err := wire.Marshal(&wire.Leader{Node: n.cfg.Member, Nth: t.nth})
+	t.raiseCount++
+	value, err := wire.Marshal(&wire.Leader{Node: n.platform.Member, Nth: t.raiseCount})
 	if err != nil {
 		n.log.Error("raise token", "err", err)
 		return
 	}
 	txn := &wire.Txn{
-		If:   []wire.Cond{{Key: leaderKey, Version: t.stamp}},
-		Then: []wire.Write{{Put: leaderKey, Value: value, Lease: t.lease}},
+		If:   []wire.Cond{{Key: leaderKey, Version: t.token}},
+		Then: []wire.Write{{Put: leaderKey, Value: value, Lease: t.leaseID}},
 	}
 	go func() {
-		stamp, err := n.store.Commit(n.ctx, txn)
+		stamp, err := n.stateClient.Commit(n.ctx, txn)
 		n.post(func() {
 			t.raising = false
 			if err != nil {
 				n.log.Info("token not raised", "err", err)
-				if len(t.voided) > 0 {
-					time.AfterFunc(raisePause, func() { n.post(func() { n.ifTerm(t, t.raise) }) })
+				if len(t.afterRaise) > 0 {
+					time.AfterFunc(raiseRetryPause, func() { n.post(func() { n.ifCurrentTerm(t, t.raiseToken) }) })
 				}
 				return
 			}
-			n.ifTerm(t, func() { t.raised(stamp) })
+			n.ifCurrentTerm(t, func() { t.tokenRaised(stamp) })
 		})
 	}()
 }
 
 // raisePause is between two tries to raise a token that something waits for.
-const raisePause = 200 * time.Millisecond
+const raiseRetryPause = 200 * time.Millisecond
 
 // void raises the token, and calls then once no write that was sent under it can be carried
 // out any more.
-func (t *term) void(then func()) {
-	t.voided = append(t.voided, then)
-	t.raise()
+func (t *term) fenceWrites(then func()) {
+	t.afterRaise = append(t.afterRaise, then)
+	t.raiseToken()
 }
 
-func (t *term) raised(stamp uint64) {
-	if stamp > t.stamp {
-		t.stamp = stamp
-		t.n.core.Raised(t.n.now(), stamp)
-		for _, f := range t.voided {
+func (t *term) tokenRaised(stamp uint64) {
+	if stamp > t.token {
+		t.token = stamp
+		t.n.core.TokenRaised(t.n.now(), stamp)
+		for _, f := range t.afterRaise {
 			f()
 		}
-		t.voided = nil
+		t.afterRaise = nil
 	}
 }
 
 // tendCloud keeps catalog and machine list current while the term lasts.
-func (n *Node) tendCloud(ctx context.Context, t *term) {
+func (n *Node) pollCloud(ctx context.Context, t *term) {
 	const catalogEvery = time.Minute
 	every := time.Duration(n.settings.ListEveryS * float64(time.Second))
 	var catalogAt time.Time
 	for ctx.Err() == nil {
 		pause := every
 		if !time.Now().Before(catalogAt) {
-			if types, raw, err := n.cloud.Catalog(ctx); err == nil {
+			if types, raw, err := n.cloudClient.Catalog(ctx); err == nil {
 				catalogAt = time.Now().Add(catalogEvery)
-				n.post(func() { n.ifTerm(t, func() { n.learnCatalog(t, types, raw) }) })
+				n.post(func() { n.ifCurrentTerm(t, func() { n.updateCatalog(t, types, raw) }) })
 			} else {
 				n.log.Info("catalog", "err", err)
 				pause = time.Second
 			}
 		}
-		if list, err := n.cloud.List(ctx); err == nil {
-			n.post(func() { n.ifTerm(t, func() { n.core.Listed(n.now(), list) }) })
+		if list, err := n.cloudClient.List(ctx); err == nil {
+			n.post(func() { n.ifCurrentTerm(t, func() { n.core.HandleMachineList(n.now(), list) }) })
 		} else {
 			n.log.Info("machine list", "err", err)
 		}
@@ -338,16 +338,16 @@
 
 // learnCatalog takes the cloud's answer and keeps it for the other nodes, and
 // for times when the cloud does not answer.
-func (n *Node) learnCatalog(t *term, types []core.MachineType, raw []byte) {
+func (n *Node) updateCatalog(t *term, types []core.MachineType, raw []byte) {
 	if len(types) == 0 {
 		return
 	}
-	known := n.view.catalogSeen > 0 && len(n.catalog) == len(types)
+	known := n.view.catalogRevision > 0 && len(n.catalog) == len(types)
 	for i := 0; known && i < len(types); i++ {
-		known = n.catalog[i].Name == types[i].Name && n.catalog[i].Cap == types[i].Cap
+		known = n.catalog[i].Name == types[i].Name && n.catalog[i].Capacity == types[i].Capacity
 	}
 	n.catalog = types
-	n.core.Catalog(types)
+	n.core.SetCatalog(types)
 	if known {
 		return
 	}
@@ -356,7 +356,7 @@
 		n.log.Error("catalog record", "err", err)
 		return
 	}
-	n.commit.add(&item{
+	n.committer.add(&writeRequest{
 		term: t,
 		ops:  []wire.Write{{Put: catalogKey, Value: b}},
 		done: func(uint64, error) {},
@@ -364,12 +364,12 @@
 }
 
 // setCatalog takes the catalog that a leader has kept.
-func (n *Node) setCatalog(raw []byte) {
+func (n *Node) applyCatalogRecord(raw []byte) {
 	types, err := wire.ParseCatalog(raw)
 	if err != nil {
 		n.log.Error("catalog record", "err", err)
 		return
 	}
 	n.catalog = types
-	n.core.Catalog(types)
+	n.core.SetCatalog(types)
 }
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -21,15 +21,15 @@
 	revision uint64 // every change up to here is in
 	jobs     map[string]core.JobRecord
 
-	leader      string // member name; "" for none
-	leaderStamp uint64 // of its key, or of when that went
-	lastLeader  string // who wrote the latest key
-	lastToken   uint64 // its version
-	catalogSeen uint64
+	leader          string // member name; "" for none
+	leaderRevision  uint64 // of its key, or of when that went
+	lastLeader      string // who wrote the latest key
+	lastLeaderToken uint64 // its version
+	catalogRevision uint64
 }
 
 // watch keeps the view up to date.
-func (n *Node) watch(ctx context.Context) {
+func (n *Node) watchRecords(ctx context.Context) {
 	const longest = time.Second // silence beyond it shows that the service is not reached
 	pause := 100 * time.Millisecond
 	relist := true
@@ -40,19 +40,19 @@
 		if relist {
 			var entries []wire.Entry
 			var rev uint64
-			entries, rev, err = n.store.List(ctx, controlPrefix)
+			entries, rev, err = n.stateClient.List(ctx, watchedPrefix)
 			if err == nil {
 				n.post(func() { n.applyList(entries, rev, asked) })
 				since, relist = rev, false
 			}
 		} else {
 			var ch *wire.Changes
-			ch, err = n.store.Changes(ctx, controlPrefix, since, longest)
+			ch, err = n.stateClient.Changes(ctx, watchedPrefix, since, longest)
 			if err == nil {
-				n.post(func() { n.apply(ch, asked) })
+				n.post(func() { n.applyChanges(ch, asked) })
 				since = ch.Revision
 			}
-			relist = errors.Is(err, statestore.ErrTooOld)
+			relist = errors.Is(err, statestore.ErrCompacted)
 		}
 		if err == nil {
 			pause = 100 * time.Millisecond
@@ -78,30 +78,30 @@
 		n.applyPut(e.Key, e.Value, e.Version)
 	}
 	if rev > n.view.revision {
-		n.nomad.missing(entries, rev)
+		n.nomad.dropMissing(entries, rev)
 	}
-	if !leader && n.view.leaderStamp < rev {
+	if !leader && n.view.leaderRevision < rev {
 		n.setLeader("", rev)
 	}
-	n.heardState(rev, asked)
+	n.noteRead(rev, asked)
 	n.resolveConfig()
-	n.tellOutbox(jobs, before, rev)
+	n.feedOutbox(jobs, before, rev)
 	n.view.ready = true
-	n.acknowledge()
-	n.judgeHealth()
+	n.acknowledgeConfig()
+	n.updateHealth()
 	n.wakeElector()
 }
 
 // heardState notes that the view holds all changes up to a revision, which the
 // state service had reached when it was asked, or later.
-func (n *Node) heardState(rev uint64, asked core.Micros) {
+func (n *Node) noteRead(rev uint64, asked core.Micros) {
 	n.view.revision = max(n.view.revision, rev)
-	n.knownAt = max(n.knownAt, asked)
-	n.stateHeard = time.Now()
+	n.currentAsOf = max(n.currentAsOf, asked)
+	n.lastStateResponse = time.Now()
 }
 
 // apply takes over changes that were asked for at a time.
-func (n *Node) apply(ch *wire.Changes, asked core.Micros) {
+func (n *Node) applyChanges(ch *wire.Changes, asked core.Micros) {
 	before := n.view.revision
 	var jobs []string
 	for i := range ch.Events {
@@ -115,16 +115,16 @@
 			n.dropConfig(e.Delete, e.Version)
 		} else if e.Delete != leaderKey {
 			if e.Version > n.view.revision {
-				n.nomad.drop(e.Delete, e.Version)
+				n.nomad.dropRecord(e.Delete, e.Version)
 			}
-		} else if e.Version > n.view.leaderStamp {
+		} else if e.Version > n.view.leaderRevision {
 			n.setLeader("", e.Version)
 		}
 	}
-	n.heardState(ch.Revision, asked)
+	n.noteRead(ch.Revision, asked)
 	n.resolveConfig()
-	n.acknowledge()
-	n.tellOutbox(jobs, before, ch.Revision)
+	n.acknowledgeConfig()
+	n.feedOutbox(jobs, before, ch.Revision)
 }
 
 // applyPut takes over one record unless a newer one is known: two reads may
@@ -132,7 +132,7 @@
 func (n *Node) applyPut(key string, value []byte, stamp uint64) {
 	switch {
 	case key == leaderKey:
-		if stamp < n.view.leaderStamp {
+		if stamp < n.view.leaderRevision {
 			return
 		}
 		var l wire.Leader
@@ -142,18 +142,18 @@
 		}
 		n.setLeader(l.Node, stamp)
 	case key == catalogKey:
-		if stamp > n.view.catalogSeen {
-			n.view.catalogSeen = stamp
+		if stamp > n.view.catalogRevision {
+			n.view.catalogRevision = stamp
 			var rec wire.CatalogRecord
 			// A leader has its own, with today's prices. The others need it to tell what can
 			// run: what the leader accepts must not be refused elsewhere.
 			if err := wire.Unmarshal(value, &rec); err == nil && (n.term == nil || n.catalog == nil) {
-				n.setCatalog(rec.Raw)
+				n.applyCatalogRecord(rec.Raw)
 			}
 		}
 	case strings.HasPrefix(key, jobPrefix):
 		id := key[len(jobPrefix):]
-		if old, ok := n.view.jobs[id]; ok && old.Stamp >= stamp {
+		if old, ok := n.view.jobs[id]; ok && old.Revision >= stamp {
 			return
 		}
 		rec, err := wire.DecodeJob(id, value, stamp)
@@ -161,62 +161,62 @@
 			n.log.Error("job record", "err", err)
 			return
 		}
-		n.learnJob(rec)
+		n.applyJob(rec)
 	case clusterconfig.IsRecord(key):
 		n.putConfig(key, value, stamp)
 	case strings.HasPrefix(key, registry.Prefix):
 		// Of two reads that overlap, the later may hold what the earlier had, and
 		// what is gone since must not come back.
 		if stamp > n.view.revision {
-			n.nomad.put(n, key, value, stamp)
+			n.nomad.putRecord(n, key, value, stamp)
 		}
 	}
 }
 
 // learnJob notes a job's record, read or written by this node.
-func (n *Node) learnJob(rec core.JobRecord) {
+func (n *Node) applyJob(rec core.JobRecord) {
 	id := rec.Spec.ID
-	if old, ok := n.view.jobs[id]; ok && old.Stamp >= rec.Stamp {
+	if old, ok := n.view.jobs[id]; ok && old.Revision >= rec.Revision {
 		return
 	}
-	n.core.Job(n.now(), wall(), rec)
+	n.core.UpdateJob(n.now(), wallClock(), rec)
 	n.view.jobs[id] = rec
 	if rec.Phase != core.Pending {
-		delete(n.counts, id)
+		delete(n.leaderCounts, id)
 	}
 	if rec.Phase == core.Cancelled {
-		n.cancelled.add(peer.Cancelled{Job: id, Stamp: rec.Stamp, At: int64(rec.Ended)})
+		n.cancellations.add(peer.Cancellation{Job: id, Revision: rec.Revision, At: int64(rec.EndedAt)})
 	}
-	n.nomad.native(n, &rec)
+	n.nomad.nativeJobChanged(n, &rec)
 }
 
 func (n *Node) setLeader(name string, stamp uint64) {
 	if name != n.view.leader {
 		n.log.Info("leader", "leader", name, "revision", stamp)
 	}
-	n.view.leader, n.view.leaderStamp = name, stamp
+	n.view.leader, n.view.leaderRevision = name, stamp
 	if name != "" {
-		n.view.lastLeader, n.view.lastToken = name, stamp
-		n.heardLeader(name, stamp)
+		n.view.lastLeader, n.view.lastLeaderToken = name, stamp
+		n.noteLeader(name, stamp)
 	}
 	n.wakeElector()
 }
 
 // heardLeader takes word of a leader's key, read or told by a peer.
-func (n *Node) heardLeader(name string, token uint64) {
+func (n *Node) noteLeader(name string, token uint64) {
 	switch t := n.term; {
-	case t == nil || token <= t.stamp:
-	case name != n.cfg.Member:
+	case t == nil || token <= t.token:
+	case name != n.platform.Member:
 		t.deposed = true // also where its own lease can neither be renewed nor be seen to end
-	case token == n.view.lastToken:
+	case token == n.view.lastLeaderToken:
 		// A rewrite of our own whose answer was lost.
-		t.raised(token)
+		t.tokenRaised(token)
 	}
 }
 
 func (n *Node) wakeElector() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.electorWake <- struct{}{}:
 	default:
 	}
 }
@@ -228,52 +228,52 @@
 // reads there is a pause, so that all nodes together leave half of the service's
 // requests to what is written, however many users ask.
 func (n *Node) readLinearizable(f func(ok bool)) {
-	if len(n.waiting) >= 2000 || n.unreached() {
+	if len(n.readWaiters) >= 2000 || n.stateUnreachable() {
 		f(false)
 		return
 	}
-	n.waiting = append(n.waiting, f)
-	n.sync()
+	n.readWaiters = append(n.readWaiters, f)
+	n.startRead()
 }
 
-func (n *Node) sync() {
-	if n.syncing || len(n.waiting) == 0 {
+func (n *Node) startRead() {
+	if n.readPending || len(n.readWaiters) == 0 {
 		return
 	}
-	if wait := n.synced + n.syncPause - n.now(); wait > 0 {
-		n.syncing = true
+	if wait := n.lastReadStarted + n.readInterval - n.now(); wait > 0 {
+		n.readPending = true
 		time.AfterFunc(time.Duration(wait)*time.Microsecond, func() {
 			n.post(func() {
-				n.syncing = false
-				n.sync()
+				n.readPending = false
+				n.startRead()
 			})
 		})
 		return
 	}
-	n.synced = n.now()
-	waiting := n.waiting
-	n.waiting = nil
+	n.lastReadStarted = n.now()
+	waiting := n.readWaiters
+	n.readWaiters = nil
 	if !n.view.ready {
 		for _, f := range waiting {
 			f(false)
 		}
 		return
 	}
-	n.syncing = true
+	n.readPending = true
 	since, asked := n.view.revision, n.now()
 	go func() {
-		ch, err := n.store.Changes(n.ctx, controlPrefix, since, 0)
+		ch, err := n.stateClient.Changes(n.ctx, watchedPrefix, since, 0)
 		n.post(func() {
-			n.syncing = false
+			n.readPending = false
 			if err == nil {
-				n.apply(ch, asked)
+				n.applyChanges(ch, asked)
 			} else {
 				n.log.Debug("sync", "err", err)
 			}
 			for _, f := range waiting {
 				f(err == nil)
 			}
-			n.sync()
+			n.startRead()
 		})
 	}()
 }
--- a/internal/nomad/httpapi/agent.go
+++ b/internal/nomad/httpapi/agent.go
@@ -36,7 +36,7 @@
 	if err := q.look(registry.Name{Team: q.team}, false, func(*registry.Registry) {}); err != nil {
 		return nil, err
 	}
-	s, err := q.b.ShowAll(q.r.Context(), &peer.Ask{Machines: true})
+	s, err := q.b.ShowAll(q.r.Context(), &peer.ViewRequest{Machines: true})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/nomad/httpapi/allocs.go
+++ b/internal/nomad/httpapi/allocs.go
@@ -111,11 +111,11 @@
 
 // ask asks the leader about the units that are not over, by native job. What
 // it leaves out is beyond the limit, where the list ends before.
-func (q *request) ask(units []unit, limit int) (map[string]peer.JobShown, error) {
-	a := &peer.Ask{Limit: limit}
+func (q *request) ask(units []unit, limit int) (map[string]peer.JobView, error) {
+	a := &peer.ViewRequest{Limit: limit}
 	for _, u := range units {
 		if u.rec.Phase == core.Pending {
-			a.Jobs = append(a.Jobs, peer.JobAsk{Job: u.native(), From: u.first})
+			a.Jobs = append(a.Jobs, peer.JobViewRequest{Job: u.native(), FirstTask: u.first})
 		}
 	}
 	if len(a.Jobs) == 0 {
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := map[string]peer.JobShown{}
+	out := map[string]peer.JobView{}
 	for _, j := range s.Jobs {
 		out[j.Job] = j
 	}
@@ -135,7 +135,7 @@
 }
 
 // tasks are a unit's tasks that are done or on a machine, at most room of them.
-func (u *unit) tasks(shown map[string]peer.JobShown, room int) (tasks []core.TaskView, more bool) {
+func (u *unit) tasks(shown map[string]peer.JobView, room int) (tasks []core.TaskView, more bool) {
 	switch u.rec.Phase {
 	case core.Done:
 		for i := u.first; i < u.rec.Spec.Tasks; i++ {
--- a/internal/nomad/httpapi/backend.go
+++ b/internal/nomad/httpapi/backend.go
@@ -68,7 +68,7 @@
 	Plan(ctx context.Context, r registry.Registration) (*registry.Change, *registry.Job, error)
 	Deregister(ctx context.Context, n registry.Name, purge bool) (Registered, error)
 	// ShowAll asks the leader where tasks and machines are.
-	ShowAll(ctx context.Context, a *peer.Ask) (*peer.Shown, error)
+	ShowAll(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error)
 	Members(ctx context.Context) Members
 	Terms(team string) translate.Terms
 	Healthy() bool
--- a/internal/nomad/httpapi/server_test.go
+++ b/internal/nomad/httpapi/server_test.go
@@ -34,9 +34,11 @@
 func (backend) Deregister(context.Context, registry.Name, bool) (Registered, error) {
 	return Registered{}, ErrNoJob
 }
-func (backend) ShowAll(context.Context, *peer.Ask) (*peer.Shown, error) { return nil, ErrNoLeader }
-func (backend) Members(context.Context) Members                         { return Members{All: []string{"10.0.0.1:1"}} }
-func (b backend) Healthy() bool                                         { return b.healthy }
+func (backend) ShowAll(context.Context, *peer.ViewRequest) (*peer.ViewResponse, error) {
+	return nil, ErrNoLeader
+}
+func (backend) Members(context.Context) Members { return Members{All: []string{"10.0.0.1:1"}} }
+func (b backend) Healthy() bool                 { return b.healthy }
 func (backend) Terms(team string) translate.Terms {
 	return translate.Terms{Team: team, MHzPerCPU: 1000, ScratchMB: 300}
 }
--- a/internal/nomad/httpapi/views.go
+++ b/internal/nomad/httpapi/views.go
@@ -291,7 +291,7 @@
 	switch {
 	case t.Done:
 		a.ClientStatus, state.State = "complete", "dead"
-	case t.State == core.Running || t.State == core.Saving:
+	case t.State == core.Running || t.State == core.Checkpointing:
 		a.ClientStatus, state.State = "running", "running"
 	default:
 		a.ClientStatus = "pending"
--- a/internal/nomad/registry/registry.go
+++ b/internal/nomad/registry/registry.go
@@ -162,7 +162,7 @@
 	at := j.JobModifyIndex
 	for _, g := range j.Groups {
 		if rec, ok := r.natives.Record(g.Native); ok {
-			at = max(at, rec.Stamp)
+			at = max(at, rec.Revision)
 		}
 	}
 	return at
--- a/internal/nomad/registry/registry_test.go
+++ b/internal/nomad/registry/registry_test.go
@@ -36,7 +36,7 @@
 func (s *store) finish(id string, phase core.Phase) uint64 {
 	s.rev++
 	r := s.jobs[id]
-	r.Phase, r.Stamp = phase, s.rev
+	r.Phase, r.Revision = phase, s.rev
 	s.jobs[id] = r
 	return s.rev
 }
@@ -49,16 +49,16 @@
 		}
 	}
 	for _, r := range ch.End {
-		if s.jobs[r.Spec.ID].Stamp != r.Stamp {
+		if s.jobs[r.Spec.ID].Revision != r.Revision {
 			return false
 		}
 	}
 	s.rev++
 	for _, spec := range ch.Start {
-		s.jobs[spec.ID] = core.JobRecord{Spec: spec, Stamp: s.rev}
+		s.jobs[spec.ID] = core.JobRecord{Spec: spec, Revision: s.rev}
 	}
 	for _, r := range ch.End {
-		r.Phase, r.Stamp = core.Cancelled, s.rev
+		r.Phase, r.Revision = core.Cancelled, s.rev
 		s.jobs[r.Spec.ID] = r
 	}
 	for _, w := range ch.Puts {
--- a/internal/nomad/translate/trace_test.go
+++ b/internal/nomad/translate/trace_test.go
@@ -30,33 +30,33 @@
 func newSite() *site {
 	s := &site{now: core.Second, specs: map[string]core.JobSpec{}, c: core.New(core.Config{
 		Teams: []core.Team{
-			{Name: "blue", Min: core.Res{CPU: 16_000}, Max: core.Res{CPU: 40_000}},
-			{Name: "green", Min: core.Res{CPU: 8_000, GPU: 1_000}, Max: core.Res{CPU: 24_000, GPU: 2_000}},
+			{Name: "blue", Min: core.Resources{CPU: 16_000}, Max: core.Resources{CPU: 40_000}},
+			{Name: "green", Min: core.Resources{CPU: 8_000, GPU: 1_000}, Max: core.Resources{CPU: 24_000, GPU: 2_000}},
 		},
-		Lease: 16 * core.Second, ReportGap: 3 * core.Second, PlacePause: 20 * core.Millisecond, RecordPause: 200 * core.Millisecond,
-		ReturnPause: core.Second, ListLag: 4 * core.Second, ChunkSize: 500, MachinesPerRecord: 100, LateTimes: 1.5,
-		Tuning: core.Tuning{Idle: 3600 * core.Second, RefusalPause: 3600 * core.Second, Hold: 600 * core.Second, Quarantine: 120 * core.Second, Suspect: 30 * core.Second},
+		WorkerLease: 16 * core.Second, ReportInterval: 3 * core.Second, PlacementInterval: 20 * core.Millisecond, RecordInterval: 200 * core.Millisecond,
+		ReleaseInterval: core.Second, ListLag: 4 * core.Second, ChunkSize: 500, MachinesPerRecord: 100, LateFactor: 1.5,
+		Tuning: core.Tuning{IdleTimeout: 3600 * core.Second, RefusalBackoff: 3600 * core.Second, ReservationDecay: 600 * core.Second, Quarantine: 120 * core.Second, SuspectAfter: 30 * core.Second},
 	})}
-	s.c.Catalog([]core.MachineType{
-		{Name: "s4", Cap: core.Res{CPU: 4_000, Mem: 16_000}, CacheMB: 40_000, FetchMBps: 500, Price: 0.2, SpotPrice: 0.1, Boot: 15 * core.Second, Zones: []string{"a", "b", "c"}},
-		{Name: "g16", Cap: core.Res{CPU: 16_000, GPU: 2_000, Mem: 64_000}, CacheMB: 40_000, FetchMBps: 1000, Price: 0.9, SpotPrice: 0.3, Boot: 20 * core.Second, Zones: []string{"a", "b"}},
+	s.c.SetCatalog([]core.MachineType{
+		{Name: "s4", Capacity: core.Resources{CPU: 4_000, Mem: 16_000}, CacheMB: 40_000, FetchMBps: 500, Price: 0.2, SpotPrice: 0.1, BootTime: 15 * core.Second, Zones: []string{"a", "b", "c"}},
+		{Name: "g16", Capacity: core.Resources{CPU: 16_000, GPU: 2_000, Mem: 64_000}, CacheMB: 40_000, FetchMBps: 1000, Price: 0.9, SpotPrice: 0.3, BootTime: 20 * core.Second, Zones: []string{"a", "b"}},
 	})
 	for i := range 12 {
 		h := &hand{ends: map[string]core.Micros{}, r: core.Report{
-			Machine: fmt.Sprintf("n-%02d", i), Address: fmt.Sprintf("w%02d", i), Type: "s4", Zone: string(rune('a' + i%3)), Spot: i%4 == 1, Session: 1, Notice: -1,
+			Machine: fmt.Sprintf("n-%02d", i), Address: fmt.Sprintf("w%02d", i), Type: "s4", Zone: string(rune('a' + i%3)), Spot: i%4 == 1, Session: 1, SpotNotice: -1,
 		}}
 		if i%3 < 2 && i < 6 {
 			h.r.Type = "g16"
 		}
 		s.hands = append(s.hands, h)
 	}
-	s.c.Begin(s.now, s.now, 1, nil, core.Snapshot{})
+	s.c.BeginTerm(s.now, s.now, 1, nil, core.Snapshot{})
 	return s
 }
 
 func (s *site) submit(spec core.JobSpec) {
 	s.specs[spec.ID] = spec
-	s.c.Job(s.now, s.now, core.JobRecord{Spec: spec, Submitted: s.now, Stamp: 5})
+	s.c.UpdateJob(s.now, s.now, core.JobRecord{Spec: spec, SubmittedAt: s.now, Revision: 5})
 }
 
 func (h *hand) report() *core.Report {
@@ -73,7 +73,7 @@
 		case c.Op == core.Start && i < 0:
 			s.tasks++
 			h.r.Tasks = append(h.r.Tasks, core.TaskReport{Job: c.Job, Index: c.Index, Attempt: c.Attempt, State: core.Running})
-			if d := s.specs[c.Job].Estimate; d > 0 {
+			if d := s.specs[c.Job].EstimatedRun; d > 0 {
 				h.ends[fmt.Sprint(c.Job, c.Index)] = s.now + d + core.Micros(c.Index%5)*core.Second
 			}
 		case c.Op == core.Stop && i >= 0 && h.r.Tasks[i].State != core.Exited:
@@ -95,7 +95,7 @@
 			}
 		}
 		if changed {
-			cmds, token, ok := s.c.Beat(s.now, h.report())
+			cmds, token, ok := s.c.HandleReport(s.now, h.report())
 			if ok {
 				h.r.Token = max(h.r.Token, token)
 				s.do(h, cmds)
@@ -108,27 +108,27 @@
 			h := s.hands[slices.IndexFunc(s.hands, func(h *hand) bool { return h.r.Machine == a.Machine })]
 			h.r.Token = max(h.r.Token, a.Token)
 			s.do(h, a.Commands)
-			s.c.Commanded(s.now, a.Machine, a.Token, core.Executed, h.report())
+			s.c.CommandResult(s.now, a.Machine, a.Token, core.Executed, h.report())
 		case core.Write:
-			s.c.Written(s.now, a.ID, core.Stored)
+			s.c.WriteResult(s.now, a.ID, core.Stored)
 			for _, p := range a.Puts {
-				if d, ok := p.Value.(core.JobDone); ok {
-					s.c.Job(s.now, s.now, d.Record)
+				if d, ok := p.Value.(core.FinalRecord); ok {
+					s.c.UpdateJob(s.now, s.now, d.Record)
 				}
 			}
 		case core.Rent:
-			s.c.Rented(s.now, s.now, a.Request, core.RentRefused, nil)
-		case core.Return:
-			s.c.Returned(s.now, a.Machines, false)
+			s.c.RentResult(s.now, s.now, a.Request, core.RentRefused, nil)
+		case core.Release:
+			s.c.ReleaseResult(s.now, a.Machines, false)
 		}
 	}
-	used := map[string]core.Res{}
+	used := map[string]core.Resources{}
 	var line strings.Builder
 	for _, h := range s.hands {
 		for _, t := range h.r.Tasks {
 			fmt.Fprintf(&line, " %s:%s/%d#%d=%d", h.r.Machine, t.Job, t.Index, t.Attempt, t.State)
 			if spec := s.specs[t.Job]; t.State != core.Exited {
-				used[spec.Team] = used[spec.Team].Add(spec.Need)
+				used[spec.Team] = used[spec.Team].Add(spec.Request)
 			}
 		}
 	}
--- a/internal/nomad/translate/translate.go
+++ b/internal/nomad/translate/translate.go
@@ -142,8 +142,8 @@
 	switch {
 	case j.ID == "":
 		x.refuse("/ID", "the job has no name")
-	case len(j.ID) > core.MaxName:
-		x.refuse("/ID", "the job's name is longer than %d bytes", core.MaxName)
+	case len(j.ID) > core.MaxNameBytes:
+		x.refuse("/ID", "the job's name is longer than %d bytes", core.MaxNameBytes)
 	case strings.ContainsAny(j.ID, " \x00"):
 		x.refuse("/ID", "the job's name holds a space")
 	}
@@ -221,8 +221,8 @@
 	if j.Type == "service" {
 		s.Kind = core.Service
 	}
-	if g.Name == "" || len(g.Name) > core.MaxName {
-		x.refuse(at+"/Name", "group: want a name of at most %d bytes", core.MaxName)
+	if g.Name == "" || len(g.Name) > core.MaxNameBytes {
+		x.refuse(at+"/Name", "group: want a name of at most %d bytes", core.MaxNameBytes)
 	}
 	if g.Count < 1 || g.Count > core.MaxTasks {
 		x.refuse(at+"/Count", "count: want 1 to %d", core.MaxTasks)
@@ -257,12 +257,12 @@
 	if task.Driver == "" {
 		x.refuse(taskAt, "task %q: names no driver", task.Name)
 	}
-	s.Need = x.need(&task.Resources, taskAt+"/Resources")
+	s.Request = x.need(&task.Resources, taskAt+"/Resources")
 	x.meta(&s, g, task, at, taskAt)
 	x.where(&s, g, task, at, taskAt)
 	// The published default is in every job that was read before, and asks for nothing.
-	if task.KillTimeout > max(jobfile.Duration(s.SaveCost), jobfile.DefaultKillTimeout) {
-		x.refuse(taskAt+"/KillTimeout", "kill_timeout: a task is given %scheckpoint_cost_s (%v s) to save when it is stopped, and no longer", Prefix, float64(s.SaveCost)/1e6)
+	if task.KillTimeout > max(jobfile.Duration(s.CheckpointCost), jobfile.DefaultKillTimeout) {
+		x.refuse(taskAt+"/KillTimeout", "kill_timeout: a task is given %scheckpoint_cost_s (%v s) to save when it is stopped, and no longer", Prefix, float64(s.CheckpointCost)/1e6)
 	}
 	return s
 }
@@ -273,8 +273,8 @@
 	}
 }
 
-func (x *translation) need(r *jobfile.Resources, at string) core.Res {
-	var n core.Res
+func (x *translation) need(r *jobfile.Resources, at string) core.Resources {
+	var n core.Resources
 	switch {
 	case r.Cores > 0 && r.CPU > 0:
 		x.refuse(at+"/Cores", "resources: cpu and cores exclude each other")
@@ -297,7 +297,7 @@
 		n.GPU += int64(d.Count) * 1000
 	}
 	for _, a := range []int64{n.CPU, n.GPU, n.Mem} {
-		if a > core.MaxAmount*1000 {
+		if a > core.MaxTaskResource*1000 {
 			x.refuse(at, "resources: out of range")
 		}
 	}
@@ -327,8 +327,8 @@
 	take(task.Meta, taskAt)
 	text := func(name string) string {
 		e, ok := keys[name]
-		if ok && (e.value == "" || len(e.value) > core.MaxName) {
-			x.refuse(e.at, "%s%s: want a text of at most %d bytes", Prefix, name, core.MaxName)
+		if ok && (e.value == "" || len(e.value) > core.MaxNameBytes) {
+			x.refuse(e.at, "%s%s: want a text of at most %d bytes", Prefix, name, core.MaxNameBytes)
 		}
 		return e.value
 	}
@@ -362,12 +362,12 @@
 	s.Image = text("image")
 	if _, named := keys["image"]; !named {
 		s.Image, _ = task.Config["image"].(string)
-		if s.Image == "" || len(s.Image) > core.MaxName {
-			x.refuse(taskAt+"/Config", "task %q: names no image of at most %d bytes, neither in config nor as %simage in meta", task.Name, core.MaxName, Prefix)
+		if s.Image == "" || len(s.Image) > core.MaxNameBytes {
+			x.refuse(taskAt+"/Config", "task %q: names no image of at most %d bytes, neither in config nor as %simage in meta", task.Name, core.MaxNameBytes, Prefix)
 		}
 	}
-	gb, _ := number("image_gb", core.MaxAmount)
-	s.ImageMB = core.Amount(gb)
+	gb, _ := number("image_gb", core.MaxTaskResource)
+	s.ImageMB = core.MilliUnits(gb)
 	if flag("gang") {
 		if s.Kind == core.Service {
 			x.refuse(keys["gang"].at, "%sgang: a service is no gang", Prefix)
@@ -382,8 +382,8 @@
 		n, _ := number(name, core.MaxSeconds)
 		return core.Seconds(n)
 	}
-	s.Estimate, s.Due = seconds("expect_s"), seconds("due_s")
-	s.Checkpoint, s.SaveCost = seconds("checkpoint_s"), seconds("checkpoint_cost_s")
+	s.EstimatedRun, s.Deadline = seconds("expect_s"), seconds("due_s")
+	s.CheckpointInterval, s.CheckpointCost = seconds("checkpoint_s"), seconds("checkpoint_cost_s")
 }
 
 // where works out the zone, the machine types and the spread.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -23,11 +23,11 @@
 
 // Status is what a node says of itself.
 type Status struct {
-	Node    string   `msgpack:"n"`
-	StateOK bool     `msgpack:"s"` // it reaches the state service
-	Workers bool     `msgpack:"w"` // workers have reached it in the last seconds
-	Token   uint64   `msgpack:"t"` // of its term; 0: it does not lead
-	Counts  []Counts `msgpack:"c"` // from the leader: what changed
+	Node             string   `msgpack:"n"`
+	StateOK          bool     `msgpack:"s"` // it reaches the state service
+	WorkersReporting bool     `msgpack:"w"` // workers have reached it in the last seconds
+	Token            uint64   `msgpack:"t"` // of its term; 0: it does not lead
+	Counts           []Counts `msgpack:"c"` // from the leader: what changed
 	// Leader wrote the latest leader's key that the node knows of, under LeaderToken;
 	// that of its own term counts also when its lease is not certain to be alive.
 	Leader      string `msgpack:"ln,omitempty"`
@@ -36,32 +36,32 @@
 	// Have is the revision up to which the node that asks knows every change, 0 for
 	// none. The reply lists the cancellations after it that the peer knows of, and
 	// Vouches if these are all that it can have told users of.
-	Have uint64 `msgpack:"h,omitempty"`
+	Revision uint64 `msgpack:"h,omitempty"`
 	// Seen tells peers of an earlier version, which take a low one for agreement that
 	// no job has changed, that there is none.
-	Seen      uint64      `msgpack:"v"`
-	Cancelled []Cancelled `msgpack:"x,omitempty"`
-	Vouches   bool        `msgpack:"k,omitempty"`
+	LegacySeen            uint64         `msgpack:"v"`
+	Cancellations         []Cancellation `msgpack:"x,omitempty"`
+	CancellationsComplete bool           `msgpack:"k,omitempty"`
 
 	// ConfigFormat is the newest format of the configuration that the node reads, 0 for an
 	// earlier version of the program; Config is the revision of the one that it acts by.
-	ConfigFormat int    `msgpack:"cf,omitempty"`
-	Config       uint64 `msgpack:"cr,omitempty"`
+	ConfigFormat   int    `msgpack:"cf,omitempty"`
+	ConfigRevision uint64 `msgpack:"cr,omitempty"`
 
-	Life  uint64 `msgpack:"l"`           // of its process
-	Nonce uint64 `msgpack:"o,omitempty"` // of this reply
-	Echo  uint64 `msgpack:"e,omitempty"` // from the leader: the peer's last reply that it has; it may answer workers a while from that
+	Incarnation uint64 `msgpack:"l"`           // of its process
+	Nonce       uint64 `msgpack:"o,omitempty"` // of this reply
+	EchoedNonce uint64 `msgpack:"e,omitempty"` // from the leader: the peer's last reply that it has; it may answer workers a while from that
 	// AnsweredAgo is how long ago it last answered a worker in the leader's
 	// place, in microseconds; negative for never.
-	AnsweredAgo int64 `msgpack:"a"`
+	DelegatedAnswerAge int64 `msgpack:"a"`
 }
 
 // Cancelled is a job that was cancelled: the revision of its record, and when that
 // was written, by the wall clock in microseconds.
-type Cancelled struct {
-	Job   string `msgpack:"j"`
-	Stamp uint64 `msgpack:"s"`
-	At    int64  `msgpack:"a"`
+type Cancellation struct {
+	Job      string `msgpack:"j"`
+	Revision uint64 `msgpack:"s"`
+	At       int64  `msgpack:"a"`
 }
 
 // Counts is how far a job has come.
@@ -72,38 +72,38 @@
 }
 
 // Ask asks the leader what only it knows: where tasks are. It is for display.
-type Ask struct {
-	Jobs     []JobAsk `msgpack:"j,omitempty"`
-	Limit    int      `msgpack:"l,omitempty"` // tasks in all
-	Machines bool     `msgpack:"m,omitempty"`
+type ViewRequest struct {
+	Jobs     []JobViewRequest `msgpack:"j,omitempty"`
+	Limit    int              `msgpack:"l,omitempty"` // tasks in all
+	Machines bool             `msgpack:"m,omitempty"`
 }
 
 // JobAsk names a job and the first task that is asked for.
-type JobAsk struct {
-	Job  string `msgpack:"j"`
-	From int    `msgpack:"f,omitempty"`
+type JobViewRequest struct {
+	Job       string `msgpack:"j"`
+	FirstTask int    `msgpack:"f,omitempty"`
 }
 
 // Shown is the answer.
-type Shown struct {
-	Jobs     []JobShown         `msgpack:"j,omitempty"`
+type ViewResponse struct {
+	Jobs     []JobView          `msgpack:"j,omitempty"`
 	Machines []core.MachineView `msgpack:"m,omitempty"`
 }
 
 // JobShown are the tasks of a job that are done or on a machine.
-type JobShown struct {
+type JobView struct {
 	Job   string          `msgpack:"j"`
 	Tasks []core.TaskView `msgpack:"t,omitempty"`
 	More  bool            `msgpack:"m,omitempty"`
 }
 
 const (
-	serviceName = "aspenstall.Peer"
-	tellMethod  = "/" + serviceName + "/Tell"
-	showMethod  = "/" + serviceName + "/Show"
-	noteMethod  = "/" + serviceName + "/Notify"
-	codecName   = "msgpack"
-	callTimeout = time.Second
+	serviceName  = "aspenstall.Peer"
+	statusMethod = "/" + serviceName + "/Tell"
+	viewsMethod  = "/" + serviceName + "/Show"
+	notifyMethod = "/" + serviceName + "/Notify"
+	codecName    = "msgpack"
+	callTimeout  = time.Second
 )
 
 type codec struct{}
@@ -115,11 +115,11 @@
 
 // Handler answers a peer's status with this node's own.
 type Handler interface {
-	Told(ctx context.Context, s *Status) (*Status, error)
+	ExchangeStatus(ctx context.Context, s *Status) (*Status, error)
 	// Show fails on a node that does not lead.
-	Show(ctx context.Context, a *Ask) (*Shown, error)
+	Views(ctx context.Context, a *ViewRequest) (*ViewResponse, error)
 	// Notify is an operator's request; it fails on a node that does not lead.
-	Notify(ctx context.Context, a *control.Ask) (*control.Answer, error)
+	ControlNotifications(ctx context.Context, a *control.Ask) (*control.Answer, error)
 }
 
 // Serve answers peers on l until it fails.
@@ -128,7 +128,7 @@
 	s.RegisterService(&grpc.ServiceDesc{
 		ServiceName: serviceName,
 		HandlerType: (*Handler)(nil),
-		Methods:     []grpc.MethodDesc{method("Tell", Handler.Told), method("Show", Handler.Show), method("Notify", Handler.Notify)},
+		Methods:     []grpc.MethodDesc{method("Tell", Handler.ExchangeStatus), method("Show", Handler.Views), method("Notify", Handler.ControlNotifications)},
 	}, h)
 	return s.Serve(l)
 }
@@ -174,18 +174,18 @@
 func (c *Client) Close() error { return c.conn.Close() }
 
 // Tell tells the peer this node's status and returns the peer's.
-func (c *Client) Tell(ctx context.Context, s *Status) (*Status, error) {
-	return invoke[Status](ctx, c, tellMethod, s)
+func (c *Client) ExchangeStatus(ctx context.Context, s *Status) (*Status, error) {
+	return invoke[Status](ctx, c, statusMethod, s)
 }
 
 // Show asks the peer, which has to lead.
-func (c *Client) Show(ctx context.Context, a *Ask) (*Shown, error) {
-	return invoke[Shown](ctx, c, showMethod, a)
+func (c *Client) Views(ctx context.Context, a *ViewRequest) (*ViewResponse, error) {
+	return invoke[ViewResponse](ctx, c, viewsMethod, a)
 }
 
 // Notify hands an operator's request to the peer, which has to lead.
-func (c *Client) Notify(ctx context.Context, a *control.Ask) (*control.Answer, error) {
-	return invoke[control.Answer](ctx, c, noteMethod, a)
+func (c *Client) ControlNotifications(ctx context.Context, a *control.Ask) (*control.Answer, error) {
+	return invoke[control.Answer](ctx, c, notifyMethod, a)
 }
 
 func invoke[Out any](ctx context.Context, c *Client, method string, in any) (*Out, error) {
--- a/internal/simulator/config_test.go
+++ b/internal/simulator/config_test.go
@@ -314,7 +314,7 @@
 				lost := 0
 				var wg sync.WaitGroup
 				for i, k := range []*operator{o, other} {
-					to := &clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": {Max: core.Res{CPU: int64(30000 + i)}, Cap: core.Production}}}
+					to := &clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": {Max: core.Resources{CPU: int64(30000 + i)}, Cap: core.Production}}}
 					wg.Go(func() {
 						_, err := k.client.Apply(ctx, v, to, fmt.Sprint("both-", i))
 						if errors.Is(err, configclient.ErrConflict) {
@@ -655,7 +655,7 @@
 				o.client.Limits = clusterconfig.Limits{ValueBytes: 1800, TxnOps: 4}
 				many := func(c *clusterconfig.Config) {
 					for i := range 150 {
-						c.Teams[fmt.Sprintf("team-with-a-long-name-%03d", i)] = clusterconfig.Team{Max: core.Res{CPU: 1_000_000}, Cap: core.High}
+						c.Teams[fmt.Sprintf("team-with-a-long-name-%03d", i)] = clusterconfig.Team{Max: core.Resources{CPU: 1_000_000}, Cap: core.High}
 					}
 				}
 				must(t, o, "many", many)
--- a/internal/simulator/nomad.go
+++ b/internal/simulator/nomad.go
@@ -167,4 +167,4 @@
 }
 
 // Waiting counts the blocking queries that wait at a node.
-func (w *World) Waiting(i int) int { return w.Nodes[i].nd.Waiting(w.ctx) }
+func (w *World) Waiting(i int) int { return w.Nodes[i].nd.BlockingQueries(w.ctx) }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -28,16 +28,16 @@
 	// ErrNotFound: no such key or lease.
 	ErrNotFound = errors.New("not found")
 	// ErrTooOld: the watch asks for changes that are no longer kept.
-	ErrTooOld = errors.New("revision too old")
+	ErrCompacted = errors.New("revision too old")
 	// ErrInvalid: the service found the request malformed.
 	ErrInvalid = errors.New("malformed request")
 )
 
 // Deadlines: an answer usually takes less than 10 ms, sometimes a few hundred.
 const (
-	requestTimeout = 1500 * time.Millisecond
-	pageSize       = 500
-	maxAnswer      = 64 << 20
+	requestTimeout   = 1500 * time.Millisecond
+	pageSize         = 500
+	maxResponseBytes = 64 << 20
 )
 
 // Client talks to the state service.
@@ -94,7 +94,7 @@
 		return fmt.Errorf("%s %s: %w", method, path, err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, path, err)
 	}
@@ -109,7 +109,7 @@
 	case http.StatusNotFound:
 		return ErrNotFound
 	case http.StatusGone:
-		return ErrTooOld
+		return ErrCompacted
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return fmt.Errorf("status %d: %w", resp.StatusCode, ErrNotExecuted)
 	case http.StatusBadRequest:
@@ -122,12 +122,12 @@
 
 // Spare reports whether n changes fit into the budget with half of it left for
 // what cannot wait.
-func (c *Client) Spare(n int) bool {
+func (c *Client) HasBackgroundBudget(n int) bool {
 	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(c.writes.Burst()+n)/2
 }
 
 // Soon reports whether n changes fit with a quarter of the budget left for users.
-func (c *Client) Soon(n int) bool {
+func (c *Client) HasPriorityBudget(n int) bool {
 	most := c.writes.Burst()
 	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(min(n+most/4, most))
 }
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -149,7 +149,7 @@
 	p := clusterconfig.Page{Teams: map[string]clusterconfig.Team{}}
 	for _, t := range w.Teams {
 		p.Teams[t.Name] = clusterconfig.Team{
-			Min: core.Res{CPU: t.MinCPU, GPU: t.MinGPU}, Max: core.Res{CPU: t.MaxCPU, GPU: t.MaxGPU},
+			Min: core.Resources{CPU: t.MinCPU, GPU: t.MinGPU}, Max: core.Resources{CPU: t.MaxCPU, GPU: t.MaxGPU},
 			Cap: core.Priority(t.Cap), Draining: t.Draining,
 		}
 	}
--- a/internal/wire/names_test.go
+++ b/internal/wire/names_test.go
@@ -94,7 +94,7 @@
 		for i := range v.NumField() {
 			name := v.Type().Field(i).Name
 			// How long ago a record was made is not stored.
-			if name != "_msgpack" && (name != "Ago" || v.Type() != reflect.TypeFor[core.KeptRecord]()) {
+			if name != "_msgpack" && (name != "Elapsed" || v.Type() != reflect.TypeFor[core.PartitionRecord]()) {
 				allSet(t, path+"."+name, v.Field(i), seen)
 			}
 		}
@@ -194,11 +194,11 @@
 // The records of other packages go into the same messages, and come back out of them.
 func TestNamesOfRecords(t *testing.T) {
 	job := core.JobRecord{
-		Phase: core.Cancelled, Submitted: 10, Stamp: 9, Born: 20, Ended: 21,
+		Phase: core.Cancelled, SubmittedAt: 10, Revision: 9, AcceptedRevision: 20, EndedAt: 21,
 		Spec: core.JobSpec{
-			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 11, Need: core.Res{CPU: 12, GPU: 13, Mem: 14},
+			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 11, Request: core.Resources{CPU: 12, GPU: 13, Mem: 14},
 			Types: []string{"ty"}, Zone: "z", OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 15,
-			Estimate: 16, Checkpoint: 17, SaveCost: 18, Due: 19,
+			EstimatedRun: 16, CheckpointInterval: 17, CheckpointCost: 18, Deadline: 19,
 		},
 	}
 	head := clusterconfig.Head{
@@ -206,14 +206,14 @@
 		Tuning: clusterconfig.Tuning{IdleReturnS: ptr(4.5), RefusalPauseS: ptr(5.5), HoldS: ptr(6.5), QuarantineS: ptr(7.5), SpareTasks: ptr(8)},
 	}
 	page := clusterconfig.Page{Teams: map[string]clusterconfig.Team{
-		"t": {Min: core.Res{CPU: 4, GPU: 6}, Max: core.Res{CPU: 5, GPU: 7}, Cap: core.High, Draining: true},
+		"t": {Min: core.Resources{CPU: 4, GPU: 6}, Max: core.Resources{CPU: 5, GPU: 7}, Cap: core.High, Draining: true},
 	}}
 	ack := clusterconfig.Ack{Format: 1, Stamp: 2, Number: 3, Peers: []string{"p"}, Error: "e", Earlier: []string{"q"}}
 	record := func(v any) func() ([]byte, error) { return func() ([]byte, error) { return EncodeRecord(v) } }
-	machines := core.MachinesRecord{Key: "k", Machines: []core.MachineRecord{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true}}}
-	rent := core.RentRecord{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, At: 2}
-	ranges := core.RangeRecord{Key: "k", Job: "job-1", Chunk: 2, Ranges: []int{3, 4}}
-	kept := core.KeptRecord{Key: "k", Zone: "z", Began: 1, Machines: []core.KeptMachine{{Name: "m", Tasks: []core.KeptTask{{Job: "job-2", Index: 3, Attempt: 4}}}}}
+	machines := core.MachineGroupRecord{Key: "k", Machines: []core.MachineRecord{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true}}}
+	rent := core.RentalRecord{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, RentedAt: 2}
+	ranges := core.CompletionRecord{Key: "k", Job: "job-1", Chunk: 2, Ranges: []int{3, 4}}
+	kept := core.PartitionRecord{Key: "k", Zone: "z", BeganAt: 1, Machines: []core.RetainedMachine{{Name: "m", Tasks: []core.RetainedTask{{Job: "job-2", Index: 3, Attempt: 4}}}}}
 	for _, c := range []struct {
 		name   string
 		value  any
@@ -225,7 +225,7 @@
 		{"rent", rent, record(rent), func(b []byte) (any, error) { return DecodeRent(b) }},
 		{"range", ranges, record(ranges), func(b []byte) (any, error) { return DecodeRanges("k", b) }},
 		{"kept", kept, record(kept), func(b []byte) (any, error) { return DecodeKept("k", b) }},
-		{"open", core.OpenRecord{Job: "job-1"}, record(core.OpenRecord{Job: "job-1"}), nil},
+		{"open", core.StartedRecord{Job: "job-1"}, record(core.StartedRecord{Job: "job-1"}), nil},
 		{"configuration's head", head, func() ([]byte, error) { return ConfigCodec{}.Encode(clusterconfig.Write{Head: &head}) },
 			func(b []byte) (any, error) { return DecodeConfigHead(b) }},
 		{"configuration's page", page, func() ([]byte, error) { return ConfigCodec{}.Encode(clusterconfig.Write{Page: &page}) },
@@ -263,24 +263,24 @@
 		want any
 	}{
 		{"report", func() (any, error) { return ParseReport(in("%s", "report")) }, &core.Report{
-			Machine: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Session: 1, Seq: 2, Token: 3, Notice: 4_500_000,
-			Tasks: []core.TaskReport{{Job: "job-5", Index: 6, Attempt: 7, State: core.Running, Cause: core.CauseAlone, Saved: true}},
+			Machine: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Session: 1, Seq: 2, Token: 3, SpotNotice: 4_500_000,
+			Tasks: []core.TaskReport{{Job: "job-5", Index: 6, Attempt: 7, State: core.Running, Cause: core.CausePeersMissing, Checkpointed: true}},
 		}},
 		{"catalog", func() (any, error) { return ParseCatalog(in(`{"breeds":[%s]}`, "machine type")) }, []core.MachineType{{
-			Name: "l", Cap: core.Res{CPU: 1500, GPU: 2500, Mem: 3500}, CacheMB: 4500, FetchMBps: 5500, Price: 6.5, SpotPrice: 7.5, Boot: 8_500_000, Zones: []string{"z"},
+			Name: "l", Capacity: core.Resources{CPU: 1500, GPU: 2500, Mem: 3500}, CacheMB: 4500, FetchMBps: 5500, Price: 6.5, SpotPrice: 7.5, BootTime: 8_500_000, Zones: []string{"z"},
 		}}},
 		{"machines", func() (any, error) {
 			list, more, err := ParseMachines(in(`{"stalls":[%s],"more":true}`, "listed machine"))
 			return fmt.Sprint(list, more), err
-		}, fmt.Sprint([]core.Listed{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Booting: true, Age: 1_500_000}}, true)},
+		}, fmt.Sprint([]core.ListedMachine{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Booting: true, Age: 1_500_000}}, true)},
 		{"failed machine", func() (any, error) {
 			list, _, err := ParseMachines(in(`{"stalls":[{"uid":"m","phase":"failed"}],"more":false}`))
 			return list, err
-		}, []core.Listed{{Name: "m", Failed: true}}},
+		}, []core.ListedMachine{{Name: "m", Failed: true}}},
 		{"submission", func() (any, error) { return ParseSubmission(in("%s", "submission")) }, core.JobSpec{
-			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 2, Need: core.Res{CPU: 3500, GPU: 4500, Mem: 5500},
+			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 2, Request: core.Resources{CPU: 3500, GPU: 4500, Mem: 5500},
 			Types: []string{"ty"}, Zone: "z", OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 6500,
-			Estimate: 7_500_000, Checkpoint: 8_500_000, SaveCost: 9_500_000, Due: 10_500_000,
+			EstimatedRun: 7_500_000, CheckpointInterval: 8_500_000, CheckpointCost: 9_500_000, Deadline: 10_500_000,
 		}},
 		{"submission's id", func() (any, error) { return SubmissionID(in("%s", "submission")), nil }, "job-1"},
 	} {
@@ -299,7 +299,7 @@
 
 func TestNamesOfCommands(t *testing.T) {
 	got, err := Commands(1, 2, []core.Command{
-		{Op: core.Start, Job: "job-3", Index: 4, Attempt: 5}, {Op: core.Stop, Job: "job-6", Index: 7, Attempt: 8, Grace: 9_500_000},
+		{Op: core.Start, Job: "job-3", Index: 4, Attempt: 5}, {Op: core.Stop, Job: "job-6", Index: 7, Attempt: 8, GracePeriod: 9_500_000},
 		{Op: core.Forget, Job: "job-10", Index: 11, Attempt: 12},
 	})
 	if err != nil {
@@ -332,8 +332,8 @@
 			"/keys", "/commit", "/leases", "renew", "/changes",
 		}},
 		{"keys", []string{
-			LeaderKey, JobPrefix, core.OpenPrefix, core.RangesPrefix, core.MachinePrefix, core.RentPrefix, core.KeptPrefix,
-			core.RangeKey("job-1", 2, 0), core.RangeKey("job-1", 2, 3),
+			LeaderKey, JobPrefix, core.StartedPrefix, core.CompletionPrefix, core.MachinePrefix, core.RentalPrefix, core.PartitionPrefix,
+			core.CompletionKey("job-1", 2, 0), core.CompletionKey("job-1", 2, 3),
 			clusterconfig.Prefix, clusterconfig.HeadKey, clusterconfig.PagePrefix, clusterconfig.AckPrefix, clusterconfig.KnownPrefix,
 		}, []string{
 			"c/leader", "c/job/", "b/open/", "b/done/", "b/machine/", "b/rent/", "b/kept/",
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -47,12 +47,12 @@
 func EncodeJob(r *core.JobRecord) ([]byte, error) {
 	s := &r.Spec
 	w := jobRecord{
-		Phase: uint8(r.Phase), Submitted: int64(r.Submitted), Class: s.Class, Team: s.Team,
+		Phase: uint8(r.Phase), Submitted: int64(r.SubmittedAt), Class: s.Class, Team: s.Team,
 		Kind: uint8(s.Kind), Priority: uint8(s.Priority), Tasks: s.Tasks,
-		CPU: s.Need.CPU, GPU: s.Need.GPU, Mem: s.Need.Mem, Types: s.Types, Zone: s.Zone,
+		CPU: s.Request.CPU, GPU: s.Request.GPU, Mem: s.Request.Mem, Types: s.Types, Zone: s.Zone,
 		OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Image: s.Image, ImageMB: s.ImageMB,
-		Estimate: int64(s.Estimate), Check: int64(s.Checkpoint), SaveCost: int64(s.SaveCost), Due: int64(s.Due),
-		Born: r.Born, Ended: int64(r.Ended),
+		Estimate: int64(s.EstimatedRun), Check: int64(s.CheckpointInterval), SaveCost: int64(s.CheckpointCost), Due: int64(s.Deadline),
+		Born: r.AcceptedRevision, Ended: int64(r.EndedAt),
 	}
 	return Marshal(&w)
 }
@@ -64,12 +64,12 @@
 		return core.JobRecord{}, fmt.Errorf("job %s: %w", id, err)
 	}
 	return core.JobRecord{
-		Phase: core.Phase(w.Phase), Submitted: core.Micros(w.Submitted), Stamp: stamp, Born: w.Born, Ended: core.Micros(w.Ended),
+		Phase: core.Phase(w.Phase), SubmittedAt: core.Micros(w.Submitted), Revision: stamp, AcceptedRevision: w.Born, EndedAt: core.Micros(w.Ended),
 		Spec: core.JobSpec{
 			ID: id, Class: w.Class, Team: w.Team, Kind: core.Kind(w.Kind), Priority: core.Priority(w.Priority),
-			Tasks: w.Tasks, Need: core.Res{CPU: w.CPU, GPU: w.GPU, Mem: w.Mem}, Types: w.Types, Zone: w.Zone,
+			Tasks: w.Tasks, Request: core.Resources{CPU: w.CPU, GPU: w.GPU, Mem: w.Mem}, Types: w.Types, Zone: w.Zone,
 			OneZone: w.OneZone, Spread: w.Spread, Spot: w.Spot, Image: w.Image, ImageMB: w.ImageMB,
-			Estimate: core.Micros(w.Estimate), Checkpoint: core.Micros(w.Check), SaveCost: core.Micros(w.SaveCost), Due: core.Micros(w.Due),
+			EstimatedRun: core.Micros(w.Estimate), CheckpointInterval: core.Micros(w.Check), CheckpointCost: core.Micros(w.SaveCost), Deadline: core.Micros(w.Due),
 		},
 	}, nil
 }
@@ -139,20 +139,20 @@
 // EncodeRecord encodes one of the core's records.
 func EncodeRecord(v any) ([]byte, error) {
 	switch r := v.(type) {
-	case core.MachinesRecord:
+	case core.MachineGroupRecord:
 		var w machinesRecord
 		for _, m := range r.Machines {
 			w.Machines = append(w.Machines, machineRecord{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 		return Marshal(&w)
-	case core.RentRecord:
-		return Marshal(&rentRecord{r.Request, r.Type, r.Zone, r.Spot, r.Count, r.Machines, int64(r.At)})
-	case core.RangeRecord:
+	case core.RentalRecord:
+		return Marshal(&rentRecord{r.Request, r.Type, r.Zone, r.Spot, r.Count, r.Machines, int64(r.RentedAt)})
+	case core.CompletionRecord:
 		return Marshal(&rangeRecord{r.Job, r.Chunk, r.Ranges})
-	case core.OpenRecord:
+	case core.StartedRecord:
 		return Marshal((*openRecord)(&r))
-	case core.KeptRecord:
-		w := keptRecord{Zone: r.Zone, Began: int64(r.Began)}
+	case core.PartitionRecord:
+		w := keptRecord{Zone: r.Zone, Began: int64(r.BeganAt)}
 		for _, m := range r.Machines {
 			km := keptMachine{Name: m.Name}
 			for _, t := range m.Tasks {
@@ -161,15 +161,15 @@
 			w.Machines = append(w.Machines, km)
 		}
 		return Marshal(&w)
-	case core.JobDone:
+	case core.FinalRecord:
 		return EncodeJob(&r.Record)
 	}
 	return nil, fmt.Errorf("no encoding for %T", v)
 }
 
 // DecodeMachines decodes the record of machines at the key.
-func DecodeMachines(key string, b []byte) (core.MachinesRecord, error) {
-	r := core.MachinesRecord{Key: key}
+func DecodeMachines(key string, b []byte) (core.MachineGroupRecord, error) {
+	r := core.MachineGroupRecord{Key: key}
 	var w machinesRecord
 	err := Unmarshal(b, &w)
 	for _, m := range w.Machines {
@@ -179,14 +179,14 @@
 }
 
 // DecodeKept decodes the record at the key of machines that are kept.
-func DecodeKept(key string, b []byte) (core.KeptRecord, error) {
+func DecodeKept(key string, b []byte) (core.PartitionRecord, error) {
 	var w keptRecord
 	err := Unmarshal(b, &w)
-	r := core.KeptRecord{Key: key, Zone: w.Zone, Began: core.Micros(w.Began)}
+	r := core.PartitionRecord{Key: key, Zone: w.Zone, BeganAt: core.Micros(w.Began)}
 	for _, m := range w.Machines {
-		km := core.KeptMachine{Name: m.Name}
+		km := core.RetainedMachine{Name: m.Name}
 		for _, t := range m.Tasks {
-			km.Tasks = append(km.Tasks, core.KeptTask{Job: t.Job, Index: t.Index, Attempt: t.Attempt})
+			km.Tasks = append(km.Tasks, core.RetainedTask{Job: t.Job, Index: t.Index, Attempt: t.Attempt})
 		}
 		r.Machines = append(r.Machines, km)
 	}
@@ -194,19 +194,19 @@
 }
 
 // DecodeRent decodes a rental's record.
-func DecodeRent(b []byte) (core.RentRecord, error) {
+func DecodeRent(b []byte) (core.RentalRecord, error) {
 	var w rentRecord
 	err := Unmarshal(b, &w)
-	return core.RentRecord{
-		Request: w.Request, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count, Machines: w.Machines, At: core.Micros(w.At),
+	return core.RentalRecord{
+		Request: w.Request, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count, Machines: w.Machines, RentedAt: core.Micros(w.At),
 	}, err
 }
 
 // DecodeRanges decodes the record of finished tasks at the key.
-func DecodeRanges(key string, b []byte) (core.RangeRecord, error) {
+func DecodeRanges(key string, b []byte) (core.CompletionRecord, error) {
 	var w rangeRecord
 	err := Unmarshal(b, &w)
-	return core.RangeRecord{Key: key, Job: w.Job, Chunk: w.Chunk, Ranges: w.Ranges}, err
+	return core.CompletionRecord{Key: key, Job: w.Job, Chunk: w.Chunk, Ranges: w.Ranges}, err
 }
 
 // CatalogRecord is the catalog as kept for nodes that cannot ask the cloud: it
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -49,7 +49,7 @@
 		return ""
 	}
 	s, ok := v.(string)
-	if !ok || s == "" || len(s) > core.MaxName {
+	if !ok || s == "" || len(s) > core.MaxNameBytes {
 		f.fail(name, "want a text")
 	}
 	return s
@@ -156,10 +156,10 @@
 		f.fail("lots", "want a whole number from 1 to 100000")
 	}
 	s.Tasks = int(n)
-	s.Need = core.Res{
-		CPU: core.Amount(f.number("cores", 0, core.MaxAmount)),
-		GPU: core.Amount(f.number("gpus", 0, core.MaxAmount)),
-		Mem: core.Amount(f.number("ram_gb", 0, core.MaxAmount)),
+	s.Request = core.Resources{
+		CPU: core.MilliUnits(f.number("cores", 0, core.MaxTaskResource)),
+		GPU: core.MilliUnits(f.number("gpus", 0, core.MaxTaskResource)),
+		Mem: core.MilliUnits(f.number("ram_gb", 0, core.MaxTaskResource)),
 	}
 	switch v := m["breeds"].(type) {
 	case nil:
@@ -180,12 +180,12 @@
 	s.Spread = f.flag("scatter")
 	s.Spot = f.flag("loaners")
 	s.Image = f.text("bundle", false)
-	s.ImageMB = core.Amount(f.number("image_gb", 0, core.MaxAmount))
-	s.Estimate = core.Seconds(f.number("expect_s", 0, core.MaxSeconds))
-	s.Checkpoint = core.Seconds(f.number("pin_every_s", 0, core.MaxSeconds))
-	s.SaveCost = core.Seconds(f.number("pin_cost_s", 0, core.MaxSeconds))
+	s.ImageMB = core.MilliUnits(f.number("image_gb", 0, core.MaxTaskResource))
+	s.EstimatedRun = core.Seconds(f.number("expect_s", 0, core.MaxSeconds))
+	s.CheckpointInterval = core.Seconds(f.number("pin_every_s", 0, core.MaxSeconds))
+	s.CheckpointCost = core.Seconds(f.number("pin_cost_s", 0, core.MaxSeconds))
 	if m["due_s"] != nil {
-		s.Due = core.Seconds(f.number("due_s", 0, core.MaxSeconds))
+		s.Deadline = core.Seconds(f.number("due_s", 0, core.MaxSeconds))
 	}
 	return s, f.err
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -126,14 +126,14 @@
 }
 
 var taskStates = map[string]core.TaskState{
-	"fetching": core.Fetching, "gathering": core.Waiting, "running": core.Running,
-	"flushing": core.Saving, "exited": core.Exited,
+	"fetching": core.Fetching, "gathering": core.WaitingForPeers, "running": core.Running,
+	"flushing": core.Checkpointing, "exited": core.Exited,
 }
 
 var causes = map[string]core.Cause{
-	"done": core.CauseDone, "halted": core.CauseStopped, "mates_gone": core.CausePeers,
-	"alone": core.CauseAlone, "error": core.CauseError, "no_room": core.CauseNoRoom,
-	"in_use": core.CauseBusy, "no_such": core.CauseUnknown,
+	"done": core.CauseDone, "halted": core.CauseStopped, "mates_gone": core.CausePeersLost,
+	"alone": core.CausePeersMissing, "error": core.CauseError, "no_room": core.CauseNoCapacity,
+	"in_use": core.CauseAlreadyPresent, "no_such": core.CauseUnknownTask,
 }
 
 var ops = [...]string{core.Start: "start", core.Stop: "halt", core.Forget: "reap"}
@@ -164,11 +164,11 @@
 	}
 	r := &core.Report{
 		Machine: w.Machine, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Session: w.Session, Seq: w.Seq, Token: w.Token, Notice: -1,
+		Session: w.Session, Seq: w.Seq, Token: w.Token, SpotNotice: -1,
 		Tasks: make([]core.TaskReport, 0, len(w.Tasks)),
 	}
 	if w.Notice != nil {
-		r.Notice = core.Seconds(max(*w.Notice, 0))
+		r.SpotNotice = core.Seconds(max(*w.Notice, 0))
 	}
 	for _, t := range w.Tasks {
 		job, index, err := parseTask(t.Task)
@@ -183,7 +183,7 @@
 		if !ok {
 			cause = core.CauseError
 		}
-		r.Tasks = append(r.Tasks, core.TaskReport{Job: job, Index: index, Attempt: t.Attempt, State: state, Cause: cause, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, core.TaskReport{Job: job, Index: index, Attempt: t.Attempt, State: state, Cause: cause, Checkpointed: t.Saved})
 	}
 	return r, nil
 }
@@ -194,7 +194,7 @@
 	for i, c := range cmds {
 		w.Commands[i] = command{Op: ops[c.Op], Task: TaskName(c.Job, c.Index), Attempt: c.Attempt}
 		if c.Op == core.Stop {
-			g := float64(c.Grace) / 1e6
+			g := float64(c.GracePeriod) / 1e6
 			w.Commands[i].Grace = &g
 		}
 	}
@@ -225,9 +225,9 @@
 	out := make([]core.MachineType, 0, len(w.Types))
 	for _, t := range w.Types {
 		out = append(out, core.MachineType{
-			Name: t.Name, Cap: core.Res{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: floor(t.MemGB)},
+			Name: t.Name, Capacity: core.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: floor(t.MemGB)},
 			CacheMB: floor(t.CacheGB), FetchMBps: floor(t.FetchGBps),
-			Price: t.Price, SpotPrice: t.SpotPrice, Boot: core.Seconds(t.BootS), Zones: t.Zones,
+			Price: t.Price, SpotPrice: t.SpotPrice, BootTime: core.Seconds(t.BootS), Zones: t.Zones,
 		})
 	}
 	return out, nil
@@ -258,7 +258,7 @@
 }
 
 // ParseMachines reads a page of the cloud's machine list.
-func ParseMachines(b []byte) (list []core.Listed, more bool, err error) {
+func ParseMachines(b []byte) (list []core.ListedMachine, more bool, err error) {
 	var w struct {
 		Machines []listedMachine `msgpack:"stalls"`
 		More     bool            `msgpack:"more"`
@@ -267,7 +267,7 @@
 		return nil, false, err
 	}
 	for _, m := range w.Machines {
-		list = append(list, core.Listed{
+		list = append(list, core.ListedMachine{
 			Name: m.ID, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 			Booting: m.State == "booting", Failed: m.State == "failed", Age: core.Seconds(m.AgeS),
 		})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,14 +27,14 @@
 	got, err := ParseSubmission(b)
 	want := core.JobSpec{
 		ID: "job-000412", Class: "train", Team: "vision", Kind: core.Gang, Priority: core.High, Tasks: 16,
-		Need: core.Res{CPU: 8000, GPU: 1000, Mem: 64000}, Types: []string{"g8"}, OneZone: true, Spot: true,
-		Image: "img-07", ImageMB: 6200, Estimate: 240 * core.Second, Checkpoint: 30 * core.Second,
-		SaveCost: 4 * core.Second, Due: 900 * core.Second,
+		Request: core.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, Types: []string{"g8"}, OneZone: true, Spot: true,
+		Image: "img-07", ImageMB: 6200, EstimatedRun: 240 * core.Second, CheckpointInterval: 30 * core.Second,
+		CheckpointCost: 4 * core.Second, Deadline: 900 * core.Second,
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	rec := core.JobRecord{Spec: got, Phase: core.Cancelled, Submitted: 5, Stamp: 9}
+	rec := core.JobRecord{Spec: got, Phase: core.Cancelled, SubmittedAt: 5, Revision: 9}
 	b, err = EncodeJob(&rec)
 	if err != nil {
 		t.Fatal(err)
@@ -95,9 +95,9 @@
 	got, err := ParseReport(b)
 	want := &core.Report{
 		Machine: "n-1", Address: "10.1.0.1:9", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 88, Token: 41,
-		Notice: 1500 * core.Millisecond, Tasks: []core.TaskReport{
+		SpotNotice: 1500 * core.Millisecond, Tasks: []core.TaskReport{
 			{Job: "job-1", Index: 3, Attempt: 1 << 40, State: core.Running, Cause: core.CauseError},
-			{Job: "job-2", Index: 0, Attempt: 1, State: core.Exited, Cause: core.CausePeers, Saved: true},
+			{Job: "job-2", Index: 0, Attempt: 1, State: core.Exited, Cause: core.CausePeersLost, Checkpointed: true},
 		},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -39,7 +39,7 @@
 
 // Send sends commands once it is their turn, if they may still be sent then. The report
 // is the worker's after them, and nil without an answer.
-func (c *Client) Send(ctx context.Context, s core.SendCommands, may func() bool) (core.Outcome, *core.Report) {
+func (c *Client) Send(ctx context.Context, s core.SendCommands, may func() bool) (core.CommandOutcome, *core.Report) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -31,7 +31,7 @@
 		})
 		var leads atomic.Bool
 		leads.Store(true)
-		outcomes := make(chan core.Outcome, 100)
+		outcomes := make(chan core.CommandOutcome, 100)
 		for i := range 100 {
 			go func() {
 				o, _ := c.Send(t.Context(), core.SendCommands{Machine: fmt.Sprint(i), Address: fmt.Sprintf("10.0.0.%d:1", i), Token: 1, Session: 1}, leads.Load)
