--- /dev/null
+++ b/cmd/scalerun/names_test.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+// commands lists commands, arguments and flags with what scripts go by.
+func commands(n *kong.Node, path string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s\n", path)
+	for _, p := range n.Positional {
+		fmt.Fprintf(&b, "  <%s> required=%v type=%s\n", p.Name, p.Required, p.Target.Type())
+	}
+	for _, f := range n.Flags {
+		fmt.Fprintf(&b, "  --%s type=%s enum=%q default=%q", f.Name, f.Target.Type(), f.Enum, f.Default)
+		if f.Short != 0 || len(f.Aliases)+len(f.Envs) > 0 {
+			fmt.Fprintf(&b, " short=%c aliases=%q env=%q", f.Short, f.Aliases, f.Envs)
+		}
+		b.WriteString("\n")
+	}
+	for _, c := range n.Children {
+		name := path + " " + c.Name
+		if c == n.DefaultCmd {
+			name += " (default)"
+		}
+		b.WriteString(commands(c, name))
+	}
+	return b.String()
+}
+
+func TestCommandNames(t *testing.T) {
+	k, err := kong.New(&cli{}, kong.Name("scalerun"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/commands.txt")
+	if got := commands(k.Model.Node, "scalerun"); err != nil || got != string(want) {
+		t.Errorf("got\n%swant\n%s%v", got, want, err)
+	}
+}
