--- a/internal/core/names_test.go
+++ b/internal/core/names_test.go
@@ -15,7 +15,7 @@
 		{"priorities", []Priority{Low, Normal, High, Production}, []Priority{0, 1, 2, 3}},
 		{"kinds", []Kind{Array, Gang, Service}, []Kind{0, 1, 2}},
 		{"phases", []Phase{Pending, Done, Cancelled}, []Phase{0, 1, 2}},
-		{"states of tasks", []TaskState{Fetching, Waiting, Running, Saving, Exited}, []TaskState{0, 1, 2, 3, 4}},
+		{"states of tasks", []TaskState{Fetching, WaitingForPeers, Running, Checkpointing, Exited}, []TaskState{0, 1, 2, 3, 4}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if !reflect.DeepEqual(c.got, c.want) {
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -128,7 +128,7 @@
 }
 
 func TestKeys(t *testing.T) {
-	got := []string{controlPrefix, leaderKey, catalogKey, jobPrefix, outboxPrefix, marksKey, setPrefix, deadPrefix}
+	got := []string{watchedPrefix, leaderKey, catalogKey, jobPrefix, outboxPrefix, marksKey, chunkPrefix, deadLetterPrefix}
 	want := []string{"c/", "c/leader", "c/catalog", "c/job/", "o/", "o/marks", "o/set/", "o/dead/"}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %q, want %q", got, want)
@@ -137,12 +137,12 @@
 
 func TestOutboxNames(t *testing.T) {
 	letter := notify.DeadLetter{Sub: "s", Why: "w", Event: notify.Event{Job: "job-1", Team: "t", Class: "c", Kind: notify.Done, Revision: 2, At: 3}}
-	record := &deadRecord{Sub: "s", Job: "job-1", Team: "t", Class: "c", Kind: "done", Revision: 2, At: 3, Why: "w"}
+	record := &deadLetterRecord{Sub: "s", Job: "job-1", Team: "t", Class: "c", Kind: "done", Revision: 2, At: 3, Why: "w"}
 	allSet(t, "dead letter", reflect.ValueOf(*record), map[string]string{})
 	allSet(t, "dead letter", reflect.ValueOf(letter), map[string]string{})
 
 	n := &Node{started: time.Now(), log: slog.New(slog.DiscardHandler)}
-	n.commit = committer{n: n, laterFrom: core.MaxMicros} // it sends nothing
+	n.committer = committer{n: n, backgroundNotBefore: core.MaxMicros} // it sends nothing
 	n.saveOutbox(&term{}, nil, notify.Save{
 		ID: 1, Marks: []notify.Mark{{Sub: "s", To: 4}, {Sub: "q", To: 5}},
 		Put:  []notify.Chunk{{ChunkKey: notify.ChunkKey{Sub: "s", Chunk: 6}, Bitmap: bitmap}},
@@ -150,7 +150,7 @@
 		Dead: []notify.DeadLetter{letter}, Alive: []notify.DeadLetter{{Sub: "s", Event: notify.Event{Job: "job-8", Kind: notify.Cancelled}}},
 	})
 	var got []string
-	for _, op := range n.commit.later[0].ops {
+	for _, op := range n.committer.backgroundQueue[0].ops {
 		got = append(got, op.Put+op.Delete)
 		switch op.Put {
 		case "o/marks", "o/set/s/6", "o/dead/s/job-1.done":
@@ -163,7 +163,7 @@
 
 	box := notify.New(notify.Config{Subs: []notify.Subscription{{Name: "s", Receiver: "r"}}, Receivers: []notify.Receiver{{Name: "r"}}})
 	for _, key := range []string{"o/dead/s/job-1.done", "o/set/s/6"} {
-		if err := loadOutbox(box, wire.Entry{Key: key, Value: packed(t, golden(t, key))}); err != nil {
+		if err := loadOutboxRecord(box, wire.Entry{Key: key, Value: packed(t, golden(t, key))}); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/peer/names_test.go
+++ b/internal/peer/names_test.go
@@ -138,13 +138,13 @@
 		value any // a pointer to it
 	}{
 		{"status", &Status{
-			Node: "n", StateOK: true, Workers: true, Token: 1, Counts: []Counts{{Job: "job-2", Done: 3, Running: 4}}, Leader: "l", LeaderToken: 5,
-			Have: 6, Seen: 7, Cancelled: []Cancelled{{Job: "job-8", Stamp: 9, At: 10}}, Vouches: true, ConfigFormat: 11, Config: 12,
-			Life: 13, Nonce: 14, Echo: 15, AnsweredAgo: 16,
+			Node: "n", StateOK: true, WorkersReporting: true, Token: 1, Counts: []Counts{{Job: "job-2", Done: 3, Running: 4}}, Leader: "l", LeaderToken: 5,
+			Revision: 6, LegacySeen: 7, Cancellations: []Cancellation{{Job: "job-8", Revision: 9, At: 10}}, CancellationsComplete: true, ConfigFormat: 11, ConfigRevision: 12,
+			Incarnation: 13, Nonce: 14, EchoedNonce: 15, DelegatedAnswerAge: 16,
 		}},
-		{"ask", &Ask{Jobs: []JobAsk{{Job: "job-1", From: 2}}, Limit: 3, Machines: true}},
-		{"shown", &Shown{
-			Jobs:     []JobShown{{Job: "job-1", Tasks: []core.TaskView{{Index: 2, Attempt: 3, Done: true, Machine: "m", State: core.Exited, Age: 5}}, More: true}},
+		{"ask", &ViewRequest{Jobs: []JobViewRequest{{Job: "job-1", FirstTask: 2}}, Limit: 3, Machines: true}},
+		{"shown", &ViewResponse{
+			Jobs:     []JobView{{Job: "job-1", Tasks: []core.TaskView{{Index: 2, Attempt: 3, Done: true, Machine: "m", State: core.Exited, Age: 5}}, More: true}},
 			Machines: []core.MachineView{{Name: "mv", Type: "ty", Zone: "z", Spot: true, Ready: true}},
 		}},
 		{"notify ask", &control.Ask{Op: "retry", Sub: "s", Job: "job-1", Kind: "done"}},
@@ -174,9 +174,11 @@
 
 type handler struct{}
 
-func (handler) Told(context.Context, *Status) (*Status, error) { return &Status{}, nil }
-func (handler) Show(context.Context, *Ask) (*Shown, error)     { return &Shown{}, nil }
-func (handler) Notify(context.Context, *control.Ask) (*control.Answer, error) {
+func (handler) ExchangeStatus(context.Context, *Status) (*Status, error) { return &Status{}, nil }
+func (handler) Views(context.Context, *ViewRequest) (*ViewResponse, error) {
+	return &ViewResponse{}, nil
+}
+func (handler) ControlNotifications(context.Context, *control.Ask) (*control.Answer, error) {
 	return &control.Answer{}, nil
 }
 
@@ -220,9 +222,9 @@
 		t.Fatal(err)
 	}
 	defer c2.Close()
-	_, _ = c2.Tell(t.Context(), &Status{})
-	_, _ = c2.Show(t.Context(), &Ask{})
-	_, _ = c2.Notify(t.Context(), &control.Ask{})
+	_, _ = c2.ExchangeStatus(t.Context(), &Status{})
+	_, _ = c2.Views(t.Context(), &ViewRequest{})
+	_, _ = c2.ControlNotifications(t.Context(), &control.Ask{})
 	mu.Lock()
 	defer mu.Unlock()
 	if want := []string{"/aspenstall.Peer/Tell", "/aspenstall.Peer/Show", "/aspenstall.Peer/Notify"}; !slices.Equal(called, want) {
