--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -1,10 +1,9 @@
 package core
 
-// Action is something the core wants done. The concrete types follow.
+// Action is an action that the caller of Step has to execute. The types that implement it follow.
 type Action interface{ action() }
 
-// SendCommands is a direct command list to a worker; its result comes back
-// through Commanded.
+// SendCommands sends commands directly to a worker. Its result is passed to HandleCommandResult.
 type SendCommands struct {
 	Machine  string
 	Address  string
@@ -13,38 +12,36 @@
 	Commands []Command
 }
 
-// WriteOutcome says what became of a Write.
+// WriteOutcome is the outcome of a Write.
 type WriteOutcome uint8
 
-// The outcomes.
+// The outcomes of a Write.
 const (
 	Stored       WriteOutcome = iota
 	WriteRefused              // not executed
-	WriteUnknown              // it may have been executed, or may be later
+	WriteUnknown              // it may have been executed or may be executed later
 )
 
-// Write is a change of the leader's records; it is conditional on the
-// leader's key, and on the job's stamp where IfJob is set. Its result comes
-// back through Written.
+// Write changes the leader's records. It is conditional on the leader's key and, if IfJob is set, on
+// the revision of that job's record. Its result is passed to HandleWriteResult.
 type Write struct {
 	ID         uint64
 	Puts       []Put
 	Deletes    []string
-	IfJob      string // a job's id, "" for none
+	IfJob      string // ID of a job; "": no condition
 	IfRevision uint64
-	// IfAbsent is a key that must not exist, "" for none.
-	IfAbsent string
-	Urgent   bool
-	Priority Priority // of what waits for it; among urgent ones the highest goes first
+	IfAbsent   string // a key that must not exist; "": no condition
+	Urgent     bool
+	Priority   Priority // among urgent writes, the highest priority goes first
 }
 
-// Put is one record to write; Value is one of the record types.
+// Put is a record to write. Value has one of the record types below.
 type Put struct {
 	Key   string
 	Value any
 }
 
-// Rent asks the cloud for machines; its result comes back through Rented.
+// Rent requests machines from the cloud. Its result is passed to HandleRentalResult.
 type Rent struct {
 	Request string
 	Type    string
@@ -54,19 +51,19 @@
 	Reason  string
 }
 
-// Return gives machines back; its result comes back through Returned.
+// Release releases machines to the cloud. Its result is passed to HandleReleaseResult.
 type Release struct {
 	Machines []string
 	Reason   string
 }
 
-// RaiseToken asks for a new token for the current term.
+// RaiseToken requests a new fencing token for the current term. Its result is passed to TokenRaised.
 type RaiseToken struct{}
 
-// Progress says that the counts of a job changed that is watched.
+// JobProgress reports that the task counts of a watched job changed.
 type JobProgress struct{ Job string }
 
-// Note is something an operator wants to read in the log.
+// LogEntry is a log message for operators, with its keys and values in Args.
 type LogEntry struct {
 	Message string
 	Args    []any
@@ -81,9 +78,9 @@
 func (LogEntry) action()     {}
 func (JobProgress) action()  {}
 
-// Records of the leader's bookkeeping, as they are kept.
+// The following types are the leader's records in the state service.
 
-// MachineRecord says that a machine may have been given tasks.
+// MachineRecord records that tasks may have been sent to a machine.
 type MachineRecord struct {
 	Name    string
 	Address string
@@ -92,13 +89,13 @@
 	Spot    bool
 }
 
-// MachinesRecord is what one key holds of them.
+// MachineGroupRecord holds the machine records that are stored under one key.
 type MachineGroupRecord struct {
-	Key      string // where it was read
+	Key      string // key from which the record was read
 	Machines []MachineRecord
 }
 
-// RentRecord is a rental that the cloud granted, until its machines are up.
+// RentalRecord is a rental that the cloud has granted. It is deleted when its machines are up.
 type RentalRecord struct {
 	Request  string
 	Type     string
@@ -109,8 +106,8 @@
 	RentedAt Micros // wall clock
 }
 
-// RangeRecord holds finished tasks of one chunk of a job, as pairs of first
-// and last, relative to the chunk's first task.
+// CompletionRecord holds the completed tasks of one chunk of a job's tasks. Ranges contains pairs of
+// the first and the last index of each range, relative to the first task of the chunk.
 type CompletionRecord struct {
 	Key    string
 	Job    string
@@ -118,40 +115,40 @@
 	Ranges []int
 }
 
-// JobDone is the final record of a job.
+// FinalRecord is the record of a job that is done.
 type FinalRecord struct{ Record JobRecord }
 
-// OpenRecord says that tasks of a job may have been started.
+// StartedRecord records that tasks of a job may have been started.
 type StartedRecord struct{ Job string }
 
-// KeptRecord says that a zone is cut off, and what can be on machines that are
-// kept in it; one without a zone says that this is over.
+// PartitionRecord records that a zone is partitioned and which tasks can be on the machines that are
+// retained in it. A record without a zone says that the partition is over.
 type PartitionRecord struct {
-	Key      string // where it was read
+	Key      string // key from which the record was read
 	Zone     string
-	Elapsed  Micros // since when the zone was cut off, when it was written
-	BeganAt  Micros // the same, by the wall clock; set where the record is encoded
+	Elapsed  Micros // time from the beginning of the partition until the record was written
+	BeganAt  Micros // beginning of the partition by the wall clock; set when the record is encoded
 	Machines []RetainedMachine
 }
 
-// KeptMachine is a machine and the tasks that can be on it.
+// RetainedMachine is a machine in a partitioned zone and the tasks that can be on it.
 type RetainedMachine struct {
 	Name  string
 	Tasks []RetainedTask
 }
 
-// KeptTask is one start of a task.
+// RetainedTask identifies an attempt of a task.
 type RetainedTask struct {
 	Job     string
 	Index   int
 	Attempt uint64
 }
 
-// Snapshot is all that a new leader reads before it acts.
+// Snapshot holds the records that a new leader reads before it acts.
 type Snapshot struct {
 	MachineGroups []MachineGroupRecord
 	Rentals       []RentalRecord
 	Completions   []CompletionRecord
-	Started       []string
+	Started       []string // IDs of jobs that have a started record
 	Partitions    []PartitionRecord
 }
--- a/internal/core/chunk.go
+++ b/internal/core/chunk.go
@@ -32,15 +32,15 @@
 	if m.record != nil {
 		return
 	}
-	i := slices.IndexFunc(c.machineGroups, func(ch *machineGroup) bool { return len(ch.machines) < c.cfg.MachinesPerRecord })
+	i := slices.IndexFunc(c.machineGroups, func(g *machineGroup) bool { return len(g.machines) < c.cfg.MachinesPerRecord })
 	if i < 0 {
 		i = len(c.machineGroups)
 		c.machineGroups = append(c.machineGroups, &machineGroup{key: c.newGroupKey()})
 	}
-	ch := c.machineGroups[i]
-	ch.machines = append(ch.machines, m)
-	m.record = ch
-	ch.scheduleWrite(now)
+	g := c.machineGroups[i]
+	g.machines = append(g.machines, m)
+	m.record = g
+	g.scheduleWrite(now)
 }
 
 func (c *Core) newGroupKey() string {
@@ -48,52 +48,52 @@
 	return fmt.Sprintf("%s%d-%d", MachinePrefix, c.token, c.machineGroupID)
 }
 
-func (ch *machineGroup) scheduleWrite(at Micros) {
-	if ch.writeAt == 0 || at < ch.writeAt {
-		ch.writeAt = max(at, 1)
+func (g *machineGroup) scheduleWrite(at Micros) {
+	if g.writeAt == 0 || at < g.writeAt {
+		g.writeAt = max(at, 1)
 	}
 }
 
 // delist takes a machine that is gone off its record.
 func (c *Core) removeFromGroup(m *machine, now Micros) {
-	if ch := m.record; ch != nil {
-		ch.machines = slices.DeleteFunc(ch.machines, func(o *machine) bool { return o == m })
+	if g := m.record; g != nil {
+		g.machines = slices.DeleteFunc(g.machines, func(o *machine) bool { return o == m })
 		m.record = nil
-		ch.scheduleWrite(now + groupCleanupDelay)
+		g.scheduleWrite(now + groupCleanupDelay)
 	}
 }
 
 // flushChunks writes the records of machines that are due.
 func (c *Core) flushGroups(now Micros) {
 	for i := len(c.machineGroups) - 1; i >= 0; i-- {
-		ch := c.machineGroups[i]
-		if ch.writeAt == 0 || now < ch.writeAt || now < ch.notBefore || ch.writing {
+		g := c.machineGroups[i]
+		if g.writeAt == 0 || now < g.writeAt || now < g.notBefore || g.writing {
 			continue
 		}
-		if len(ch.machines) == 0 {
-			c.write(Write{Deletes: append(ch.staleKeys, ch.key)}, nil)
+		if len(g.machines) == 0 {
+			c.write(Write{Deletes: append(g.staleKeys, g.key)}, nil)
 			c.machineGroups = slices.Delete(c.machineGroups, i, i+1)
 			continue
 		}
-		c.writeGroup(ch)
+		c.writeGroup(g)
 	}
 }
 
-func (c *Core) writeGroup(ch *machineGroup) {
+func (c *Core) writeGroup(g *machineGroup) {
 	rec := MachineGroupRecord{}
 	urgent := false
-	for _, m := range ch.machines {
+	for _, m := range g.machines {
 		rec.Machines = append(rec.Machines, MachineRecord{m.name, m.address, m.typeName, m.zone, m.spot})
 		urgent = urgent || !m.recorded
 	}
-	written, old := slices.Clone(ch.machines), ch.staleKeys
-	ch.writing, ch.writeAt, ch.staleKeys = true, 0, nil
-	c.write(Write{Puts: []Put{{ch.key, rec}}, Deletes: old, Urgent: urgent, Priority: Production}, func(now Micros, o WriteOutcome) {
-		ch.writing = false
-		ch.notBefore = now + c.cfg.RecordInterval
+	written, oldKeys := slices.Clone(g.machines), g.staleKeys
+	g.writing, g.writeAt, g.staleKeys = true, 0, nil
+	c.write(Write{Puts: []Put{{g.key, rec}}, Deletes: oldKeys, Urgent: urgent, Priority: Production}, func(now Micros, o WriteOutcome) {
+		g.writing = false
+		g.notBefore = now + c.cfg.RecordInterval
 		if o == Stored {
 			for _, m := range written {
-				if m.record != ch || m.recorded {
+				if m.record != g || m.recorded {
 					continue
 				}
 				m.recorded = true
@@ -102,14 +102,14 @@
 			}
 			return
 		}
-		ch.notBefore = now + writeRetryDelay
-		ch.staleKeys = old
+		g.notBefore = now + writeRetryDelay
+		g.staleKeys = oldKeys
 		if o == WriteUnknown {
 			// It may be executed after the next one, and would take from the record
 			// what that one added: the next one has a key of its own.
-			ch.staleKeys = append(ch.staleKeys, ch.key)
-			ch.key = c.newGroupKey()
+			g.staleKeys = append(g.staleKeys, g.key)
+			g.key = c.newGroupKey()
 		}
-		ch.scheduleWrite(now)
+		g.scheduleWrite(now)
 	})
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// touch has the machine looked at for commands.
+// queueCommands queues a machine for a check whether it needs direct commands.
 func (c *Core) queueCommands(m *machine) {
 	if !m.commandsQueued {
 		m.commandsQueued = true
@@ -10,7 +10,7 @@
 	}
 }
 
-// touchLater does so after a pause.
+// queueCommandsLater does the same as queueCommands after a delay.
 func (c *Core) queueCommandsLater(m *machine) {
 	if !m.commandsDeferred {
 		m.commandsDeferred = true
@@ -18,100 +18,103 @@
 	}
 }
 
-// commands works out what the machine is to be told: the difference between
-// what is wanted there and what it has shown. In the answer to a beat that is
-// everything; directly, only what was not sent yet.
-func (c *Core) commands(m *machine, now Micros, beat bool) []Command {
+// commands returns the commands for a machine: the difference between the desired tasks and those
+// that it has reported. In reply to a report it returns all of them, for a direct command only those
+// that have not been sent yet.
+func (c *Core) commands(m *machine, now Micros, inReply bool) []Command {
 	var forget, stop, start []Command
 	if m.lost {
 		return nil
 	}
-	var on Resources
+	var occupied Resources
 	for _, p := range m.placements {
 		if p.mayOccupyWorker() {
-			on = on.Add(p.need)
+			occupied = occupied.Add(p.need)
 		}
 	}
 	for _, p := range m.placements {
 		switch {
 		case p.inDirectCommand:
 		case p.reported && p.state == Exited:
-			// A start that may still arrive would run again an attempt that the
-			// worker has been told to forget.
+			// If a start of the attempt may still arrive, the worker must not forget the
+			// attempt: it would run the attempt again.
 			if p.completionRecorded && !(p.startUnanswered && m.reportedToken <= p.startUnansweredToken) {
 				forget = append(forget, p.command(Forget))
-			} else if p.completionRecorded && beat {
+			} else if p.completionRecorded && inReply {
 				c.tokenRaiseWanted = true
 			}
 		case p.stopRequested && p.reported:
-			if p.stopSentAt == 0 || beat && now-p.stopSentAt > 2*Second {
+			if p.stopSentAt == 0 || inReply && now-p.stopSentAt > 2*Second {
 				cmd := p.command(Stop)
 				cmd.GracePeriod = p.grace
 				stop = append(stop, cmd)
 				p.stopSentAt = now
 				if p.job == nil || p.job.spec.CheckpointInterval == 0 || p.grace < p.job.spec.CheckpointCost {
-					on = on.Sub(p.need)
+					occupied = occupied.Sub(p.need)
 				}
 			}
 		}
 	}
 	for _, p := range m.placements {
-		// A machine that is being returned may be alive for as long as the cloud
-		// takes: it is still told what to stop.
-		if p.retryPending && beat && !p.stopRequested && !m.releasing {
+		// A machine that is being released may stay up until the cloud deletes it, so it still
+		// gets stop commands, but no starts.
+		if p.retryPending && inReply && !p.stopRequested && !m.releasing {
 			forget = append(forget, p.command(Forget))
 			start = append(start, p.command(Start))
 			continue
 		}
-		if m.releasing || p.inDirectCommand || p.reported || p.stopRequested || p.startSent && !(beat && p.resendStart) {
+		if m.releasing || p.inDirectCommand || p.reported || p.stopRequested || p.startSent && !(inReply && p.resendStart) {
 			continue
 		}
 		if !m.recorded || p.job == nil || !c.ensureStartedRecord(p.job, now) {
 			continue
 		}
 		if !p.startSent {
-			if m.typ == nil || !on.Add(p.need).Fits(m.typ.Capacity) {
+			if m.typ == nil || !occupied.Add(p.need).Fits(m.typ.Capacity) {
 				continue
 			}
-			on = on.Add(p.need)
+			occupied = occupied.Add(p.need)
 		}
 		p.resendStart = false
 		p.startSent = true
-		if beat {
+		if inReply {
 			p.startReportSeq = m.seq
 		} else {
 			p.inDirectCommand = true
 		}
 		start = append(start, p.command(Start))
 	}
-	if !beat && len(stop) == 0 && len(start) == 0 {
-		return nil // what is over can wait for the next beat
+	if !inReply && len(stop) == 0 && len(start) == 0 {
+		return nil // forgetting exited tasks can wait for the next report
 	}
 	return append(append(forget, stop...), start...)
 }
 
+// command returns a command for the attempt of the placement.
 func (p *placement) command(op Op) Command {
 	return Command{Op: op, Job: p.jobID, Index: p.index, Attempt: p.attempt}
 }
 
-// Outcome says what became of a direct command.
+// CommandOutcome is the outcome of a SendCommands action.
 type CommandOutcome uint8
 
-// The outcomes.
+// The outcomes of a SendCommands action.
 const (
-	Executed   CommandOutcome = iota // the report is as of after the commands
+	Executed   CommandOutcome = iota // the report was made after the commands were executed
 	Refused                          // nothing was executed; the report is current
-	NotSent                          // no connection was made, so it will never arrive
-	Unanswered                       // it may be executed, now or minutes later
+	NotSent                          // no connection was made, so the commands never arrive
+	Unanswered                       // the commands may be executed, now or minutes later
 )
 
-// direct sends what cannot wait for a beat.
+// sendDirectCommands sends the commands that cannot wait for the machine's next report, and then
+// queued probes, as long as fewer than maxProbesInFlight are in flight.
 func (c *Core) sendDirectCommands(now Micros) {
-	touched := c.commandQueue
+	queue := c.commandQueue
 	c.commandQueue = nil
-	for _, m := range touched {
+	for _, m := range queue {
 		m.commandsQueued = false
-		// What can't be told now is told when that changes, and with a beat.
+		// Commands that cannot be sent now are sent when the machine becomes available or in
+		// reply to its next report.
 		if m.directCommandFailed || !c.canCommand(m) {
 			continue
 		}
@@ -124,7 +127,7 @@
 		m := c.probeQueue[n]
 		m.probeQueued = false
 		if !c.canCommand(m) || m.reconciled && now-m.lastReport < c.cfg.ReportInterval && !m.hasUnansweredStart() && !m.inboundLost {
-			continue // or it has reported meanwhile
+			continue // not available, or it has reported in the meantime
 		}
 		m.probeStarted = now
 		c.probesInFlight++
@@ -133,11 +136,12 @@
 	c.probeQueue = slices.Delete(c.probeQueue, 0, n)
 }
 
-// reachable reports whether a direct command can be sent to the machine now.
+// canCommand reports whether a direct command can be sent to the machine now.
 func (c *Core) canCommand(m *machine) bool {
 	return !m.commandInFlight && m.address != "" && !m.lost && !m.booting && c.machines[m.name] == m
 }
 
+// sendCommands sends commands directly to the machine. An empty list is a probe.
 func (c *Core) sendCommands(m *machine, cmds []Command) {
 	session := m.session
 	if session == 0 {
@@ -147,7 +151,8 @@
 	c.actions = append(c.actions, SendCommands{m.name, m.address, c.token, session, cmds})
 }
 
-// Commanded is the result of SendCommands.
+// HandleCommandResult handles the result of a SendCommands action that was sent with the token. r is
+// the report of the worker, nil if there was no answer.
 func (c *Core) CommandResult(now Micros, machine string, token uint64, o CommandOutcome, r *Report) {
 	if !c.leading {
 		return
@@ -186,7 +191,7 @@
 	m.commandFailures++
 	if !m.unreachable && c.isUnreachable(m, now) {
 		m.unreachable = true
-		c.nextFleetReviewAt = now // its tasks wait for what is done about it
+		c.nextFleetReviewAt = now // its tasks wait for the review
 	}
 	c.log("direct command failed", "machine", m.name, "delivered", map[CommandOutcome]string{NotSent: "no", Unanswered: "unknown"}[o])
 }
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -21,14 +21,14 @@
 
 // SetPlacing says whether tasks may be placed, and others stopped to make room for them: not
 // while this node can't know the quotas that are in force. Everything else goes on.
-func (c *Core) SetPlacing(may bool) {
-	if may && c.placementSuspended {
+func (c *Core) SetPlacing(enabled bool) {
+	if enabled && c.placementSuspended {
 		c.needsPlacement = true
 	}
-	c.placementSuspended = !may
+	c.placementSuspended = !enabled
 }
 
 // HasStart reports whether a command among them starts a task.
 func HasStart(cmds []Command) bool {
-	return slices.ContainsFunc(cmds, func(k Command) bool { return k.Op == Start })
+	return slices.ContainsFunc(cmds, func(cmd Command) bool { return cmd.Op == Start })
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,102 +2,102 @@
 
 import "math"
 
-// Core is the scheduler's state. Its methods are events; Step returns what is
-// to be done about them. It is not safe for concurrent use.
+// Core is the state of the scheduler. Its methods take events; Step returns the actions that
+// follow from them. It is not safe for concurrent use.
 type Core struct {
 	cfg   Config
 	teams map[string]*team
 
 	leading      bool
-	token        uint64 // the fencing token of commands sent now
-	termToken    uint64 // a report with this token or a higher one is current
+	token        uint64 // fencing token of commands that are sent now
+	termToken    uint64 // token with which the term began; a report with at least this token is current
 	attemptCount uint64
 
 	jobs                  map[string]*job
-	queue                 []*job // unfinished jobs in the order they are given room
+	queue                 []*job // unfinished jobs in scheduling order
 	machines              map[string]*machine
-	sortedMachines        []*machine      // by name, so that decisions repeat
-	watched               map[string]bool // jobs whose progress is to be told
+	sortedMachines        []*machine      // ordered by name, which makes decisions deterministic
+	watched               map[string]bool // jobs for which Step returns JobProgress
 	machineTypes          map[string]*MachineType
 	machineTypeList       []*MachineType
-	deletedMachines       map[string]bool // machines known to be deleted
+	deletedMachines       map[string]bool // machines that are known to be deleted
 	machineGroups         []*machineGroup
 	machineGroupID        int
 	partitionRecords      []*retainedGroup
 	partitionRecordID     int
 	rentals               map[string]*rental
-	rentalByMachine       map[string]*rental // of machines that are coming
-	unreconciled          int
+	rentalByMachine       map[string]*rental // for machines that are not up yet
+	unreconciled          int                // number of machines that are not reconciled
 	zoneByName            map[string]*zone
-	fleetUnreachable      bool                   // hardly any machine is heard
-	fleetUnreachableSince Micros                 // since when; 0: it is not, or that is not known yet
-	tokenAcknowledged     bool                   // a machine has shown a token of this term
-	isolated              bool                   // most of the fleet is silent, by zones: this leader is cut off
-	isolatedSince         Micros                 // since when it is silent; 0: it is not
+	fleetUnreachable      bool                   // hardly any machine reports
+	fleetUnreachableSince Micros                 // 0: not unreachable, or not known yet in this term
+	tokenAcknowledged     bool                   // a machine has reported a token of this term
+	isolated              bool                   // zones with most of the fleet do not report: this leader is partitioned
+	isolatedSince         Micros                 // since when those zones do not report; 0: they report
 	delegates             map[string][]*Delegate // by zone
 
-	needsPlacement      bool       // room, work or quota changed: place again
-	placementSuspended  bool       // nothing is placed; see SetPlacing
-	commandQueue        []*machine // to be told something, perhaps
-	commandRetryQueue   []*machine // the same, after a pause: a write for them failed
-	probeQueue          []*machine // to be probed
-	probesInFlight      int        // probes that are under way
-	completionQueue     []*job     // with finished tasks or a final record to be written
+	needsPlacement      bool       // capacity, work or quotas changed: a placement pass is needed
+	placementSuspended  bool       // no tasks are placed; see SetPlacementEnabled
+	commandQueue        []*machine // machines that may need commands
+	commandRetryQueue   []*machine // the same, after a delay because a write for them failed
+	probeQueue          []*machine // machines to be probed
+	probesInFlight      int
+	completionQueue     []*job // jobs with completed tasks or a final record to write
 	nextPassAt          Micros
-	lastPassAt          Micros                        // last time
-	candidates          []*machine                    // that the tasks to be placed may fit on, for one pass
-	candidateCaches     map[searchKey]*candidateCache // what each kind of task has seen in a pass
-	changedMachines     []*machine                    // whose use changed in the pass
-	machinesExamined    int                           // machines looked at for room and victims: what placing costs
+	lastPassAt          Micros
+	candidates          []*machine                    // machines that may fit a waiting task in this pass
+	candidateCaches     map[searchKey]*candidateCache // search results of this pass for each kind of task
+	changedMachines     []*machine                    // machines whose usage changed in this pass
+	machinesExamined    int                           // machines examined for capacity or victims; the cost of placement
 	nextSummaryAt       Micros
 	nextVacateAt        Micros
 	vacating            []*machine
-	objectiveClasses    []*jobClass // with an aim for how soon their tasks start
-	reservedClasses     []*jobClass // those of them that machines are held for, as of lookBack
-	lendable            Resources   // of the room there is, beyond what is held
+	objectiveClasses    []*jobClass // classes with start objectives
+	reservedClasses     []*jobClass // those of objectiveClasses that have a reservation; see updateReservations
+	lendable            Resources   // capacity in excess of the reservations
 	usageUpdatedAt      Micros
-	termBeganAt         Micros // the term
-	reservationsUnknown bool   // what is to be held is not known yet
+	termBeganAt         Micros
+	reservationsUnknown bool // the term has not determined yet what to reserve
 	tokenRaiseWanted    bool
 	nextTokenRaiseAt    Micros
 	nextFleetReviewAt   Micros
 	nextLeaseCheckAt    Micros
 	refusedUntil        map[offer]Micros
 	bootStatsByOffer    map[offer]bootStats
-	releaseQueue        []*machine // to be returned
-	releaseInFlight     bool       // a return is under way
-	nextReleaseAt       Micros     // not before this
+	releaseQueue        []*machine // machines to be released
+	releaseInFlight     bool
+	nextReleaseAt       Micros
 	classes             map[string]*jobClass
-	imageCounts         map[int]int    // machines that have an image
-	imageCountsAt       Micros         // as of then
-	imageIDs            map[string]int // a number for each image, to compare quickly
+	imageCounts         map[int]int // number of machines that have an image, by image ID
+	imageCountsAt       Micros      // when imageCounts was computed
+	imageIDs            map[string]int
 	nextRankingAt       Micros
-	spareByZone         map[string]int // service tasks that could start at once, by zone
+	spareByZone         map[string]int // number of service tasks that could start immediately, by zone
 	spareTaskRequest    Resources
-	spareTarget         int     // service tasks that room is wanted for
-	spareTargetPerZone  int     // and in a zone
-	spareFetchRate      float64 // megabytes a second at which images are fetched in time
+	spareTarget         int     // number of service tasks to keep spare capacity for
+	spareTargetPerZone  int     // the same in each zone
+	spareFetchRate      float64 // MB/s at which an image is fetched in time
 	pendingWrites       map[uint64]func(now Micros, o WriteOutcome)
 	lastWriteID         uint64
 	rentalCount         uint64
 	actions             []Action
 }
 
-// class is what has been seen of a class of jobs.
+// jobClass holds statistics of the jobs of a class.
 type jobClass struct {
-	runRatio        float64  // run time by estimate; 0: nothing seen yet
-	startObjectives []Micros // aims for how soon its tasks start, the earliest first
+	runRatio        float64  // ratio of run time to estimate; 0: no task has completed yet
+	startObjectives []Micros // objectives for the time until tasks start, in ascending order
 
 	serviceArrivals arrivals
-	reservation     reservation // of a class with such an aim
+	reservation     reservation // used if the class has start objectives
 
-	recentSizes []int // tasks of the latest arrays, in a ring
-	nextSize    int   // the next to be replaced
-	largeSize   int   // arrays of so many tasks are among its largest; 0: not known
-	medianSize  int   // half of its arrays have no more tasks
+	recentSizes []int // ring buffer of the task counts of the latest arrays
+	nextSize    int   // index in recentSizes that is overwritten next
+	largeSize   int   // arrays of at least this many tasks are among the largest; 0: unknown
+	medianSize  int
 }
 
-// New returns a core that does not lead.
+// New returns a Core that does not lead.
 func New(cfg Config) *Core {
 	c := &Core{
 		cfg: cfg, teams: map[string]*team{}, machineTypes: map[string]*MachineType{},
@@ -111,6 +111,7 @@
 	return c
 }
 
+// class returns the class with the name and creates it if it does not exist.
 func (c *Core) class(name string) *jobClass {
 	k := c.classes[name]
 	if k == nil {
@@ -120,6 +121,7 @@
 	return k
 }
 
+// imageID returns a number for the image, which is faster to compare than its name.
 func (c *Core) imageID(name string) int {
 	n, ok := c.imageIDs[name]
 	if !ok {
@@ -129,17 +131,17 @@
 	return n
 }
 
-func (c *Core) log(text string, args ...any) {
-	c.actions = append(c.actions, LogEntry{Message: text, Args: args})
+func (c *Core) log(message string, args ...any) {
+	c.actions = append(c.actions, LogEntry{Message: message, Args: args})
 }
 
-// Leading reports whether a term is under way.
+// Leading reports whether this node leads.
 func (c *Core) Leading() bool { return c.leading }
 
-// Token is the term's fencing token.
+// Token returns the current fencing token.
 func (c *Core) Token() uint64 { return c.token }
 
-// Step places what can be placed and returns what is to be done.
+// Step runs the periodic work that is due at now and returns the actions to execute.
 func (c *Core) Step(now Micros) []Action {
 	if !c.leading {
 		return nil
@@ -172,7 +174,7 @@
 	return out
 }
 
-// Wake says when Step is wanted next if there is no event and no tick before.
+// NextStepAt returns when Step has to run next if no event and no tick come earlier.
 func (c *Core) NextStepAt() Micros {
 	if c.needsPlacement && !c.placementSuspended {
 		return c.lastPassAt + c.cfg.PlacementInterval
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -72,8 +72,8 @@
 }
 
 // recordedEnds lets workers forget tasks whose completion is recorded.
-func (c *Core) completionsRecorded(ends []*placement) {
-	for _, p := range ends {
+func (c *Core) completionsRecorded(completed []*placement) {
+	for _, p := range completed {
 		p.completionRecorded = true
 		c.queueCommands(p.machine)
 	}
@@ -86,14 +86,14 @@
 // flushEnded writes finished tasks: a job's last ones at once with its final
 // record, others in batches.
 func (c *Core) flushCompletions(now Micros) {
-	wait := c.completionQueue[:0]
+	remaining := c.completionQueue[:0]
 	for _, j := range c.completionQueue {
 		complete := j.done == len(j.status)
 		switch {
 		case c.jobs[j.spec.ID] != j, j.cancelled, len(j.dirtyChunks) == 0 && !complete:
 			j.completionQueued = false
 		case now < j.nextWriteAt || complete && j.writingFinal || !complete && j.writingCompletions:
-			wait = append(wait, j)
+			remaining = append(remaining, j)
 		case complete:
 			// Ranges that wait for their turn do not hold this up.
 			j.completionQueued = false
@@ -103,7 +103,7 @@
 			c.writeCompletions(j)
 		}
 	}
-	c.completionQueue = wait
+	c.completionQueue = remaining
 }
 
 func (c *Core) writeFinalRecord(j *job) {
@@ -144,10 +144,10 @@
 		j.completionKeys[key] = true
 		w.Puts = append(w.Puts, Put{key, CompletionRecord{key, j.spec.ID, k, j.completedRanges(k, c.cfg.ChunkSize)}})
 	}
-	var ends, rest []*placement
+	var completed, rest []*placement
 	for _, p := range j.unrecorded {
 		if covered[p.index/c.cfg.ChunkSize] {
-			ends = append(ends, p)
+			completed = append(completed, p)
 		} else {
 			rest = append(rest, p)
 		}
@@ -164,9 +164,9 @@
 		}
 		over := c.jobs[j.spec.ID] != j || j.cancelled
 		if o == Stored || over {
-			c.completionsRecorded(ends)
+			c.completionsRecorded(completed)
 		} else {
-			j.unrecorded = append(j.unrecorded, ends...)
+			j.unrecorded = append(j.unrecorded, completed...)
 			for k := range covered {
 				j.dirtyChunks[k] = true
 			}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -10,62 +10,64 @@
 	taskDone
 )
 
-// job is an unfinished job and what is known of its tasks.
+// job is an unfinished job and the state of its tasks.
 type job struct {
 	spec         JobSpec
 	record       JobRecord
 	team         *team
 	class        *jobClass
 	imageID      int
-	typesKey     string // the types that it allows, to be compared quickly
-	deadline     Micros // steady clock; 0: none
-	rank         int    // 0: on time, then the later the less it is worth; see rankJobs
-	submitted    Micros // steady clock
-	lastPlacedAt Micros // when a task was last given room
-	starving     bool   // see judgeStarving
+	typesKey     string // the allowed machine types as one string, which is fast to compare
+	deadline     Micros // monotonic clock; 0: none
+	rank         int    // 0: can meet its deadline; higher ranks come later; see rankJobs
+	submitted    Micros // monotonic clock
+	lastPlacedAt Micros // when a task was last placed
+	starving     bool   // see updateStarving
 
 	status       []taskStatus
-	live         map[int]*placement // placements that hold a task
-	duplicates   []*placement       // others of the same tasks, which machines have shown, too: see adopt
-	unrecorded   []*placement       // completed, and not recorded yet
+	live         map[int]*placement // the placement that counts for each task
+	duplicates   []*placement       // other placements of the same tasks that machines have reported
+	unrecorded   []*placement       // completed placements whose completion is not recorded yet
 	running      int
-	placedByZone map[string]int // live placements by zone
+	placedByZone map[string]int // number of placements that occupy resources, by zone
 	requeued     []int          // tasks that became pending again
-	cursor       int            // tasks from here on were never placed
+	cursor       int            // no task from this index on has been placed
 	pending      int
 	done         int
-	occupying    int // placements that hold, wanted or not
-
-	mayHaveStarted bool   // recorded: tasks may have been started
-	startedRetryAt Micros // not tried before this
-	writingStarted bool   // the record is being written
-	unaccounted    bool   // opened by a former leader: unseen tasks may be anywhere
-
-	dirtyChunks        map[int]bool    // chunks whose ranges changed since they were written
-	completionKeys     map[string]bool // keys that may have a record of ranges
-	unacknowledged     map[int]int     // by chunk, how many writes of its ranges got no answer
-	completionQueued   bool            // in Core.ended
-	writingCompletions bool            // a write of ranges is out
-	writingFinal       bool            // the final record is
-	nextWriteAt        Micros          // not before this
+	occupying    int // number of placements that occupy resources, including those to be stopped
+
+	mayHaveStarted bool   // it is recorded that tasks may have been started
+	startedRetryAt Micros // the started record is not written before this time
+	writingStarted bool   // a write of the started record is in flight
+	unaccounted    bool   // an earlier leader may have started tasks that no machine has reported yet
+
+	dirtyChunks        map[int]bool    // chunks with completions since their last write
+	completionKeys     map[string]bool // keys that may hold a completion record
+	unacknowledged     map[int]int     // by chunk, the number of writes of its completions without an answer
+	completionQueued   bool            // the job is in Core.completionQueue
+	writingCompletions bool            // a write of completion records is in flight
+	writingFinal       bool            // a write of the final record is in flight
+	nextWriteAt        Micros          // no completions or final record are written before this time
 	cancelled          bool
-	cancelledAt        Micros // about when
-	allStarted         bool   // all its tasks have been seen running or done
+	cancelledAt        Micros // approximate
+	allStarted         bool   // each task has been reported as running or done
 
-	gangAttempt           uint64 // of the gang's current start
-	lastRunAttempt        uint64 // the attempt whose tasks were last seen running
-	waitingSince          Micros // since when a gang waits for room; 0: it does not
-	incompleteSince       Micros // since when a gang that has not started lacks a task; 0: it does not
+	gangAttempt           uint64 // attempt number of the gang's current start
+	lastRunAttempt        uint64 // attempt whose tasks were last reported as running
+	waitingSince          Micros // since when a gang waits for capacity; 0: not waiting
+	incompleteSince       Micros // since when a gang that has not started lacks a task; 0: it lacks none
 	stopping              bool   // the gang is being stopped
 	failedOn              map[string]bool
-	firstStart, lastStart Micros // of tasks that were seen running
+	firstStart, lastStart Micros // times at which the first and the last start of a task were reported
 	longestRun            Micros
 
-	notBefore Micros // back-off after failures
-	backoffs  int    // how often it backed off
-	proven    bool   // a task of it ran well: see failure_attribution.go
+	notBefore Micros // end of the back-off after failures
+	backoffs  int    // number of back-offs
+	proven    bool   // a task of the job ran well; see failure_attribution.go
 }
 
+// newJob returns a job whose tasks are all pending. submitted is the time of its submission by the
+// monotonic clock.
 func newJob(rec JobRecord, submitted Micros) *job {
 	j := &job{
 		spec: rec.Spec, record: rec, submitted: submitted, typesKey: strings.Join(rec.Spec.Types, " "),
@@ -83,7 +85,8 @@
 	return j
 }
 
-// nextPending returns a pending task without taking it, or -1.
+// nextPending returns the index of the pending task to place next, or -1 if none is pending. The
+// task stays pending.
 func (j *job) nextPending() int {
 	for n := len(j.requeued); n > 0; n = len(j.requeued) {
 		if i := j.requeued[n-1]; j.status[i] == taskPending {
@@ -99,7 +102,7 @@
 	return -1
 }
 
-// waitingTasks lists the tasks that are pending.
+// pendingTasks returns the indexes of the pending tasks.
 func (j *job) pendingTasks() []int {
 	out := make([]int, 0, j.pending)
 	for i, s := range j.status {
@@ -110,7 +113,7 @@
 	return out
 }
 
-// set moves a task to a status and keeps the counts.
+// setStatus changes the status of a task and updates the counts. A task that is done stays done.
 func (j *job) setStatus(i int, s taskStatus) {
 	old := j.status[i]
 	if old == s || old == taskDone {
@@ -129,26 +132,27 @@
 	j.status[i] = s
 }
 
-// ranges lists the finished tasks of a chunk as pairs, relative to its start.
+// completedRanges returns the completed tasks of a chunk of size tasks, as pairs of the first and
+// the last index of each range, relative to the start of the chunk.
 func (j *job) completedRanges(chunk, size int) []int {
-	lo := chunk * size
-	hi := min(lo+size, len(j.status))
+	first := chunk * size
+	end := min(first+size, len(j.status))
 	var out []int
-	for i := lo; i < hi; i++ {
+	for i := first; i < end; i++ {
 		if j.status[i] != taskDone {
 			continue
 		}
-		if n := len(out); n > 0 && out[n-1] == i-lo-1 {
-			out[n-1] = i - lo
+		if n := len(out); n > 0 && out[n-1] == i-first-1 {
+			out[n-1] = i - first
 		} else {
-			out = append(out, i-lo, i-lo)
+			out = append(out, i-first, i-first)
 		}
 	}
 	return out
 }
 
-// zoneAllowed reports whether one more task may run in the zone, given where
-// the job's other tasks are.
+// zoneAllowed reports whether the job's zone constraints allow one more task in the zone, given the
+// zones of its other tasks.
 func (j *job) zoneAllowed(zone string) bool {
 	if j.spec.Zone != "" && j.spec.Zone != zone {
 		return false
@@ -166,6 +170,7 @@
 	return true
 }
 
+// typeAllowed reports whether the job may run on the machine type with the name.
 func (s *JobSpec) typeAllowed(name string) bool {
 	if s.Types == nil {
 		return true
@@ -178,8 +183,8 @@
 	return false
 }
 
-// before is the order in which jobs are given room: by priority, then those
-// that can be on time, the earliest deadline, and the order of submission.
+// before reports whether j comes before o in scheduling order: by priority, by rank (jobs that can
+// meet their deadline first), by deadline, and by time of submission.
 func (j *job) before(o *job) bool {
 	if j.spec.Priority != o.spec.Priority {
 		return j.spec.Priority > o.spec.Priority
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// Job takes a new or changed job record.
+// HandleJob applies a new or changed job record. wall is the wall-clock time at now.
 func (c *Core) UpdateJob(now, wall Micros, rec JobRecord) {
 	if !c.leading {
 		return
@@ -23,11 +23,13 @@
 	}
 }
 
-func (c *Core) addJob(now, wall Micros, rec JobRecord, opened bool) {
+// addJob adds an unfinished job. startedRecorded says that it is recorded that tasks of the job may
+// have been started.
+func (c *Core) addJob(now, wall Micros, rec JobRecord, startedRecorded bool) {
 	age := max(wall-rec.SubmittedAt, 0)
 	j := newJob(rec, now-age)
 	j.team, j.class, j.imageID = c.team(rec.Spec.Team), c.class(rec.Spec.Class), c.imageID(rec.Spec.Image)
-	j.mayHaveStarted, j.unaccounted = opened, opened
+	j.mayHaveStarted, j.unaccounted = startedRecorded, startedRecorded
 	c.jobs[rec.Spec.ID] = j
 	if rec.Phase == Cancelled {
 		j.cancelled = true
@@ -43,7 +45,7 @@
 	}
 }
 
-// cancel ends a job that was cancelled at a time.
+// cancel stops the tasks of a job that was cancelled at the time at.
 func (c *Core) cancel(j *job, now, at Micros) {
 	c.log("job cancelled", "job", j.spec.ID, "tasks_on_machines", j.occupying)
 	j.cancelled, j.cancelledAt = true, at
@@ -58,7 +60,7 @@
 	c.cleanUpCancelled(j)
 }
 
-// finish forgets a job that is recorded as done.
+// finish removes a job that is recorded as done.
 func (c *Core) finish(j *job, now Micros) {
 	c.dequeue(j)
 	delete(c.jobs, j.spec.ID)
@@ -71,8 +73,8 @@
 	c.needsPlacement = true
 }
 
-// closeIfOver drops the records of a cancelled job once nothing of it is left
-// on any machine.
+// cleanUpCancelled deletes the records of a cancelled job once none of its tasks can be on any
+// machine.
 func (c *Core) cleanUpCancelled(j *job) {
 	if !j.cancelled || j.unaccounted || j.occupying > 0 || c.jobs[j.spec.ID] != j {
 		return
@@ -83,8 +85,8 @@
 	}
 }
 
-// open reports whether it is recorded that tasks of the job may run, and sees
-// to it where it is not.
+// ensureStartedRecord reports whether it is recorded that tasks of the job may have been started.
+// If it is not, it writes the record and returns false.
 func (c *Core) ensureStartedRecord(j *job, now Micros) bool {
 	if j.mayHaveStarted {
 		return true
@@ -94,14 +96,14 @@
 	}
 	j.writingStarted = true
 	c.write(Write{Puts: []Put{{StartedPrefix + j.spec.ID, StartedRecord{j.spec.ID}}}, Urgent: true, Priority: j.spec.Priority}, func(now Micros, o WriteOutcome) {
-		ok := o == Stored
+		stored := o == Stored
 		j.writingStarted = false
-		j.mayHaveStarted = j.mayHaveStarted || ok
-		if !ok {
+		j.mayHaveStarted = j.mayHaveStarted || stored
+		if !stored {
 			j.startedRetryAt = now + writeRetryDelay
 		}
 		for _, p := range j.live {
-			if ok {
+			if stored {
 				c.queueCommands(p.machine)
 			} else {
 				c.queueCommandsLater(p.machine)
@@ -111,6 +113,7 @@
 	return false
 }
 
+// sortedJobs returns the jobs ordered by ID.
 func (c *Core) sortedJobs() []*job {
 	out := make([]*job, 0, len(c.jobs))
 	for _, j := range c.jobs {
@@ -120,7 +123,7 @@
 	return out
 }
 
-// placements lists the job's live placements by task.
+// livePlacements returns the job's live placements ordered by task index.
 func (j *job) livePlacements() []*placement {
 	out := make([]*placement, 0, len(j.live))
 	for _, p := range j.live {
@@ -130,7 +133,7 @@
 	return out
 }
 
-// enqueue keeps the queue sorted as a job joins.
+// enqueue inserts a job into the queue, which is kept in scheduling order.
 func (c *Core) enqueue(j *job) {
 	i := sort.Search(len(c.queue), func(i int) bool { return j.before(c.queue[i]) })
 	c.queue = append(c.queue, nil)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Keys of the leader's bookkeeping.
+// Prefixes of the keys of the leader's records.
 const (
 	StartedPrefix    = "b/open/"
 	CompletionPrefix = "b/done/"
@@ -15,15 +15,17 @@
 	PartitionPrefix  = "b/kept/"
 )
 
-// RangeKey is where a chunk of a job's finished tasks is kept; after so many writes
-// without an answer in another place. What is kept of a chunk is all of them together.
-func CompletionKey(id string, chunk, unsure int) string {
-	if unsure == 0 {
+// CompletionKey returns the key of the completion record of a chunk of a job's tasks. The key changes
+// with the number of writes of the chunk that were not acknowledged. The completed tasks of a chunk
+// are the union of all its records.
+func CompletionKey(id string, chunk, unacknowledged int) string {
+	if unacknowledged == 0 {
 		return fmt.Sprintf("%s%s/%d", CompletionPrefix, id, chunk)
 	}
-	return fmt.Sprintf("%s%s/%d-%d", CompletionPrefix, id, chunk, unsure)
+	return fmt.Sprintf("%s%s/%d-%d", CompletionPrefix, id, chunk, unacknowledged)
 }
 
+// jobKeys returns the keys of the leader's records of a job.
 func (c *Core) jobKeys(j *job) []string {
 	keys := []string{StartedPrefix + j.spec.ID}
 	keys = slices.AppendSeq(keys, maps.Keys(j.completionKeys))
@@ -31,22 +33,24 @@
 	return keys
 }
 
-func (c *Core) write(w Write, done func(now Micros, o WriteOutcome)) {
+// write adds a Write action. onResult is called with its outcome if the term has not ended by then;
+// it may be nil.
+func (c *Core) write(w Write, onResult func(now Micros, o WriteOutcome)) {
 	c.lastWriteID++
 	w.ID = c.lastWriteID
-	if done != nil {
-		c.pendingWrites[w.ID] = done
+	if onResult != nil {
+		c.pendingWrites[w.ID] = onResult
 	}
 	c.actions = append(c.actions, w)
 }
 
-// Written is the result of a Write.
+// HandleWriteResult handles the result of the Write with the ID.
 func (c *Core) WriteResult(now Micros, id uint64, o WriteOutcome) {
 	if !c.leading {
 		return
 	}
-	if f := c.pendingWrites[id]; f != nil {
+	if onResult := c.pendingWrites[id]; onResult != nil {
 		delete(c.pendingWrites, id)
-		f(now, o)
+		onResult(now, o)
 	}
 }
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -108,12 +108,12 @@
 
 // expect makes the machines of a granted rental known, of this term's own or of one that
 // a former leader recorded.
-func (c *Core) awaitMachines(r *rental, own bool) {
+func (c *Core) awaitMachines(r *rental, thisTerm bool) {
 	for _, n := range r.Machines {
 		m := c.machines[n]
 		if m != nil {
 			m.rentedAt = r.decidedAt
-			m.unverified = m.unverified && !own // it was rented in this term
+			m.unverified = m.unverified && !thisTerm // it was rented in this term
 		}
 		if m != nil && m.recorded || c.deletedMachines[n] {
 			continue
@@ -123,7 +123,7 @@
 		if m == nil {
 			c.addMachine(&machine{
 				name: n, typeName: r.Type, zone: r.Zone, spot: r.Spot,
-				booting: true, reconciled: true, unverified: !own, discoveredAt: r.decidedAt, rentedAt: r.decidedAt,
+				booting: true, reconciled: true, unverified: !thisTerm, discoveredAt: r.decidedAt, rentedAt: r.decidedAt,
 			})
 		}
 	}
--- a/internal/core/return.go
+++ b/internal/core/return.go
@@ -10,7 +10,7 @@
 const unreachableReason = "silent"
 
 // returns gives back machines that are lost, drained, overdue or idle.
-func (c *Core) releaseMachines(now Micros, short *Resources) {
+func (c *Core) releaseMachines(now Micros, shortfall *Resources) {
 	c.updateSpare(now)
 	var idle []*machine
 	for _, m := range c.sortedMachines {
@@ -49,10 +49,10 @@
 	// The dearest go first.
 	slices.SortStableFunc(idle, func(a, b *machine) int { return cmp.Compare(b.hourlyPrice(), a.hourlyPrice()) })
 	for _, m := range idle {
-		if c.neededForSpare(m) || short.Add(m.typ.Capacity).lacksCPUOrGPU() {
+		if c.neededForSpare(m) || shortfall.Add(m.typ.Capacity).lacksCPUOrGPU() {
 			continue
 		}
-		*short = short.Add(m.typ.Capacity)
+		*shortfall = shortfall.Add(m.typ.Capacity)
 		if !m.spot && c.spareTaskRequest != (Resources{}) {
 			c.spareByZone[m.zone] -= c.spareSlots(m)
 		}
@@ -72,11 +72,11 @@
 }
 
 // giveBack has a machine returned. What was not sent to it yet goes elsewhere.
-func (c *Core) queueRelease(m *machine, now Micros, why string) {
+func (c *Core) queueRelease(m *machine, now Micros, reason string) {
 	if m.releasing {
 		return
 	}
-	m.releasing, m.releaseReason = true, why
+	m.releasing, m.releaseReason = true, reason
 	c.releaseQueue = append(c.releaseQueue, m)
 	for _, p := range slices.Clone(m.placements) {
 		if !p.startSent && !p.reported && !p.inDirectCommand {
--- a/internal/core/show.go
+++ b/internal/core/show.go
@@ -33,12 +33,12 @@
 
 // Tasks lists a job's tasks that are done or on a machine, beginning with one,
 // at most limit of them; more says that there are others.
-func (c *Core) Tasks(now Micros, id string, from, limit int) (tasks []TaskView, more, ok bool) {
+func (c *Core) Tasks(now Micros, id string, first, limit int) (tasks []TaskView, more, ok bool) {
 	j := c.jobs[id]
 	if !c.leading || j == nil {
 		return nil, false, false
 	}
-	for i := max(from, 0); i < len(j.status); i++ {
+	for i := max(first, 0); i < len(j.status); i++ {
 		p := j.live[i]
 		if j.status[i] != taskDone && (p == nil || p.state == Exited) {
 			continue
@@ -74,8 +74,8 @@
 }
 
 // Watch has Step say when the counts of a job change, or no longer.
-func (c *Core) Watch(id string, on bool) {
-	if on {
+func (c *Core) Watch(id string, enabled bool) {
+	if enabled {
 		c.watched[id] = true
 	} else {
 		delete(c.watched, id)
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -17,7 +17,7 @@
 
 // drain empties a machine: its tasks are stopped, with time to save where
 // there is some, and start elsewhere.
-func (c *Core) drain(m *machine, now, by Micros) {
+func (c *Core) drain(m *machine, now, deadline Micros) {
 	if m.draining {
 		return
 	}
@@ -31,12 +31,12 @@
 		if !p.occupies() || p.stopRequested {
 			continue
 		}
-		c.stopTask(p, now, by)
+		c.stopTask(p, now, deadline)
 	}
 }
 
 // stopTask stops a task, and with it its gang.
-func (c *Core) stopTask(p *placement, now, by Micros) {
+func (c *Core) stopTask(p *placement, now, deadline Micros) {
 	if p.job == nil {
 		c.stopPlacement(p, now, 0)
 		return
@@ -44,7 +44,7 @@
 	grace := Micros(0)
 	// Going back to the last checkpoint loses half an interval, on the average;
 	// saving holds the machine up for as long as it takes.
-	if p.job.spec.CheckpointCost < p.job.spec.CheckpointInterval/2 && (by == 0 || now+p.job.spec.CheckpointCost < by) {
+	if p.job.spec.CheckpointCost < p.job.spec.CheckpointInterval/2 && (deadline == 0 || now+p.job.spec.CheckpointCost < deadline) {
 		grace = p.job.spec.CheckpointCost + Second
 	}
 	if p.job.spec.Kind == Gang && !p.job.awaitsGangStart() {
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -10,47 +10,47 @@
 }
 
 // add counts a machine.
-func (s *fleetCost) add(m *machine) {
+func (c *fleetCost) add(m *machine) {
 	price := m.hourlyPrice()
 	switch {
 	case m.booting:
-		s.booting += price
+		c.booting += price
 		return
 	case m.used == (Resources{}):
-		s.idle += price
+		c.idle += price
 		return
 	}
-	left := 1.0
+	remaining := 1.0
 	for _, p := range m.placements {
 		if !p.occupies() {
 			continue
 		}
-		part := min(p.need.dominantShare(m.typ.Capacity), left)
-		left -= part
+		share := min(p.need.dominantShare(m.typ.Capacity), remaining)
+		remaining -= share
 		switch {
 		case p.job != nil && p.job.spec.Kind == Service:
-			s.service += price * part
+			c.service += price * share
 		case p.reported && p.state == Running:
-			s.running += price * part
+			c.running += price * share
 		default:
-			s.waiting += price * part
+			c.waiting += price * share
 		}
 	}
-	s.unused += price * left
+	c.unused += price * remaining
 }
 
 // summary tells an operator how full the fleet is, and what it is paid for.
 func (c *Core) logSummary(now Micros) {
 	var up, booting, idle int
 	var cpus, used [2]int64
-	var money fleetCost
+	var cost fleetCost
 	for _, m := range c.sortedMachines {
 		k := 0
 		if m.spot {
 			k = 1
 		}
 		if m.typ != nil && !m.lost {
-			money.add(m)
+			cost.add(m)
 		}
 		switch {
 		case m.booting:
@@ -73,8 +73,8 @@
 		"up", up, "booting", booting, "idle", idle, "ordinary_cpus", cpus[0] / 1000, "used", used[0] / 1000,
 		"spot_cpus", cpus[1] / 1000, "spot_used", used[1] / 1000, "jobs", len(c.queue), "tasks_waiting", waiting,
 		"spare", c.spareByZone, "spare_want", c.spareTarget, "looked_at", c.machinesExamined,
-		"cost_boot", roundToCents(money.booting), "cost_idle", roundToCents(money.idle), "cost_run", roundToCents(money.running),
-		"cost_wait", roundToCents(money.waiting), "cost_service", roundToCents(money.service), "cost_left", roundToCents(money.unused),
+		"cost_boot", roundToCents(cost.booting), "cost_idle", roundToCents(cost.idle), "cost_run", roundToCents(cost.running),
+		"cost_wait", roundToCents(cost.waiting), "cost_service", roundToCents(cost.service), "cost_left", roundToCents(cost.unused),
 	}})
 }
 
--- a/internal/core/tally.go
+++ b/internal/core/tally.go
@@ -28,7 +28,7 @@
 const largestDivisor = 8
 
 // largestOf counts them.
-func largestStats(jobs []JobRecord, wall Micros, begun func(id string) bool) LargestStats {
+func largestStats(jobs []JobRecord, wall Micros, started func(id string) bool) LargestStats {
 	slices.SortStableFunc(jobs, func(a, b JobRecord) int { return cmp.Compare(b.Spec.Tasks, a.Spec.Tasks) })
 	var s LargestStats
 	for _, r := range jobs[:(len(jobs)+largestDivisor-1)/largestDivisor] {
@@ -38,7 +38,7 @@
 		case r.Phase == Done:
 			s.Done++
 			s.Started++
-		case begun(r.Spec.ID):
+		case started(r.Spec.ID):
 			s.Started++
 		default:
 			s.LongestWait = max(s.LongestWait, wall-r.SubmittedAt)
@@ -51,34 +51,34 @@
 // TallyJobs counts jobs by team and class, from their records: what it says does
 // not depend on who leads, or since when. wall is the time of day; begun says
 // whether a job has been.
-func CollectJobStats(jobs iter.Seq[JobRecord], wall Micros, begun func(id string) bool) []JobStats {
+func CollectJobStats(jobs iter.Seq[JobRecord], wall Micros, started func(id string) bool) []JobStats {
 	type pair struct{ team, class string }
-	by := map[pair]*JobStats{}
-	all := map[pair][]JobRecord{}
+	stats := map[pair]*JobStats{}
+	records := map[pair][]JobRecord{}
 	for r := range jobs {
 		k := pair{r.Spec.Team, r.Spec.Class}
-		t := by[k]
+		t := stats[k]
 		if t == nil {
 			t = &JobStats{Team: k.team, Class: k.class}
-			by[k] = t
+			stats[k] = t
 		}
 		t.Accepted++
-		all[k] = append(all[k], r)
+		records[k] = append(records[k], r)
 		switch {
 		case r.Phase == Done:
 			t.Done++
 		case r.Phase == Cancelled:
 			t.Cancelled++
-		case begun(r.Spec.ID):
+		case started(r.Spec.ID):
 			t.Started++
 		default:
 			t.Waiting++
 			t.LongestWait = max(t.LongestWait, wall-r.SubmittedAt)
 		}
 	}
-	out := make([]JobStats, 0, len(by))
-	for k, t := range by {
-		t.Largest = largestStats(all[k], wall, begun)
+	out := make([]JobStats, 0, len(stats))
+	for k, t := range stats {
+		t.Largest = largestStats(records[k], wall, started)
 		out = append(out, *t)
 	}
 	slices.SortFunc(out, func(a, b JobStats) int {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,39 +1,41 @@
-// Package core decides what the scheduler does. It is pure: events and the
-// time go in through methods, actions come out of Step. It holds no socket,
-// clock, goroutine or random source, so that every decision can be replayed.
+// Package core implements the decisions of the scheduler as a deterministic state machine. Events
+// and the current time are passed to methods of Core, and Step returns the actions to execute. The
+// package uses no sockets, clocks, goroutines or random sources, so every decision can be replayed.
 package core
 
 import "math"
 
-// Micros is a time or a duration in whole microseconds. Times are readings of
-// the process's steady clock unless a name says wall.
+// Micros is a time or a duration in microseconds. Times are read from the monotonic clock of the
+// process unless their name or comment says wall clock.
 type Micros int64
 
-// Durations.
+// Common durations.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1000 * Millisecond
-	// MaxMicros is longer than anything lasts, and leaves room to add to.
+	// MaxMicros stands for an unlimited duration. Other durations can be added to it without
+	// overflow.
 	MaxMicros Micros = 1 << 60
 )
 
-// Seconds turns a duration of the published interfaces into Micros.
+// Seconds converts a duration in seconds, as external interfaces give it, to Micros. It rounds to
+// the nearest microsecond.
 func Seconds(s float64) Micros { return Micros(s*1e6 + 0.5) }
 
-// Kind is the shape of a job.
+// Kind is the kind of a job.
 type Kind uint8
 
 // The kinds of job.
 const (
-	Array Kind = iota
-	Gang
-	Service
+	Array   Kind = iota // independent batch tasks
+	Gang                // batch tasks that run at the same time or not at all
+	Service             // tasks that run until the job is cancelled
 )
 
-// Priority orders jobs; a higher one goes first and may preempt.
+// Priority orders jobs. Jobs of a higher priority are scheduled first and may preempt others.
 type Priority uint8
 
-// The priorities.
+// The priorities, in ascending order.
 const (
 	Low Priority = iota
 	Normal
@@ -41,56 +43,59 @@
 	Production
 )
 
-// String is the priority's name in the operators' settings.
+// String returns the name of the priority in the operators' settings.
 func (p Priority) String() string {
 	return [...]string{"low", "normal", "high", "production"}[min(p, Production)]
 }
 
-// Res is an amount of each resource, in thousandths.
+// Resources holds an amount of each resource, in thousandths of a unit.
 type Resources struct{ CPU, GPU, Mem int64 }
 
-// Add returns r+o.
+// Add returns the sum of r and o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.CPU + o.CPU, r.GPU + o.GPU, r.Mem + o.Mem}
 }
 
-// Sub returns r-o.
+// Sub returns the difference of r and o. Its amounts may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPU - o.CPU, r.GPU - o.GPU, r.Mem - o.Mem}
 }
 
-// Times returns n times r.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int) Resources {
 	return Resources{r.CPU * int64(n), r.GPU * int64(n), r.Mem * int64(n)}
 }
 
-// Fits reports whether r is within o in every resource.
+// Fits reports whether r is at most o in every resource.
 func (r Resources) Fits(o Resources) bool { return r.CPU <= o.CPU && r.GPU <= o.GPU && r.Mem <= o.Mem }
 
-// most and least combine r and o by resource.
+// max returns the larger amount of each resource in r and o.
 func (r Resources) max(o Resources) Resources {
 	return Resources{max(r.CPU, o.CPU), max(r.GPU, o.GPU), max(r.Mem, o.Mem)}
 }
+
+// min returns the smaller amount of each resource in r and o.
 func (r Resources) min(o Resources) Resources {
 	return Resources{min(r.CPU, o.CPU), min(r.GPU, o.GPU), min(r.Mem, o.Mem)}
 }
 
-func (r Resources) scaled(by float64) Resources {
-	return Resources{int64(float64(r.CPU) * by), int64(float64(r.GPU) * by), int64(float64(r.Mem) * by)}
+// scaled returns r multiplied by factor, rounded towards zero.
+func (r Resources) scaled(factor float64) Resources {
+	return Resources{int64(float64(r.CPU) * factor), int64(float64(r.GPU) * factor), int64(float64(r.Mem) * factor)}
 }
 
-// share is the part of o that r takes, by the resource of which it takes most.
+// dominantShare returns the largest ratio of r to o over all resources that o has.
 func (r Resources) dominantShare(o Resources) float64 {
-	most := 0.0
+	share := 0.0
 	for _, p := range [3][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Mem, o.Mem}} {
 		if p[1] > 0 {
-			most = max(most, float64(p[0])/float64(p[1]))
+			share = max(share, float64(p[0])/float64(p[1]))
 		}
 	}
-	return most
+	return share
 }
 
-// copies says how many of r fit into o.
+// countIn returns how many times r fits in o.
 func (r Resources) countIn(o Resources) int {
 	n := int64(1 << 30)
 	for _, p := range [3][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Mem, o.Mem}} {
@@ -101,7 +106,7 @@
 	return int(n)
 }
 
-// JobSpec is what a user asked for.
+// JobSpec is a job as a user submitted it.
 type JobSpec struct {
 	ID                 string
 	Class              string
@@ -109,55 +114,55 @@
 	Kind               Kind
 	Priority           Priority
 	Tasks              int
-	Request            Resources // of each task
+	Request            Resources // for each task
 	Types              []string
-	Zone               string // "" for any
-	OneZone            bool
-	Spread             bool
-	Spot               bool
+	Zone               string // "": any zone
+	OneZone            bool   // all tasks have to be in the same zone
+	Spread             bool   // no zone may have more than half of the tasks
+	Spot               bool   // tasks may run on spot machines
 	Image              string
 	ImageMB            int64
 	EstimatedRun       Micros
-	CheckpointInterval Micros // interval; 0: the task never saves
-	CheckpointCost     Micros
-	Deadline           Micros // after submission; 0: no deadline
+	CheckpointInterval Micros // 0: tasks do not write checkpoints
+	CheckpointCost     Micros // time that writing a checkpoint takes
+	Deadline           Micros // relative to the submission; 0: no deadline
 }
 
-// What a job may ask for, whatever form it is submitted in.
+// Limits of a job submission, independent of its format.
 const (
 	MaxTasks        = 100_000
-	MaxTaskResource = 1e6 // of a resource, for a task
+	MaxTaskResource = 1e6 // units of a resource per task
 	MaxSeconds      = 1e8
-	MaxNameBytes    = 200 // bytes
+	MaxNameBytes    = 200
 )
 
-// Amount turns an amount that is asked for into thousandths. It rounds up, so
-// that a request is never taken for less than it is.
+// MilliUnits converts a requested amount to thousandths of a unit. It rounds up, so that a request
+// is never counted as less than it is.
 func MilliUnits(f float64) int64 { return int64(math.Ceil(f*1000 - 1e-6)) }
 
-// Phase is what a user is told of a job.
+// Phase is the phase of a job as users see it.
 type Phase uint8
 
-// The phases that are kept. Running is not kept: it is derived.
+// The phases that are stored. Running is not stored because it follows from the tasks.
 const (
 	Pending Phase = iota
 	Done
 	Cancelled
 )
 
-// JobRecord is a job as the state service keeps it.
+// JobRecord is a job as it is stored in the state service.
 type JobRecord struct {
 	Spec        JobSpec
 	Phase       Phase
 	SubmittedAt Micros // wall clock
-	Revision    uint64 // revision of the record
-	// Born is the revision at which the job was accepted, once the record has
-	// another, and Ended when that was, by the wall clock.
+	Revision    uint64 // revision of the record in the state service
+	// AcceptedRevision is the revision at which the job was accepted. It is 0 while the record
+	// has that revision.
 	AcceptedRevision uint64
-	EndedAt          Micros
+	EndedAt          Micros // wall clock; 0 until the job has ended
 }
 
-// Final is the record of the job once it has ended.
+// Final returns the record of the job after it ended in the phase p at the wall-clock time wall.
 func (r JobRecord) Final(p Phase, wall Micros) JobRecord {
 	if r.AcceptedRevision == 0 {
 		r.AcceptedRevision = r.Revision
@@ -166,53 +171,53 @@
 	return r
 }
 
-// MachineType is a row of the cloud's catalog.
+// MachineType is an entry of the cloud's catalog.
 type MachineType struct {
 	Name      string
 	Capacity  Resources
-	CacheMB   int64
-	FetchMBps int64
-	Price     float64 // an hour
-	SpotPrice float64
+	CacheMB   int64   // size of the image cache
+	FetchMBps int64   // rate at which images are fetched
+	Price     float64 // per hour
+	SpotPrice float64 // per hour
 	BootTime  Micros
 	Zones     []string
 }
 
-// Team is an elastic quota: Min is guaranteed, Max caps use. A zero in Max
-// means no maximum for that resource.
+// Team is a team with its elastic quota: Min is guaranteed and Max limits usage. A zero in Max
+// means that there is no limit for that resource.
 type Team struct {
 	Name     string
 	Min, Max Resources
 }
 
-// TaskState is a task's state on its machine, as its worker reports it.
+// TaskState is the state of a task on its machine, as the worker reports it.
 type TaskState uint8
 
 // The task states.
 const (
-	Fetching TaskState = iota
-	WaitingForPeers
+	Fetching        TaskState = iota // fetching its image
+	WaitingForPeers                  // a gang task that waits for the others
 	Running
-	Checkpointing
+	Checkpointing // writing a checkpoint before it stops
 	Exited
 )
 
-// Cause says why a task exited.
+// Cause is the reason why a task exited.
 type Cause uint8
 
 // The causes of an exit.
 const (
 	CauseDone Cause = iota
 	CauseStopped
-	CausePeersLost
-	CausePeersMissing
+	CausePeersLost    // other tasks of the gang were lost
+	CausePeersMissing // the other tasks of the gang did not arrive in time
 	CauseError
-	CauseNoCapacity
-	CauseAlreadyPresent
-	CauseUnknownTask
+	CauseNoCapacity     // the machine lacks resources for the task
+	CauseAlreadyPresent // the machine runs another attempt of the task
+	CauseUnknownTask    // the job or the task does not exist
 )
 
-// TaskReport is a task in a worker's report.
+// TaskReport is the part of a worker's report for one task.
 type TaskReport struct {
 	Job          string
 	Index        int
@@ -222,7 +227,7 @@
 	Checkpointed bool
 }
 
-// Report is a worker's report.
+// Report is a periodic status report of a worker, or its answer to a direct command.
 type Report struct {
 	Machine    string
 	Address    string
@@ -230,20 +235,20 @@
 	Zone       string
 	Spot       bool
 	Session    uint64
-	Seq        uint64
-	Token      uint64
-	SpotNotice Micros // -1: none
+	Seq        uint64 // number of the report within the session
+	Token      uint64 // highest fencing token that the worker has received
+	SpotNotice Micros // time until the spot machine is reclaimed; -1: no notice
 	Tasks      []TaskReport
 }
 
-// Op is a command's verb.
+// Op is the operation of a command.
 type Op uint8
 
-// The commands a worker takes.
+// The operations.
 const (
-	Start Op = iota
-	Stop
-	Forget
+	Start  Op = iota
+	Stop      // stop the task after the grace period
+	Forget    // remove an exited task from the reports
 )
 
 // Command is a command to a worker.
@@ -255,50 +260,50 @@
 	GracePeriod Micros
 }
 
-// Config is what the core knows from the settings.
+// Config holds the settings of a Core.
 type Config struct {
 	Teams       []Team
-	WorkerLease Micros // a worker's lease
-	// PlacePause is the least time between two passes over the queue: what comes
-	// meanwhile shares the next one.
+	WorkerLease Micros // duration of the lease of a worker
+	// PlacementInterval is the minimum time between two placement passes. Events within this time
+	// are handled by one pass.
 	PlacementInterval Micros
-	ReportInterval    Micros
-	// LeaderLease is how long a leader leads without the state service.
+	ReportInterval    Micros // interval between two reports of a worker
+	// LeaderLease is how long a leader continues to lead without the state service.
 	LeaderLease Micros
-	// AnswerGrace is how long at most workers are answered, without commands,
-	// in the place of a leader that is cut off or whose lease is over, so that
-	// they outlast a cut or an outage of the state service. It counts from when
-	// no other leader can have begun, and from a deputy's last word with its own.
+	// AnswerGrace is the maximum time for which reports are answered, without commands, in place
+	// of a leader that is partitioned or whose lease has expired. Workers thereby survive a network
+	// partition or an outage of the state service. The time starts at the last moment at which no
+	// other leader can have begun its term or, for a delegate, at its last exchange with its leader.
 	AnswerGrace Micros
-	// Blind is for how long after a cancellation a machine's lease may be renewed on
-	// which the job's tasks may still be, or be started by a command under way.
+	// MaxCancelStaleness is for how long after a cancellation the lease of a machine may be renewed
+	// while tasks of the cancelled job may still be on it or may be started by a command in flight.
 	MaxCancelStaleness Micros
-	ReleaseInterval    Micros // between two returns of machines
-	ListLag            Micros // the cloud's list is late by this, or by twice as much
-	ChunkSize          int    // tasks in one record of finished ranges
-	// RecordPause lets machines that come up shortly after one another share a
-	// write.
+	ReleaseInterval    Micros // minimum time between two release requests
+	ListLag            Micros // the cloud's machine list is outdated by up to this or twice this time
+	ChunkSize          int    // number of tasks in one completion record
+	// RecordInterval is the minimum time between two writes of a machine group's record. Machines
+	// that come up shortly after one another share a write.
 	RecordInterval Micros
-	// ValueBytes is how much a record may hold, as JSON.
+	// MaxRecordBytes is the maximum size of a record encoded as JSON.
 	MaxRecordBytes int
-	// MachinesPerRecord is how many machines share one record.
+	// MachinesPerRecord is the number of machines that share one record.
 	MachinesPerRecord int
-	StartObjectives   map[string][]Micros // aims for how soon a class's tasks start, the earliest first
-	LateFactor        float64             // a late job is still worth something within this many times its due time
+	StartObjectives   map[string][]Micros // by class, objectives for the time until tasks start, ascending
+	LateFactor        float64             // a late job still has some value within this multiple of its deadline
 	Tuning            Tuning
 }
 
-// Tuning is what operators may set; see docs/OPERATION.md.
+// Tuning holds the parameters that operators can change at run time; see docs/OPERATION.md.
 type Tuning struct {
-	IdleTimeout      Micros // an idle machine is returned after this
-	RefusalBackoff   Micros // an offer that was refused rests this long
-	ReservationDecay Micros // what was used at a peak is held for about this long
-	Quarantine       Micros // a machine that fails starts rests this long
-	SuspectAfter     Micros // a silent machine is probed after this
-	SpareTasks       int    // service tasks that room is kept for, per zone
+	IdleTimeout      Micros // an idle machine is released after this time
+	RefusalBackoff   Micros // an offer is not requested again for this time after a refusal
+	ReservationDecay Micros // time constant with which the reservation for a past usage peak decays
+	Quarantine       Micros // a machine on which tasks fail gets no tasks for this time
+	SuspectAfter     Micros // a machine without a report for this time is unreachable if a probe fails
+	SpareTasks       int    // number of service tasks to keep spare capacity for, per zone
 }
 
-// Listed is a machine in the cloud's list.
+// ListedMachine is a machine in the cloud's machine list.
 type ListedMachine struct {
 	Name    string
 	Address string
@@ -307,5 +312,5 @@
 	Spot    bool
 	Booting bool
 	Failed  bool
-	Age     Micros
+	Age     Micros // time since the machine was rented
 }
