--- a/internal/core/ends.go
+++ b/internal/core/completions.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// exited handles the end of a task; its room is free already.
+// taskExited handles the exit of a task whose resources have been deallocated already.
 func (c *Core) taskExited(p *placement, now Micros) {
 	j := p.job
 	if j == nil || c.jobs[p.jobID] != j {
@@ -16,7 +16,7 @@
 		j.unrecorded = append(j.unrecorded, p)
 		c.completeTask(j, p.index, now)
 		if j.spec.Kind == Gang {
-			// The tasks of a gang complete together.
+			// When one task of a gang is done, all of them are.
 			for i := range j.status {
 				c.completeTask(j, i, now)
 			}
@@ -29,7 +29,7 @@
 		c.recordFailure(p, now)
 	case CauseNoCapacity:
 		p.machine.blockedUntil = now + 2*Second
-		c.log("start refused: no room", "machine", p.machine.name, "job", p.jobID, "task", p.index)
+		c.log("worker refused to start a task: insufficient resources", "machine", p.machine.name, "job", p.jobID, "task", p.index)
 	case CauseUnknownTask:
 		j.notBefore = now + Second
 	}
@@ -37,6 +37,7 @@
 	c.cleanUpCancelled(j)
 }
 
+// completeTask marks a task as done and schedules the write of its completion.
 func (c *Core) completeTask(j *job, i int, now Micros) {
 	if j.status[i] == taskDone {
 		return
@@ -50,7 +51,8 @@
 	c.checkCompletion(j, now)
 }
 
-// checkDone lets a completed job's final record go out at once.
+// checkCompletion queues the job for a write of its completions. If all tasks are done, the final
+// record is due immediately.
 func (c *Core) checkCompletion(j *job, now Micros) {
 	if j.done == len(j.status) && !j.cancelled {
 		j.nextWriteAt = now
@@ -63,7 +65,7 @@
 	c.queueCompletion(j)
 }
 
-// toWrite has a job's finished tasks or its final record written.
+// queueCompletion queues a job whose completed tasks or final record have to be written.
 func (c *Core) queueCompletion(j *job) {
 	if !j.completionQueued {
 		j.completionQueued = true
@@ -71,7 +73,8 @@
 	}
 }
 
-// recordedEnds lets workers forget tasks whose completion is recorded.
+// completionsRecorded marks the completions of placements as recorded, so that their workers are told
+// to forget them.
 func (c *Core) completionsRecorded(completed []*placement) {
 	for _, p := range completed {
 		p.completionRecorded = true
@@ -79,12 +82,12 @@
 	}
 }
 
-// rangesPause lets many finished tasks share a write: until it is written they
-// stay in their machines' reports, so little is lost by waiting.
+// completionWriteDelay is the delay of a completion's write, so that many completions share a write.
+// Until the write, the tasks stay in the reports of their machines, so the delay costs little.
 const completionWriteDelay = 10 * Second
 
-// flushEnded writes finished tasks: a job's last ones at once with its final
-// record, others in batches.
+// flushCompletions writes the final records of jobs that are done, and the completed tasks of other
+// jobs in batches.
 func (c *Core) flushCompletions(now Micros) {
 	remaining := c.completionQueue[:0]
 	for _, j := range c.completionQueue {
@@ -95,7 +98,7 @@
 		case now < j.nextWriteAt || complete && j.writingFinal || !complete && j.writingCompletions:
 			remaining = append(remaining, j)
 		case complete:
-			// Ranges that wait for their turn do not hold this up.
+			// A pending write of completions does not delay the final record.
 			j.completionQueued = false
 			c.writeFinalRecord(j)
 		default:
@@ -106,6 +109,7 @@
 	c.completionQueue = remaining
 }
 
+// writeFinalRecord writes the final record of a job that is done and deletes the leader's records of it.
 func (c *Core) writeFinalRecord(j *job) {
 	j.writingFinal = true
 	rec := j.record
@@ -120,13 +124,15 @@
 			c.finish(j, now)
 			return
 		}
-		// Refused, because the job was cancelled first, or not known: the
-		// record comes through the watch, and trying again is harmless.
+		// The write was refused because the job was cancelled first, or its outcome is unknown.
+		// The stored record arrives through the watch, so a retry is harmless.
 		j.nextWriteAt = now + writeRetryDelay
 		c.queueCompletion(j)
 	})
 }
 
+// writeCompletions writes the completion records of up to eight chunks of a job that have changed. If
+// the write fails, they are written again later.
 func (c *Core) writeCompletions(j *job) {
 	j.writingCompletions = true
 	chunks := make([]int, 0, len(j.dirtyChunks))
@@ -156,8 +162,8 @@
 	c.write(w, func(now Micros, o WriteOutcome) {
 		j.writingCompletions = false
 		if o == WriteUnknown {
-			// It may be executed after a later one, and would take from the record
-			// what that one added: the next has a key of its own.
+			// This write may be executed after a later one and overwrite what that one adds, so
+			// the next one uses another key.
 			for k := range covered {
 				j.unacknowledged[k]++
 			}
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Configure replaces the teams' quotas and the tuning, also while a term is under way. What
-// a team uses beyond a new limit goes on and nothing more is placed for it (KEP-9: a max caps
-// requests); a guarantee counts from the next pass on, for the team and for those that
-// borrowed from it. A team that is not named any more has no guarantee and no limit.
+// Configure replaces the quotas of the teams and the tuning. It may be called during a term. Tasks of
+// a team that exceeds its new limit continue to run, and no more are placed for it (KEP-9: a max
+// limits requests). A new guarantee applies from the next placement pass on, to the team and to
+// those that borrow from it. A team that is not in teams has no guarantee and no limit.
 func (c *Core) Configure(teams []Team, tuning Tuning) {
 	c.cfg.Tuning = tuning
 	for name, t := range c.teams {
@@ -19,8 +19,8 @@
 	c.needsPlacement = true
 }
 
-// SetPlacing says whether tasks may be placed, and others stopped to make room for them: not
-// while this node can't know the quotas that are in force. Everything else goes on.
+// SetPlacementEnabled sets whether tasks may be placed and others preempted for them. Placement is
+// disabled while this node cannot know the quotas that are in force. Everything else continues.
 func (c *Core) SetPlacing(enabled bool) {
 	if enabled && c.placementSuspended {
 		c.needsPlacement = true
@@ -28,7 +28,7 @@
 	c.placementSuspended = !enabled
 }
 
-// HasStart reports whether a command among them starts a task.
+// HasStart reports whether any of the commands starts a task.
 func HasStart(cmds []Command) bool {
 	return slices.ContainsFunc(cmds, func(cmd Command) bool { return cmd.Op == Start })
 }
--- a/internal/core/tally.go
+++ b/internal/core/job_stats.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// Tally is what became of the jobs of a team and class.
+// JobStats counts the jobs of a team and class by their outcome.
 type JobStats struct {
 	Team, Class string
 	Accepted    int
 	Done        int
 	Cancelled   int
-	Started     int          // begun, as far as it is recorded, and neither done nor cancelled
-	Waiting     int          // not begun
-	LongestWait Micros       // of those
-	Largest     LargestStats // the eighth of them with the most tasks
+	Started     int          // neither done nor cancelled, and recorded as possibly started
+	Waiting     int          // not started
+	LongestWait Micros       // the longest time since submission among those waiting
+	Largest     LargestStats // the largest eighth of the jobs, by number of tasks
 }
 
-// Share is what became of some jobs, without those that were cancelled.
+// LargestStats counts the largest jobs of a team and class. Cancelled jobs are not counted.
 type LargestStats struct {
-	Jobs, Done, Started int    // begun or done
-	LongestWait         Micros // of those that are not begun
+	Jobs, Done, Started int    // Started includes Done
+	LongestWait         Micros // the longest time since submission among those not started
 }
 
-// largestShare: the largest jobs of a class are the first of so many by their tasks.
+// largestDivisor defines the largest jobs of a class: one in largestDivisor, by number of tasks.
 const largestDivisor = 8
 
-// largestOf counts them.
+// largestStats counts the largest of the jobs, which it sorts by number of tasks.
 func largestStats(jobs []JobRecord, wall Micros, started func(id string) bool) LargestStats {
 	slices.SortStableFunc(jobs, func(a, b JobRecord) int { return cmp.Compare(b.Spec.Tasks, a.Spec.Tasks) })
 	var s LargestStats
@@ -48,9 +48,9 @@
 	return s
 }
 
-// TallyJobs counts jobs by team and class, from their records: what it says does
-// not depend on who leads, or since when. wall is the time of day; begun says
-// whether a job has been.
+// CollectJobStats counts jobs by team and class, ordered by these. It counts from the records of the
+// jobs, so the result does not depend on which node leads or for how long. wall is the wall-clock
+// time. started reports whether tasks of a job may have been started.
 func CollectJobStats(jobs iter.Seq[JobRecord], wall Micros, started func(id string) bool) []JobStats {
 	type pair struct{ team, class string }
 	stats := map[pair]*JobStats{}
@@ -87,8 +87,7 @@
 	return out
 }
 
-// Begun reports whether it is recorded that tasks of an unfinished job may have
-// been started.
+// MayHaveStarted reports whether it is recorded that tasks of an unfinished job may have been started.
 func (c *Core) MayHaveStarted(id string) bool {
 	j := c.jobs[id]
 	return j != nil && j.mayHaveStarted
--- a/internal/core/chunk.go
+++ b/internal/core/machine_groups.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// chunk is one record of machines that may have been given tasks. Many share
-// a record, since the state service takes few changes a second, and machines
-// come up by the dozen.
+// machineGroup is a group of machines that may have been sent tasks and that share one record in the
+// state service. Machines share records because the state service accepts few writes per second and
+// dozens of machines may come up at the same time.
 type machineGroup struct {
 	key       string
 	machines  []*machine
-	writeAt   Micros   // to be written then; 0: what is stored is right
-	notBefore Micros   // not before this
-	writing   bool     //
-	staleKeys []string // former keys, to be dropped
+	writeAt   Micros   // when the record is due to be written; 0: the stored record is current
+	notBefore Micros   // no write before this time
+	writing   bool     // a write is in flight
+	staleKeys []string // former keys of the record, to be deleted
 }
 
 const (
-	// chunkTidy is when machines that are gone leave their record: until then
-	// the next leader would wait for them.
+	// groupCleanupDelay is the delay until deleted machines are removed from their record. Until
+	// then, a new leader would wait for them.
 	groupCleanupDelay = 2 * Second
-	// writeRetry keeps a write that fails at once, as all do in an outage of the
-	// state service, from being tried again at once.
+	// writeRetryDelay is the delay before a failed write is retried. In an outage of the state
+	// service, writes fail immediately and must not be retried immediately.
 	writeRetryDelay = Second / 2
 )
 
-// enlist sees to it that the machine is in the state service before it is
-// given its first task.
+// addToGroup adds a machine to a group, so that it is recorded in the state service before it is sent
+// its first task.
 func (c *Core) addToGroup(m *machine, now Micros) {
 	if m.record != nil {
 		return
@@ -43,18 +43,20 @@
 	g.scheduleWrite(now)
 }
 
+// newGroupKey returns an unused key for the record of a group.
 func (c *Core) newGroupKey() string {
 	c.machineGroupID++
 	return fmt.Sprintf("%s%d-%d", MachinePrefix, c.token, c.machineGroupID)
 }
 
+// scheduleWrite schedules a write of the record for the time at, if none is scheduled earlier.
 func (g *machineGroup) scheduleWrite(at Micros) {
 	if g.writeAt == 0 || at < g.writeAt {
 		g.writeAt = max(at, 1)
 	}
 }
 
-// delist takes a machine that is gone off its record.
+// removeFromGroup removes a deleted machine from its group.
 func (c *Core) removeFromGroup(m *machine, now Micros) {
 	if g := m.record; g != nil {
 		g.machines = slices.DeleteFunc(g.machines, func(o *machine) bool { return o == m })
@@ -63,7 +65,7 @@
 	}
 }
 
-// flushChunks writes the records of machines that are due.
+// flushGroups writes the records of groups that are due and deletes those of empty groups.
 func (c *Core) flushGroups(now Micros) {
 	for i := len(c.machineGroups) - 1; i >= 0; i-- {
 		g := c.machineGroups[i]
@@ -79,6 +81,7 @@
 	}
 }
 
+// writeGroup writes the record of a group.
 func (c *Core) writeGroup(g *machineGroup) {
 	rec := MachineGroupRecord{}
 	urgent := false
@@ -105,8 +108,8 @@
 		g.notBefore = now + writeRetryDelay
 		g.staleKeys = oldKeys
 		if o == WriteUnknown {
-			// It may be executed after the next one, and would take from the record
-			// what that one added: the next one has a key of its own.
+			// This write may be executed after the next one and overwrite what that one adds, so
+			// the next one uses another key.
 			g.staleKeys = append(g.staleKeys, g.key)
 			g.key = c.newGroupKey()
 		}
--- a/internal/core/return.go
+++ b/internal/core/release.go
@@ -7,9 +7,11 @@
 	"strings"
 )
 
+// unreachableReason is the reason for the release of an unreachable machine.
 const unreachableReason = "silent"
 
-// returns gives back machines that are lost, drained, overdue or idle.
+// releaseMachines releases machines that are lost, unreachable, drained, idle, or that did not come up
+// in time. shortfall is what the reservations lack; the capacity of released idle machines is added.
 func (c *Core) releaseMachines(now Micros, shortfall *Resources) {
 	c.updateSpare(now)
 	var idle []*machine
@@ -19,7 +21,7 @@
 		}
 		switch {
 		case m.lost:
-			// The cut may end before another machine could be there.
+			// The partition may end before a replacement could boot.
 			if m.typ == nil || !c.partitioned(m.zone, now) || now-m.lostAt >= m.typ.BootTime {
 				c.queueRelease(m, now, "lost")
 			}
@@ -28,16 +30,16 @@
 				c.queueRelease(m, now, "never came up")
 			}
 		case (m.unreachable || c.unreachableInPartition(m, now)) && !c.fleetUnreachable && !(c.partitioned(m.zone, now) && c.shouldRetain(m)):
-			// Deleting it frees its tasks at once; waiting for its lease would
-			// take longer. But when few others are heard, good machines would be
-			// deleted; and what serves in a zone that is cut off goes on serving.
+			// Deleting the machine frees its tasks immediately, which is faster than waiting for
+			// its lease. It is not deleted while few other machines report, since the machines may
+			// be healthy, nor if it runs services in a partitioned zone, which continue to serve.
 			m.unreachable = true
 			c.queueRelease(m, now, unreachableReason)
 		case !m.reconciled:
 		case m.typ == nil && m.used == (Resources{}):
-			c.queueRelease(m, now, "of a type that is not in the catalog")
+			c.queueRelease(m, now, "machine type not in the catalog")
 		case c.hasUnrecordedCompletions(m):
-			// Until they are recorded, its reports are where finished tasks are known.
+			// Until the completions are recorded, only the reports of the machine show them.
 		case m.draining, m.vacating:
 			if m.used == (Resources{}) {
 				c.queueRelease(m, now, "drained")
@@ -46,7 +48,7 @@
 			idle = append(idle, m)
 		}
 	}
-	// The dearest go first.
+	// The most expensive machines are released first.
 	slices.SortStableFunc(idle, func(a, b *machine) int { return cmp.Compare(b.hourlyPrice(), a.hourlyPrice()) })
 	for _, m := range idle {
 		if c.neededForSpare(m) || shortfall.Add(m.typ.Capacity).lacksCPUOrGPU() {
@@ -60,8 +62,8 @@
 	}
 }
 
-// ownsEnds reports whether the machine has tasks that are done and not recorded as done:
-// a leader that begins now learns of them from its reports alone.
+// hasUnrecordedCompletions reports whether the machine has tasks that are done but not recorded as
+// done. A new leader would learn of them only from the reports of the machine.
 func (c *Core) hasUnrecordedCompletions(m *machine) bool {
 	for _, p := range m.placements {
 		if p.reported && p.state == Exited && p.cause == CauseDone && !p.completionRecorded {
@@ -71,7 +73,8 @@
 	return false
 }
 
-// giveBack has a machine returned. What was not sent to it yet goes elsewhere.
+// queueRelease queues a machine for release. Tasks whose start has not been sent to it are placed
+// elsewhere.
 func (c *Core) queueRelease(m *machine, now Micros, reason string) {
 	if m.releasing {
 		return
@@ -85,23 +88,23 @@
 	}
 }
 
-// keep takes a machine off the backlog of returns, unless the cloud has been
-// asked already.
+// cancelRelease removes a machine from the release queue. It does nothing if the request has been sent
+// to the cloud already.
 func (c *Core) cancelRelease(m *machine) {
 	if i := slices.Index(c.releaseQueue, m); i >= 0 {
 		c.releaseQueue = slices.Delete(c.releaseQueue, i, i+1)
 		m.releasing = false
 		c.needsPlacement = true
-		c.log("kept: it reports again", "machine", m.name, "reason", m.releaseReason)
+		c.log("release cancelled: the machine reports again", "machine", m.name, "reason", m.releaseReason)
 	}
 }
 
-// returnMost is how many machines go back with one request.
+// maxMachinesPerRelease is the maximum number of machines per release request.
 const maxMachinesPerRelease = 100
 
-// sendReturns asks the cloud to take machines back, many with one request, one
-// request at a time and with a pause between two: in a wave a few machines are
-// given up every moment, the cloud's calls are few, and rentals go first.
+// sendReleases requests the release of queued machines. It sends many machines per request, one
+// request at a time and with a delay between two: during a mass failure a few machines are queued at
+// a time, the cloud allows few requests, and rentals have precedence.
 func (c *Core) sendRelease(now Micros) {
 	if c.releaseInFlight || len(c.releaseQueue) == 0 || now < c.nextReleaseAt {
 		return
@@ -119,8 +122,8 @@
 	c.actions = append(c.actions, r)
 }
 
-// Returned is the result of a Return: after ok, the machines and all that was
-// on them are gone.
+// HandleReleaseResult handles the result of a Release. If ok is true, the machines and all tasks on
+// them are gone; otherwise the machines are queued again.
 func (c *Core) ReleaseResult(now Micros, names []string, ok bool) {
 	if !c.leading {
 		return
@@ -138,10 +141,11 @@
 	}
 }
 
+// removeMachine removes a machine that is deleted.
 func (c *Core) removeMachine(m *machine, now Micros) {
 	c.clearMachine(m, now)
 	c.markReconciled(m)
-	c.finishProbe(m) // its result finds no machine any more
+	c.finishProbe(m) // its result will not find the machine
 	c.removeFromRetainedGroup(m)
 	delete(c.machines, m.name)
 	i := sort.Search(len(c.sortedMachines), func(i int) bool { return c.sortedMachines[i].name >= m.name })
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -6,30 +6,31 @@
 	"sort"
 )
 
-// offer is a kind of machine that can be rented.
+// offer identifies a kind of machine that can be rented.
 type offer struct {
 	machineType, zone string
 	spot              bool
 }
 
-// rent is a rental that was asked for, until all its machines are up or gone.
+// rental is a request for machines, from the decision until all its machines are recorded or deleted.
 type rental struct {
 	RentalRecord
 	reason    string
 	granted   bool
-	inFlight  bool
+	inFlight  bool // a request to the cloud is in flight
 	retryAt   Micros
-	decidedAt Micros // when it was decided
-	awaited   int    // machines that are not up yet
+	decidedAt Micros // when the rental was decided
+	awaited   int    // number of its machines that are not recorded or deleted yet
 }
 
+// maxRentalsInFlight limits the rentals that the cloud has not granted or refused yet.
 const maxRentalsInFlight = 4
 
-// rentMost is how many machines the cloud rents with one request.
+// maxMachinesPerRental is the maximum number of machines that the cloud rents per request.
 const maxMachinesPerRental = 50
 
-// pursueRents asks again for what was not answered, under the same name: it
-// may have been granted.
+// retryRentals repeats requests that were not answered, with the same request ID because they may
+// have been granted.
 func (c *Core) retryRentals(now Micros) {
 	for _, r := range c.sortedRentals() {
 		if !r.inFlight && !r.granted && now >= r.retryAt {
@@ -38,11 +39,13 @@
 	}
 }
 
+// requestRental adds a Rent action.
 func (c *Core) requestRental(r *rental) {
 	r.inFlight = true
 	c.actions = append(c.actions, Rent{r.Request, r.Type, r.Zone, r.Spot, r.Count, r.reason})
 }
 
+// sortedRentals returns the rentals ordered by request ID.
 func (c *Core) sortedRentals() []*rental {
 	out := make([]*rental, 0, len(c.rentals))
 	for _, r := range c.rentals {
@@ -52,6 +55,7 @@
 	return out
 }
 
+// rent requests n machines of an offer. why is the reason given in the log and to the cloud.
 func (c *Core) rent(now Micros, of offer, n int, why string) {
 	c.rentalCount++
 	r := &rental{
@@ -63,17 +67,18 @@
 	c.requestRental(r)
 }
 
-// RentOutcome says what became of a rental request.
+// RentOutcome is the outcome of a Rent.
 type RentOutcome uint8
 
-// The outcomes.
+// The outcomes of a Rent.
 const (
 	RentGranted RentOutcome = iota
 	RentRefused             // no capacity
-	RentUnknown             // failed or unanswered: the same request is repeated
+	RentUnknown             // failed or unanswered: the same request is sent again
 )
 
-// Rented is the result of a Rent; wall is the time of day at now.
+// HandleRentalResult handles the result of a Rent with the request ID. machines are the names of the
+// rented machines, and wall is the wall-clock time at now.
 func (c *Core) RentResult(now, wall Micros, request string, o RentOutcome, machines []string) {
 	if !c.leading {
 		return
@@ -99,21 +104,21 @@
 		r.RentedAt = wall - (now - r.decidedAt)
 		c.awaitMachines(r, true)
 		if r.awaited == 0 {
-			delete(c.rentals, request) // all are up already, and recorded
+			delete(c.rentals, request) // all machines are up and recorded already
 			return
 		}
 		c.write(Write{Puts: []Put{{RentalPrefix + request, r.RentalRecord}}}, nil)
 	}
 }
 
-// expect makes the machines of a granted rental known, of this term's own or of one that
-// a former leader recorded.
+// awaitMachines adds the machines of a granted rental. thisTerm is false for a rental that an earlier
+// leader recorded.
 func (c *Core) awaitMachines(r *rental, thisTerm bool) {
 	for _, n := range r.Machines {
 		m := c.machines[n]
 		if m != nil {
 			m.rentedAt = r.decidedAt
-			m.unverified = m.unverified && !thisTerm // it was rented in this term
+			m.unverified = m.unverified && !thisTerm // machines rented in this term are verified
 		}
 		if m != nil && m.recorded || c.deletedMachines[n] {
 			continue
@@ -129,8 +134,8 @@
 	}
 }
 
-// upRent takes a machine that is recorded or gone off the rental that it came
-// from, and forgets a rental that has none left.
+// removeFromRental removes a machine that is recorded or deleted from its rental. It deletes the rental
+// when no machine is left in it.
 func (c *Core) removeFromRental(name string) {
 	r := c.rentalByMachine[name]
 	if r == nil {
@@ -142,6 +147,7 @@
 	}
 }
 
+// deleteRental deletes a rental and its record.
 func (c *Core) deleteRental(r *rental) {
 	delete(c.rentals, r.Request)
 	c.write(Write{Deletes: []string{RentalPrefix + r.Request}}, nil)
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -1,6 +1,7 @@
 package core
 
-// unwant marks a placement to be stopped; one that was never sent goes at once.
+// stopPlacement requests that a placement is stopped within the grace period. A placement whose start
+// was never sent is removed immediately. A shorter grace period replaces an earlier one.
 func (c *Core) stopPlacement(p *placement, now Micros, grace Micros) {
 	if p.stopRequested && grace >= p.grace {
 		return
@@ -15,8 +16,8 @@
 	}
 }
 
-// drain empties a machine: its tasks are stopped, with time to save where
-// there is some, and start elsewhere.
+// drain stops all tasks of a machine, so that they start elsewhere. They get time to write a
+// checkpoint if the deadline allows it; 0 means no deadline.
 func (c *Core) drain(m *machine, now, deadline Micros) {
 	if m.draining {
 		return
@@ -35,15 +36,16 @@
 	}
 }
 
-// stopTask stops a task, and with it its gang.
+// stopTask stops a task, and all of its gang if that has started. The task gets time to write a
+// checkpoint if this is worthwhile and can be done before the deadline; 0 means no deadline.
 func (c *Core) stopTask(p *placement, now, deadline Micros) {
 	if p.job == nil {
 		c.stopPlacement(p, now, 0)
 		return
 	}
 	grace := Micros(0)
-	// Going back to the last checkpoint loses half an interval, on the average;
-	// saving holds the machine up for as long as it takes.
+	// Without a new checkpoint, half an interval of work is lost on average. Writing one occupies
+	// the machine for the duration of the write.
 	if p.job.spec.CheckpointCost < p.job.spec.CheckpointInterval/2 && (deadline == 0 || now+p.job.spec.CheckpointCost < deadline) {
 		grace = p.job.spec.CheckpointCost + Second
 	}
@@ -54,6 +56,7 @@
 	c.stopPlacement(p, now, grace)
 }
 
+// removeUnsentStopped removes placements that are to be stopped and whose start has not been sent.
 func (c *Core) removeUnsentStopped(m *machine, now Micros) {
 	for i := len(m.placements) - 1; i >= 0; i-- {
 		if i < len(m.placements) {
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// spending is what the fleet costs an hour, by what it is spent on.
+// fleetCost is the cost of the fleet per hour, by usage. The cost of a machine with tasks is split by
+// the dominant share of each task.
 type fleetCost struct {
-	booting, idle             float64 // machines that are not up yet, or without tasks
-	running, waiting, service float64 // the parts of machines that tasks of batches run on, or wait on, and services' parts
-	unused                    float64 // the parts of those machines that nothing uses
+	booting, idle             float64 // machines that are not up yet, and machines without tasks
+	running, waiting, service float64 // shares of running and of other batch tasks, and of service tasks
+	unused                    float64 // unused shares of machines with tasks
 }
 
-// add counts a machine.
+// add adds the cost of a machine.
 func (c *fleetCost) add(m *machine) {
 	price := m.hourlyPrice()
 	switch {
@@ -39,7 +40,7 @@
 	c.unused += price * remaining
 }
 
-// summary tells an operator how full the fleet is, and what it is paid for.
+// logFleetSummary logs the utilisation and the cost of the fleet.
 func (c *Core) logSummary(now Micros) {
 	var up, booting, idle int
 	var cpus, used [2]int64
@@ -78,5 +79,5 @@
 	}})
 }
 
-// cents is an amount of money for the log.
+// roundToCents rounds an amount of money for the log.
 func roundToCents(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/core/show.go
+++ b/internal/core/views.go
@@ -1,6 +1,7 @@
 package core
 
-// Counts are a job's tasks that are done and that run, for display.
+// TaskCounts returns the numbers of a job's tasks that are done and that are running. ok is false if
+// this node does not lead or the job is not unfinished.
 func (c *Core) TaskCounts(id string) (done, running int, ok bool) {
 	if !c.leading {
 		return 0, 0, false
@@ -12,7 +13,7 @@
 	return j.done, j.running, true
 }
 
-// Jobs lists the unfinished jobs.
+// UnfinishedJobs returns the IDs of the unfinished jobs in scheduling order.
 func (c *Core) UnfinishedJobs() []string {
 	out := make([]string, 0, len(c.queue))
 	for _, j := range c.queue {
@@ -21,18 +22,19 @@
 	return out
 }
 
-// TaskView is a task that is done or on a machine, for display.
+// TaskView describes a task that is done or on a machine.
 type TaskView struct {
 	Index   int
 	Attempt uint64
 	Done    bool
-	Machine string // "" for a task that is done
+	Machine string // "" if the task is done
 	State   TaskState
-	Age     Micros // since it was placed
+	Age     Micros // time since the task was placed
 }
 
-// Tasks lists a job's tasks that are done or on a machine, beginning with one,
-// at most limit of them; more says that there are others.
+// Tasks returns at most limit of a job's tasks that are done or on a machine, from the index first on.
+// more reports whether there are others after them. ok is false if this node does not lead or the job
+// is not known.
 func (c *Core) Tasks(now Micros, id string, first, limit int) (tasks []TaskView, more, ok bool) {
 	j := c.jobs[id]
 	if !c.leading || j == nil {
@@ -55,14 +57,14 @@
 	return tasks, false, true
 }
 
-// MachineView is a machine, for display.
+// MachineView describes a machine that is up.
 type MachineView struct {
 	Name, Type, Zone string
 	Spot             bool
-	Ready            bool // its worker reports
+	Ready            bool // the machine is not unreachable
 }
 
-// Machines lists the machines that are up.
+// Machines returns the machines that are up, ordered by name.
 func (c *Core) Machines() []MachineView {
 	out := make([]MachineView, 0, len(c.sortedMachines))
 	for _, m := range c.sortedMachines {
@@ -73,7 +75,7 @@
 	return out
 }
 
-// Watch has Step say when the counts of a job change, or no longer.
+// Watch sets whether Step returns JobProgress when the task counts of the job change.
 func (c *Core) Watch(id string, enabled bool) {
 	if enabled {
 		c.watched[id] = true
@@ -82,7 +84,7 @@
 	}
 }
 
-// moves notes that a job's counts changed.
+// notifyProgress adds JobProgress if the job is watched.
 func (c *Core) notifyProgress(j *job) {
 	if len(c.watched) > 0 && c.watched[j.spec.ID] {
 		c.actions = append(c.actions, JobProgress{j.spec.ID})
