--- a/internal/core/commands_test.go
+++ b/internal/core/commands_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestLateStart: a direct start that went unanswered counts as possibly there
-// until the machine shows it, has a new session, or has answered under a
-// raised token; and it is not forgotten by the worker before.
+// TestUnansweredStart checks a direct start command without an answer. Its task counts as possibly
+// running until the machine reports it, begins a new session, or answers with a raised token. The
+// worker is not told to forget the task before that, since a delayed start would run it again.
 func TestUnansweredStart(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
@@ -19,7 +19,7 @@
 		f.report()
 	}
 	w.want("still counted", w.c.team("blue").used, Resources{2000, 0, 2000})
-	w.want("asks for a token", w.tokenRaises > 0, true)
+	w.want("requests a new token", w.tokenRaises > 0, true)
 	w.c.TokenRaised(w.now, 200)
 	w.step()
 	f.executeDirect()
@@ -28,13 +28,13 @@
 	f.report()
 	w.want("settled", w.c.team("blue").used, Resources{})
 
-	// One that is shown and exits is not reaped while the start may arrive.
+	// A task that was reported and exited is not forgotten while the start may still arrive.
 	f.losesCommands = true
 	w.submit(JobSpec{ID: "job-2", Tasks: 1})
 	f.executeDirect()
 	f.losesCommands = false
 	f.report()
-	w.want("started through the beat", f.liveTasks(), "job-2/0 ")
+	w.want("started in reply to a report", f.liveTasks(), "job-2/0 ")
 	f.report()
 	w.cancel("job-2")
 	f.executeDirect()
@@ -51,9 +51,8 @@
 	w.want("reaped", len(f.status.Tasks), 0)
 }
 
-// TestReturning guards against a machine that is alive but about to be
-// returned: until the cloud has answered, which can take minutes when many go
-// back, it is told what to stop, and gets nothing to start.
+// TestCommandsWhileReleasing checks that a machine that is being released still gets stop commands and
+// no starts. The cloud may take minutes to delete it when many machines are released.
 func TestCommandsWhileReleasing(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
--- a/internal/core/completions_test.go
+++ b/internal/core/completions_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestDone: a job is done only once all its tasks are, and what was finished is
-// kept as ranges; exited tasks are forgotten only after that.
+// TestJobCompletion checks that a job is done only when all its tasks are, that completed tasks are
+// recorded as ranges, and that workers forget exited tasks only after that.
 func TestJobCompletion(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
 	w.beginTerm(100, nil, Snapshot{})
@@ -22,7 +22,7 @@
 	f.report()
 	w.advance(3 * Second)
 	f.report()
-	w.want("kept until recorded", len(f.status.Tasks), 4)
+	w.want("tasks reported until recorded", len(f.status.Tasks), 4)
 	w.failWrites = false
 	w.advance(12 * Second)
 	f.report()
@@ -31,15 +31,15 @@
 	w.want("ranges", fmt.Sprint(rec.Ranges), want)
 	w.want("forgotten", len(f.status.Tasks), 1)
 	if _, ok := w.puts[""]; ok {
-		t.Error("done before the last task")
+		t.Error("job is done before its last task")
 	}
 	f.exitTask(0, CauseDone)
 	f.report()
 	d, ok := w.puts[""].(FinalRecord)
 	w.want("final record", ok && d.Record.Phase == Done, true)
-	w.want("bookkeeping dropped", w.deletes[CompletionKey("job-1", 0, 0)] && w.deletes[StartedPrefix+"job-1"], true)
+	w.want("records of the job deleted", w.deletes[CompletionKey("job-1", 0, 0)] && w.deletes[StartedPrefix+"job-1"], true)
 
-	// A write of ranges that gets no answer does not hold up the final record.
+	// A write of completions without an answer does not delay the final record.
 	w.submit(JobSpec{ID: "job-2", Tasks: 2})
 	f.executeDirect()
 	f.report()
@@ -51,7 +51,7 @@
 	delete(w.puts, "")
 	f.report()
 	_, ok = w.puts[""]
-	w.want("final record while ranges wait", ok, true)
+	w.want("final record while a write of completions is in flight", ok, true)
 	for _, id := range w.heldWrites {
 		w.c.WriteResult(w.now, id, WriteRefused)
 	}
@@ -59,18 +59,18 @@
 	f.report()
 	w.want("forgotten", len(w.heldWrites) > 0 && len(f.status.Tasks) == 0, true)
 
-	// A new leader takes the ranges over and runs only the rest.
+	// A new leader reads the ranges and runs only the remaining tasks.
 	spec := JobSpec{ID: "job-9", Team: "blue", Tasks: 20, Request: Resources{1000, 0, 1000}, Image: "im"}
-	w2 := newWorld(t, Team{Name: "blue"})
-	w2.beginTerm(200, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{Completions: []CompletionRecord{{CompletionKey("job-9", 0, 0), "job-9", 0, []int{0, 14}}, {CompletionKey("job-9", 1, 0), "job-9", 1, []int{1, 2}}}, Started: []string{"job-9"}})
-	w2.want("left", w2.c.jobs["job-9"].pending, 3)
-	// What is left of jobs that are over is dropped.
-	w2.beginTerm(300, nil, Snapshot{Completions: []CompletionRecord{{CompletionKey("job-9", 0, 0), "job-9", 0, nil}}, Started: []string{"job-9"}})
-	w2.want("dropped", w2.deletes[CompletionKey("job-9", 0, 0)] && w2.deletes[StartedPrefix+"job-9"], true)
+	next := newWorld(t, Team{Name: "blue"})
+	next.beginTerm(200, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{Completions: []CompletionRecord{{CompletionKey("job-9", 0, 0), "job-9", 0, []int{0, 14}}, {CompletionKey("job-9", 1, 0), "job-9", 1, []int{1, 2}}}, Started: []string{"job-9"}})
+	next.want("left", next.c.jobs["job-9"].pending, 3)
+	// Records of jobs that have ended are deleted.
+	next.beginTerm(300, nil, Snapshot{Completions: []CompletionRecord{{CompletionKey("job-9", 0, 0), "job-9", 0, nil}}, Started: []string{"job-9"}})
+	next.want("dropped", next.deletes[CompletionKey("job-9", 0, 0)] && next.deletes[StartedPrefix+"job-9"], true)
 }
 
-// TestFaults: machines that fail several jobs are emptied and returned; a job
-// that fails everywhere backs off and evicts nobody.
+// TestFailingMachinesAndJobs checks that a machine on which several jobs fail is drained and released,
+// and that a job that fails on every machine backs off and preempts no tasks.
 func TestFailingMachinesAndJobs(t *testing.T) {
 	t.Run("quarantine", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
@@ -109,9 +109,9 @@
 			}
 		}
 		j := w.c.jobs["job-1"]
-		w.want("machines it failed on", len(j.failedOn), 3)
-		w.want("backs off", j.notBefore > w.now, true)
-		w.want("no machine is blamed for one job", len(w.releases), 0)
+		w.want("machines on which the job failed", len(j.failedOn), 3)
+		w.want("job backs off", j.notBefore > w.now, true)
+		w.want("no machine is released because of one job", len(w.releases), 0)
 		w.submit(JobSpec{ID: "job-2", Tasks: 6})
 		for range 3 {
 			for _, f := range fs {
@@ -119,10 +119,11 @@
 				f.report()
 			}
 		}
-		w.want("borrowers stay", w.c.planReclaim(j, Resources{}, w.now, "", &reclaimPlan{}) == nil, true)
+		w.want("tasks that borrow are not preempted", w.c.planReclaim(j, Resources{}, w.now, "", &reclaimPlan{}) == nil, true)
 	})
 }
 
+// TestCompletedRanges checks the ranges of the first chunk of a job.
 func TestCompletedRanges(t *testing.T) {
 	for _, c := range []struct {
 		done []int
--- a/internal/core/job_stats_test.go
+++ b/internal/core/job_stats_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestTally: what was served is counted by team and class from the records, and a
-// new leader counts the same.
+// TestJobStats checks that jobs are counted by team and class from the records, and that a new leader
+// gets the same result.
 func TestJobStats(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue", Max: Resources{CPU: 8000}}, Team{Name: "green"})
 	w.beginTerm(100, nil, Snapshot{})
@@ -21,7 +21,7 @@
 		recs = append(recs, JobRecord{Spec: s, Phase: phase, SubmittedAt: w.now, Revision: 5})
 	}
 	job("job-1", "blue", "runs", 1, Pending)
-	job("job-2", "blue", "runs", 2, Pending) // at its team's max
+	job("job-2", "blue", "runs", 2, Pending) // exceeds the max of its team
 	job("job-3", "blue", "maps", 1, Done)
 	job("job-4", "green", "runs", 1, Cancelled)
 	w.reportRounds(3, []*fakeWorker{f})
@@ -32,5 +32,5 @@
 	o := newWorld(t, Team{Name: "blue"}, Team{Name: "green"})
 	o.now = w.now
 	o.beginTerm(200, recs, Snapshot{Started: []string{"job-1"}})
-	w.want("tally of the next leader", fmt.Sprint(CollectJobStats(slices.Values(recs), o.now, o.c.MayHaveStarted)), want)
+	w.want("tally by the next leader", fmt.Sprint(CollectJobStats(slices.Values(recs), o.now, o.c.MayHaveStarted)), want)
 }
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRecordedFirst: no start goes to a machine that is not recorded, nor for a
-// job that is not recorded as opened.
+// TestRecordBeforeStart checks that no start is sent to a machine that is not recorded, nor for a job
+// without a started record.
 func TestRecordBeforeStart(t *testing.T) {
 	for _, key := range []string{MachinePrefix, StartedPrefix} {
 		t.Run(key, func(t *testing.T) {
@@ -30,14 +30,13 @@
 			}
 			w.want("started", f.liveTasks(), "job-1/0 ")
 			w.want("machine recorded", fmt.Sprint(w.puts[w.c.machines["n-1"].record.key]), "{ [{n-1 n-1:1 m a false}]}")
-			w.want("job opened", w.puts[StartedPrefix+"job-1"] != nil, true)
+			w.want("started record written", w.puts[StartedPrefix+"job-1"] != nil, true)
 		})
 	}
 }
 
-// TestMachineRecords: machines share records, a write that may still be
-// executed late can't take from a record what a later one added, and machines
-// that are gone leave their record.
+// TestMachineRecords checks that machines share records, that a write that is executed late cannot
+// overwrite what a later one added, and that deleted machines are removed from their record.
 func TestMachineRecords(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
@@ -52,11 +51,11 @@
 	for k, v := range w.puts {
 		if r, ok := v.(MachineGroupRecord); ok {
 			keys[k] = len(r.Machines)
-			w.want("a key that was tried before", k == MachinePrefix+"100-1", false)
+			w.want("the key of the unanswered write is used again", k == MachinePrefix+"100-1", false)
 		}
 	}
 	w.want("records", len(keys), 2)
-	w.want("the key tried before is dropped", w.deletes[MachinePrefix+"100-1"], true)
+	w.want("the key of the unanswered write is deleted", w.deletes[MachinePrefix+"100-1"], true)
 	w.want("recorded", w.c.machines["n-0"].recorded && w.c.machines["n-4"].recorded, true)
 	first := w.c.machines["n-0"].record.key
 	for _, n := range []string{"n-0", "n-1", "n-2"} {
@@ -64,8 +63,8 @@
 	}
 	w.advance(3 * Second)
 	r, _ := w.puts[first].(MachineGroupRecord)
-	w.want("left in the first record", fmt.Sprint(r.Machines), "[{n-3 n-3:1 m a false}]")
+	w.want("machines left in the first record", fmt.Sprint(r.Machines), "[{n-3 n-3:1 m a false}]")
 	w.c.ReleaseResult(w.now, []string{"n-3"}, true)
 	w.advance(3 * Second)
-	w.want("an empty record is dropped", w.deletes[first], true)
+	w.want("an empty record is deleted", w.deletes[first], true)
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// farm is a fleet of workers that do what they are told at once, round a core,
-// to measure what the core's work costs. It is larger than any test needs: run
-// it with go test -bench, see docs/SCALE.md.
+// benchFleet is a Core with a large fleet of workers that execute their commands immediately. It
+// measures the CPU time and the allocations of the Core in benchmarks; see docs/SCALE.md.
 type benchFleet struct {
 	c            *Core
 	now          Micros
 	workers      []*benchWorker
 	workerByName map[string]*benchWorker
-	events       int // reports, answers to direct commands, job records and completions
+	events       int // number of reports, answers to direct commands, job records and completions
 	jobs         int
-	coreTime     time.Duration                                 // in the core
-	reportSlots  [reportInterval / slotDuration][]*benchWorker // who reports when
+	coreTime     time.Duration                                 // time spent in the Core
+	reportSlots  [reportInterval / slotDuration][]*benchWorker // workers by the time of their report within an interval
 }
 
-// hand is a worker of a farm.
+// benchWorker is a worker of a benchFleet.
 type benchWorker struct {
 	status Report
-	endAt  map[string]Micros // of its tasks, by name
+	endAt  map[string]Micros // time at which each running task completes
 }
 
 const (
@@ -33,6 +32,7 @@
 	slotDuration    = 20 * Millisecond
 )
 
+// newBenchFleet returns a fleet of n machines with quotas for the teams blue and green.
 func newBenchFleet(n int) *benchFleet {
 	f := &benchFleet{workerByName: map[string]*benchWorker{}, now: Second}
 	f.c = New(Config{
@@ -47,22 +47,22 @@
 	f.c.SetCatalog([]MachineType{{Name: "t", Capacity: Resources{CPU: tasksPerMachine * 1000, Mem: tasksPerMachine * 4000}, CacheMB: 50000, FetchMBps: 1000, Price: 1, SpotPrice: 0.4, BootTime: 30 * Second, Zones: []string{"a", "b", "c"}}})
 	for i := range n {
 		name := fmt.Sprintf("n-%06d", i)
-		h := &benchWorker{endAt: map[string]Micros{}, status: Report{
+		w := &benchWorker{endAt: map[string]Micros{}, status: Report{
 			Machine: name, Address: name, Type: "t", Zone: string(rune('a' + i%3)), Session: 1, SpotNotice: -1,
 		}}
-		f.workerByName[name] = h
-		f.workers = append(f.workers, h)
-		turn := i * len(f.reportSlots) / n
-		f.reportSlots[turn] = append(f.reportSlots[turn], h)
+		f.workerByName[name] = w
+		f.workers = append(f.workers, w)
+		slot := i * len(f.reportSlots) / n
+		f.reportSlots[slot] = append(f.reportSlots[slot], w)
 	}
 	return f
 }
 
-// core runs a call of the core and counts its time.
+// timed makes a call of the Core, measures its time and counts it as one event.
 func (f *benchFleet) timed(call func()) {
-	at := time.Now()
+	start := time.Now()
 	call()
-	f.coreTime += time.Since(at)
+	f.coreTime += time.Since(start)
 	f.events++
 }
 
@@ -75,45 +75,45 @@
 	f.timed(func() { f.c.UpdateJob(f.now, f.now, rec) })
 }
 
-func (h *benchWorker) execute(cmds []Command, f *benchFleet) {
+func (w *benchWorker) execute(cmds []Command, f *benchFleet) {
 	for _, cmd := range cmds {
 		i := -1
-		for k, t := range h.status.Tasks {
+		for k, t := range w.status.Tasks {
 			if t.Job == cmd.Job && t.Index == cmd.Index && t.Attempt == cmd.Attempt {
 				i = k
 			}
 		}
 		switch {
 		case cmd.Op == Start && i < 0:
-			h.status.Tasks = append(h.status.Tasks, TaskReport{Job: cmd.Job, Index: cmd.Index, Attempt: cmd.Attempt, State: Running})
-			h.endAt[fmt.Sprint(cmd.Job, cmd.Index)] = f.now + 50*Second + Micros(cmd.Index%20)*Second
+			w.status.Tasks = append(w.status.Tasks, TaskReport{Job: cmd.Job, Index: cmd.Index, Attempt: cmd.Attempt, State: Running})
+			w.endAt[fmt.Sprint(cmd.Job, cmd.Index)] = f.now + 50*Second + Micros(cmd.Index%20)*Second
 		case cmd.Op == Stop && i >= 0:
-			h.status.Tasks[i].State, h.status.Tasks[i].Cause = Exited, CauseStopped
+			w.status.Tasks[i].State, w.status.Tasks[i].Cause = Exited, CauseStopped
 		case cmd.Op == Forget && i >= 0:
-			h.status.Tasks = append(h.status.Tasks[:i], h.status.Tasks[i+1:]...)
+			w.status.Tasks = append(w.status.Tasks[:i], w.status.Tasks[i+1:]...)
 		}
 	}
 }
 
-func (h *benchWorker) report() *Report {
-	h.status.Seq++
-	r := h.status
-	r.Tasks = append([]TaskReport(nil), h.status.Tasks...)
+func (w *benchWorker) report() *Report {
+	w.status.Seq++
+	r := w.status
+	r.Tasks = append([]TaskReport(nil), w.status.Tasks...)
 	return &r
 }
 
-// act lets the core decide and does what it wants.
+// step calls Step once and executes the actions. Rentals are refused and releases fail.
 func (f *benchFleet) step() {
-	var acts []Action
-	f.timed(func() { acts = f.c.Step(f.now) })
-	f.events-- // it is no event
-	for _, a := range acts {
+	var actions []Action
+	f.timed(func() { actions = f.c.Step(f.now) })
+	f.events-- // Step does not count as an event
+	for _, a := range actions {
 		switch a := a.(type) {
 		case SendCommands:
-			h := f.workerByName[a.Machine]
-			h.status.Token = max(h.status.Token, a.Token)
-			h.execute(a.Commands, f)
-			r := h.report()
+			w := f.workerByName[a.Machine]
+			w.status.Token = max(w.status.Token, a.Token)
+			w.execute(a.Commands, f)
+			r := w.report()
 			f.timed(func() { f.c.CommandResult(f.now, a.Machine, a.Token, Executed, r) })
 		case Write:
 			f.timed(func() { f.c.WriteResult(f.now, a.ID, Stored) })
@@ -130,33 +130,33 @@
 	}
 }
 
-// pass lets time go by; every machine reports in its turn, and at once when a
-// task of its ends.
+// advance advances the clock by d. Each worker reports once per interval, with the tasks that have
+// completed since.
 func (f *benchFleet) advance(d Micros) {
 	for end := f.now + d; f.now < end; f.now += slotDuration {
-		for _, h := range f.reportSlots[f.now/slotDuration%(reportInterval/slotDuration)] {
-			for i := range h.status.Tasks {
-				t := &h.status.Tasks[i]
-				if k := fmt.Sprint(t.Job, t.Index); t.State == Running && h.endAt[k] <= f.now {
+		for _, w := range f.reportSlots[f.now/slotDuration%(reportInterval/slotDuration)] {
+			for i := range w.status.Tasks {
+				t := &w.status.Tasks[i]
+				if k := fmt.Sprint(t.Job, t.Index); t.State == Running && w.endAt[k] <= f.now {
 					t.State, t.Cause = Exited, CauseDone
-					delete(h.endAt, k)
+					delete(w.endAt, k)
 					f.events++
 				}
 			}
-			r := h.report()
+			r := w.report()
 			var cmds []Command
 			f.timed(func() {
 				var token uint64
 				cmds, token, _ = f.c.HandleReport(f.now, r)
-				h.status.Token = max(h.status.Token, token)
+				w.status.Token = max(w.status.Token, token)
 			})
-			h.execute(cmds, f)
+			w.execute(cmds, f)
 		}
 		f.step()
 	}
 }
 
-// fill has blue run on all that there is.
+// fill begins a term and fills the fleet with jobs of team blue.
 func (f *benchFleet) fill(n int) {
 	f.c.BeginTerm(f.now, f.now, 100, nil, Snapshot{})
 	f.advance(6 * Second)
@@ -166,7 +166,7 @@
 	f.advance(10 * Second)
 }
 
-// measure runs what a benchmark is about and reports cost per event.
+// measure runs the measured part of a benchmark and reports the cost per event.
 func (f *benchFleet) measure(b *testing.B, what func()) {
 	f.events, f.coreTime = 0, 0
 	var before, after runtime.MemStats
@@ -179,7 +179,7 @@
 	b.ReportMetric(float64(f.coreTime.Milliseconds()), "ms-in-core")
 }
 
-// atSizes runs a benchmark on full fleets; what it does is measured by itself.
+// forFleetSizes runs a benchmark on full fleets of several sizes. run has to call measure itself.
 func forFleetSizes(b *testing.B, run func(b *testing.B, f *benchFleet, n int)) {
 	for _, n := range []int{1500, 5000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -192,7 +192,7 @@
 	}
 }
 
-// submitEvery submits so many jobs each second for a while.
+// submitPerSecond submits the number of jobs each second for a number of seconds.
 func (f *benchFleet) submitPerSecond(seconds, jobs int) {
 	for range seconds {
 		for range jobs {
@@ -202,34 +202,34 @@
 	}
 }
 
-// until lets time pass until something holds, a minute at the most.
+// advanceUntil advances the clock until a condition holds, for at most a minute.
 func (f *benchFleet) advanceUntil(b *testing.B, what func() bool) {
 	for i := 0; !what(); i++ {
 		if i > 60 {
-			b.Fatal("not within a minute")
+			b.Fatal("condition not met within a minute")
 		}
 		f.advance(Second)
 	}
 }
 
-// BenchmarkSteady is half a minute in which every task that ends has a
-// successor waiting: reports, completions and starts, with the fleet full.
+// BenchmarkSteady measures half a minute with a full fleet, in which a waiting task replaces each task
+// that completes: reports, completions and starts.
 func BenchmarkSteady(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		f.measure(b, func() { f.submitPerSecond(30, n/600) })
 	})
 }
 
-// BenchmarkBurst is ten seconds in which as much work comes as the fleet holds,
-// while it is full.
+// BenchmarkBurst measures ten seconds in which jobs for the capacity of the whole fleet are submitted
+// while the fleet is full.
 func BenchmarkBurst(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		f.measure(b, func() { f.submitPerSecond(10, n/100) })
 	})
 }
 
-// BenchmarkReclaim is the time until green, within its min, has taken back a
-// fifth of the fleet from blue, which borrows all of it.
+// BenchmarkReclaim measures the time until team green, within its min, has reclaimed a fifth of the
+// fleet from team blue, which uses all of it.
 func BenchmarkReclaim(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		f.measure(b, func() {
@@ -241,8 +241,8 @@
 	})
 }
 
-// BenchmarkTakeover is a new leader's beginning, from the records until every
-// machine has reported.
+// BenchmarkTakeover measures a takeover by a new leader, from reading the records until every machine
+// has reported.
 func BenchmarkTakeover(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		var jobs []JobRecord
@@ -253,8 +253,8 @@
 		}
 		for i := 0; i < n; i += 160 {
 			r := MachineGroupRecord{Key: fmt.Sprint(MachinePrefix, i)}
-			for _, h := range f.workers[i:min(i+160, n)] {
-				r.Machines = append(r.Machines, MachineRecord{h.status.Machine, h.status.Address, "t", h.status.Zone, false})
+			for _, w := range f.workers[i:min(i+160, n)] {
+				r.Machines = append(r.Machines, MachineRecord{w.status.Machine, w.status.Address, "t", w.status.Zone, false})
 			}
 			snap.MachineGroups = append(snap.MachineGroups, r)
 		}
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// world is a core with a clock and with workers that do what they are told, so
-// that a case reads as what happens and what is to follow.
+// world is a simulated cluster for tests: a Core, a clock, fake workers that execute their commands, and
+// a record of the actions that the Core returned.
 type world struct {
 	t           *testing.T
 	c           *Core
@@ -15,17 +15,15 @@
 	sent        []SendCommands
 	rentals     []Rent
 	releases    []Release
-	puts        map[string]any // what was written
-	deletes     map[string]bool
+	puts        map[string]any  // stored records by key
+	deletes     map[string]bool // deleted keys
 	logs        []string
 	tokenRaises int
-	// failWrites makes writes fail, as in an outage; with failKey, only those
-	// of keys that begin with it.
-	failWrites  bool
-	failPrefix  string
-	failOutcome WriteOutcome
-	holdPrefix  string // writes of keys that begin with it get no answer
-	heldWrites  []uint64
+	failWrites  bool         // all writes fail, as in an outage of the state service
+	failPrefix  string       // if not empty, writes of keys with this prefix fail
+	failOutcome WriteOutcome // outcome of writes that fail
+	holdPrefix  string       // if not empty, writes of keys with this prefix get no answer
+	heldWrites  []uint64     // IDs of the writes without an answer
 }
 
 var testTypes = []MachineType{
@@ -33,6 +31,7 @@
 	{Name: "g", Capacity: Resources{8000, 2000, 32000}, CacheMB: 50000, FetchMBps: 1000, Price: 3, SpotPrice: 1, BootTime: 20 * Second, Zones: []string{"a"}},
 }
 
+// newWorld returns a world whose Core does not lead yet.
 func newWorld(t *testing.T, teams ...Team) *world {
 	c := New(Config{
 		Teams: teams, WorkerLease: 16 * Second, MaxCancelStaleness: 25 * Second, ReportInterval: 3 * Second, ListLag: 4 * Second, ChunkSize: 16, MachinesPerRecord: 4,
@@ -43,19 +42,20 @@
 	return w
 }
 
+// beginTerm makes the Core lead and executes its first actions.
 func (w *world) beginTerm(token uint64, jobs []JobRecord, snap Snapshot) {
 	w.c.BeginTerm(w.now, w.now, token, jobs, snap)
 	w.step()
 }
 
-// step lets the core act until it wants nothing more.
+// step calls Step and executes the actions until none are left, at most 20 times.
 func (w *world) step() {
 	for range 20 {
-		acts := w.c.Step(w.now)
-		if len(acts) == 0 {
+		actions := w.c.Step(w.now)
+		if len(actions) == 0 {
 			return
 		}
-		for _, a := range acts {
+		for _, a := range actions {
 			switch a := a.(type) {
 			case SendCommands:
 				w.sent = append(w.sent, a)
@@ -98,11 +98,13 @@
 	}
 }
 
+// advance advances the clock by d and calls step.
 func (w *world) advance(d Micros) {
 	w.now += d
 	w.step()
 }
 
+// submit submits a job, with defaults for resources, image and team.
 func (w *world) submit(s JobSpec) {
 	if s.Request == (Resources{}) {
 		s.Request = Resources{2000, 0, 2000}
@@ -124,27 +126,28 @@
 	w.step()
 }
 
-// fake is a worker as the core sees it.
+// fakeWorker is a worker that reports to the Core and executes commands.
 type fakeWorker struct {
 	w             *world
 	status        Report
-	replyCommands []Command // from the answer to the last beat
-	losesCommands bool      // direct commands go unanswered
-	fetchesImage  bool      // what is started has to fetch its image
+	replyCommands []Command // commands in the answer to the last report
+	losesCommands bool      // direct commands are lost and stay unanswered
+	fetchesImage  bool      // started tasks stay in the state Fetching
 }
 
+// newWorker returns a worker that has not reported yet.
 func (w *world) newWorker(name, zone string) *fakeWorker {
 	return &fakeWorker{w: w, status: Report{Machine: name, Address: name + ":1", Type: "m", Zone: zone, Session: 1, Token: w.c.token, SpotNotice: -1}}
 }
 
-// beat reports and executes the commands of the answer.
+// report sends a report, and executes the commands in the answer and then direct commands.
 func (f *fakeWorker) report() *fakeWorker {
 	f.status.Seq++
 	r := f.status
 	r.Tasks = append([]TaskReport(nil), f.status.Tasks...)
 	cmds, token, ok := f.w.c.HandleReport(f.w.now, &r)
 	if !ok {
-		f.w.t.Fatal("beat refused")
+		f.w.t.Fatal("report refused")
 	}
 	f.status.Token = max(f.status.Token, token)
 	f.replyCommands = cmds
@@ -154,7 +157,7 @@
 	return f
 }
 
-// rounds lets all workers report so many times, a second apart.
+// reportRounds lets all workers report n times, one second apart.
 func (w *world) reportRounds(n int, fs []*fakeWorker) {
 	for range n {
 		w.advance(Second)
@@ -183,6 +186,7 @@
 	}
 }
 
+// taskIndex returns the index of an attempt in the status, or -1.
 func (f *fakeWorker) taskIndex(job string, index int, attempt uint64) int {
 	for i, t := range f.status.Tasks {
 		if t.Job == job && t.Index == index && t.Attempt == attempt {
@@ -192,11 +196,12 @@
 	return -1
 }
 
-func (f *fakeWorker) exitTask(i int, why Cause) {
-	f.status.Tasks[i].State, f.status.Tasks[i].Cause = Exited, why
+// exitTask makes the task at index i of the status exit.
+func (f *fakeWorker) exitTask(i int, cause Cause) {
+	f.status.Tasks[i].State, f.status.Tasks[i].Cause = Exited, cause
 }
 
-// direct executes the direct commands that were sent to the worker.
+// executeDirect executes the direct commands that were sent to the worker and answers them.
 func (f *fakeWorker) executeDirect() {
 	w := f.w
 	for n := 0; n < len(w.sent); n++ {
@@ -221,6 +226,7 @@
 	}
 }
 
+// liveTasks lists the tasks that have not exited, in the form "job/index ".
 func (f *fakeWorker) liveTasks() string {
 	out := ""
 	for _, t := range f.status.Tasks {
@@ -231,6 +237,7 @@
 	return out
 }
 
+// want fails the test if got differs from want.
 func (w *world) want(what string, got, want any) {
 	w.t.Helper()
 	if got != want {
@@ -241,7 +248,7 @@
 var blue = Team{Name: "blue", Min: Resources{CPU: 4000}, Max: Resources{CPU: 12000}}
 var green = Team{Name: "green", Min: Resources{CPU: 8000}, Max: Resources{CPU: 16000}}
 
-// recorded is a record of machines as a former leader left it.
+// recordedMachines returns the record of a machine group as an earlier leader left it.
 func recordedMachines(names ...string) []MachineGroupRecord {
 	r := MachineGroupRecord{Key: MachinePrefix + "50-1"}
 	for _, n := range names {
