--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -51,18 +51,18 @@
 	machinesExamined    int                           // machines examined for capacity or victims; the cost of placement
 	nextSummaryAt       Micros
 	nextVacateAt        Micros
-	vacating            []*machine
+	vacating            []*machine  // machines that are being emptied to be released
 	objectiveClasses    []*jobClass // classes with start objectives
 	reservedClasses     []*jobClass // those of objectiveClasses that have a reservation; see updateReservations
 	lendable            Resources   // capacity in excess of the reservations
-	usageUpdatedAt      Micros
+	usageUpdatedAt      Micros      // last time at which the usage of objectiveClasses was recorded
 	termBeganAt         Micros
 	reservationsUnknown bool // the term has not determined yet what to reserve
 	tokenRaiseWanted    bool
 	nextTokenRaiseAt    Micros
 	nextFleetReviewAt   Micros
 	nextLeaseCheckAt    Micros
-	refusedUntil        map[offer]Micros
+	refusedUntil        map[offer]Micros // end of the back-off after a refused rental
 	bootStatsByOffer    map[offer]bootStats
 	releaseQueue        []*machine // machines to be released
 	releaseInFlight     bool
@@ -73,10 +73,10 @@
 	imageIDs            map[string]int
 	nextRankingAt       Micros
 	spareByZone         map[string]int // number of service tasks that could start immediately, by zone
-	spareTaskRequest    Resources
-	spareTarget         int     // number of service tasks to keep spare capacity for
-	spareTargetPerZone  int     // the same in each zone
-	spareFetchRate      float64 // MB/s at which an image is fetched in time
+	spareTaskRequest    Resources      // resources of one service task that spare capacity is kept for
+	spareTarget         int            // number of service tasks to keep spare capacity for
+	spareTargetPerZone  int            // the same in each zone
+	spareFetchRate      float64        // MB/s at which an image is fetched in time
 	pendingWrites       map[uint64]func(now Micros, o WriteOutcome)
 	lastWriteID         uint64
 	rentalCount         uint64
@@ -91,10 +91,10 @@
 	serviceArrivals arrivals
 	reservation     reservation // used if the class has start objectives
 
-	recentSizes []int // ring buffer of the task counts of the latest arrays
+	recentSizes []int // ring buffer of the task counts of the latest batch jobs
 	nextSize    int   // index in recentSizes that is overwritten next
-	largeSize   int   // arrays of at least this many tasks are among the largest; 0: unknown
-	medianSize  int
+	largeSize   int   // batch jobs of at least this many tasks are among the largest; 0: unknown
+	medianSize  int   // median task count of the batch jobs
 }
 
 // New returns a Core that does not lead.
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -19,13 +19,13 @@
 	imageID      int
 	typesKey     string // the allowed machine types as one string, which is fast to compare
 	deadline     Micros // monotonic clock; 0: none
-	rank         int    // 0: can meet its deadline; higher ranks come later; see rankJobs
+	rank         int    // 0: can meet its deadline or has none; higher ranks come later; see rankJobs
 	submitted    Micros // monotonic clock
 	lastPlacedAt Micros // when a task was last placed
 	starving     bool   // see updateStarving
 
 	status       []taskStatus
-	live         map[int]*placement // the placement that counts for each task
+	live         map[int]*placement // by task index, the placement that counts for the task
 	duplicates   []*placement       // other placements of the same tasks that machines have reported
 	unrecorded   []*placement       // completed placements whose completion is not recorded yet
 	running      int
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// removeMachine removes a machine that is deleted.
+// removeMachine removes a machine that the cloud has deleted.
 func (c *Core) removeMachine(m *machine, now Micros) {
 	c.clearMachine(m, now)
 	c.markReconciled(m)
