--- a/internal/core/boots.go
+++ b/internal/core/boot_stats.go
@@ -29,8 +29,8 @@
 )
 
 // late is the share of the machines of an offer that were overdue lately.
-func (c *Core) overdueShare(of offer, now Micros) float64 {
-	b := c.bootStatsByOffer[of]
+func (c *Core) overdueShare(o offer, now Micros) float64 {
+	b := c.bootStatsByOffer[o]
 	return b.overdueShare * math.Exp(-float64(now-b.updatedAt)/float64(bootStatsDecay))
 }
 
@@ -49,8 +49,8 @@
 		return
 	}
 	m.bootOverdue = true
-	late := c.overdueShare(m.offer(), now)
-	c.bootStatsByOffer[m.offer()] = bootStats{now, late + bootStatsWeight*(1-late)}
+	share := c.overdueShare(m.offer(), now)
+	c.bootStatsByOffer[m.offer()] = bootStats{now, share + bootStatsWeight*(1-share)}
 }
 
 // bootTime is within what most machines of a type come up.
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -47,8 +47,8 @@
 		m    *machine
 		gain float64
 	}
-	var from []vacateCandidate
-	var to []*machine
+	var sources []vacateCandidate
+	var targets []*machine
 	for _, m := range c.sortedMachines {
 		if m.spot || m.used == (Resources{}) || !c.schedulable(m, now) {
 			continue
@@ -61,16 +61,16 @@
 		if m.vacating {
 			gain *= 10 // finish what was begun
 		} else {
-			to = append(to, m)
+			targets = append(targets, m)
 		}
 		if m.vacating || len(m.placements) <= maxVacatedServices {
-			from = append(from, vacateCandidate{m, gain})
+			sources = append(sources, vacateCandidate{m, gain})
 		}
 	}
-	slices.SortStableFunc(from, func(a, b vacateCandidate) int { return cmp.Compare(b.gain, a.gain) })
-	for _, f := range from[:min(len(from), maxVacateAttempts)] {
-		m := f.m
-		if !c.canVacate(m, to, now) {
+	slices.SortStableFunc(sources, func(a, b vacateCandidate) int { return cmp.Compare(b.gain, a.gain) })
+	for _, source := range sources[:min(len(sources), maxVacateAttempts)] {
+		m := source.m
+		if !c.canVacate(m, targets, now) {
 			if m.vacating {
 				m.vacating = false
 				c.vacating = slices.DeleteFunc(c.vacating, func(o *machine) bool { return o == m })
@@ -81,7 +81,7 @@
 			c.log("vacating: its services fit elsewhere", "machine", m.name, "type", m.typeName, "used_cpus", m.used.CPU/1000)
 			m.vacating = true
 			c.vacating = append(c.vacating, m)
-			to = slices.DeleteFunc(to, func(o *machine) bool { return o == m })
+			targets = slices.DeleteFunc(targets, func(o *machine) bool { return o == m })
 		}
 		for _, p := range slices.Clone(m.placements) {
 			if now < c.nextVacateAt {
@@ -113,55 +113,55 @@
 	zone string
 }
 
-func newMovePlan(to []*machine) *movePlan {
-	return &movePlan{targets: to, plannedUse: map[*machine]Resources{}, zoneDelta: map[jobZone]int{}}
+func newMovePlan(machines []*machine) *movePlan {
+	return &movePlan{targets: machines, plannedUse: map[*machine]Resources{}, zoneDelta: map[jobZone]int{}}
 }
 
 // left is what stays free on a machine that services may move to.
-func (v *movePlan) freeOn(o *machine) Resources { return o.free().Sub(v.plannedUse[o]) }
+func (plan *movePlan) freeOn(o *machine) Resources { return o.free().Sub(plan.plannedUse[o]) }
 
 // count notes a move, or one that is not made after all.
-func (v *movePlan) apply(mv serviceMove, sign int) {
-	v.plannedUse[mv.target] = v.plannedUse[mv.target].Add(mv.placement.need.Times(sign))
-	v.zoneDelta[jobZone{mv.placement.job, mv.target.zone}] += sign
-	v.zoneDelta[jobZone{mv.placement.job, mv.placement.machine.zone}] -= sign
+func (plan *movePlan) apply(mv serviceMove, sign int) {
+	plan.plannedUse[mv.target] = plan.plannedUse[mv.target].Add(mv.placement.need.Times(sign))
+	plan.zoneDelta[jobZone{mv.placement.job, mv.target.zone}] += sign
+	plan.zoneDelta[jobZone{mv.placement.job, mv.placement.machine.zone}] -= sign
 }
 
 // take finds room for tasks of services away from their machines, with their
 // images there already if cached is set: for all of them, or it reports false and
 // nothing is taken.
-func (c *Core) planMoves(v *movePlan, ps []*placement, cached bool) bool {
-	before := len(v.moves)
-	for _, p := range ps {
-		j, from := p.job, p.machine.zone
-		i := slices.IndexFunc(v.targets, func(o *machine) bool {
-			if o == p.machine || cached && !o.hasImage(j.imageID) || !p.need.Fits(v.freeOn(o)) {
+func (c *Core) planMoves(plan *movePlan, placements []*placement, requireCached bool) bool {
+	start := len(plan.moves)
+	for _, p := range placements {
+		j, fromZone := p.job, p.machine.zone
+		i := slices.IndexFunc(plan.targets, func(o *machine) bool {
+			if o == p.machine || requireCached && !o.hasImage(j.imageID) || !p.need.Fits(plan.freeOn(o)) {
 				return false
 			}
-			j.placedByZone[from]-- // as it will be
-			ok := c.machineAllowed(j, o) && (!j.spec.Spread || o.zone == from || j.placedByZone[o.zone]+v.zoneDelta[jobZone{j, o.zone}] < (j.spec.Tasks+1)/2)
-			j.placedByZone[from]++
+			j.placedByZone[fromZone]-- // as it will be
+			ok := c.machineAllowed(j, o) && (!j.spec.Spread || o.zone == fromZone || j.placedByZone[o.zone]+plan.zoneDelta[jobZone{j, o.zone}] < (j.spec.Tasks+1)/2)
+			j.placedByZone[fromZone]++
 			return ok
 		})
 		if i < 0 {
-			for _, mv := range v.moves[before:] {
-				v.apply(mv, -1)
+			for _, mv := range plan.moves[start:] {
+				plan.apply(mv, -1)
 			}
-			v.moves = v.moves[:before]
+			plan.moves = plan.moves[:start]
 			return false
 		}
-		mv := serviceMove{p, v.targets[i]}
-		v.apply(mv, 1)
-		v.moves = append(v.moves, mv)
+		mv := serviceMove{p, plan.targets[i]}
+		plan.apply(mv, 1)
+		plan.moves = append(plan.moves, mv)
 	}
 	return true
 }
 
 // movable reports whether all services on a machine, and there are some, have
 // room on the machines to, with their image and besides the spare room.
-func (c *Core) canVacate(m *machine, to []*machine, now Micros) bool {
-	v := newMovePlan(to)
-	var ps []*placement
+func (c *Core) canVacate(m *machine, targets []*machine, now Micros) bool {
+	plan := newMovePlan(targets)
+	var services []*placement
 	for _, p := range m.placements {
 		if !p.occupies() {
 			continue
@@ -178,20 +178,20 @@
 			}
 			return false // batches make use of it
 		}
-		ps = append(ps, p)
+		services = append(services, p)
 	}
-	if len(ps) == 0 || !c.planMoves(v, ps, true) {
+	if len(services) == 0 || !c.planMoves(plan, services, true) {
 		return false
 	}
 	if c.spareTaskRequest == (Resources{}) {
 		return true
 	}
 	// What is left must do for the services that are expected.
-	left := 0
+	spareLeft := 0
 	for _, o := range c.sortedMachines {
 		if o != m && !o.spot && !o.vacating && c.schedulable(o, now) {
-			left += c.spareTaskRequest.countIn(v.freeOn(o))
+			spareLeft += c.spareTaskRequest.countIn(plan.freeOn(o))
 		}
 	}
-	return left >= c.spareTarget
+	return spareLeft >= c.spareTarget
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -9,10 +9,10 @@
 
 // coming lists the machines that are coming.
 func (c *Core) incomingMachines(now Micros) []*incomingMachine {
-	var coming []*incomingMachine
+	var machines []*incomingMachine
 	for _, m := range c.sortedMachines {
 		if m.incoming(now) && !c.partitioned(m.zone, now) {
-			coming = append(coming, &incomingMachine{offer{m.typeName, m.zone, m.spot}, m.typ.Capacity})
+			machines = append(machines, &incomingMachine{offer{m.typeName, m.zone, m.spot}, m.typ.Capacity})
 		}
 	}
 	for _, r := range c.sortedRentals() {
@@ -21,17 +21,17 @@
 		}
 		if t := c.machineTypes[r.Type]; t != nil {
 			for i := 0; i < r.Count; i++ {
-				coming = append(coming, &incomingMachine{offer{r.Type, r.Zone, r.Spot}, t.Capacity})
+				machines = append(machines, &incomingMachine{offer{r.Type, r.Zone, r.Spot}, t.Capacity})
 			}
 		}
 	}
-	return coming
+	return machines
 }
 
 // rentForDemand rents for tasks that wait and for room that is kept, after
 // what is coming already.
-func (c *Core) rentForDemand(now Micros, coming []*incomingMachine) {
-	d := &demand{c: c, now: now, incoming: coming, requested: map[offer]bool{}, counts: map[offer]int{}, reasons: map[offer]string{}}
+func (c *Core) rentForDemand(now Micros, incoming []*incomingMachine) {
+	d := &demand{c: c, now: now, incoming: incoming, requested: map[offer]bool{}, counts: map[offer]int{}, reasons: map[offer]string{}}
 	for _, r := range c.rentals {
 		if !r.granted {
 			d.requested[offer{r.Type, r.Zone, r.Spot}] = true
@@ -49,8 +49,8 @@
 	}
 	d.rentSpare()
 	d.rentReserved()
-	for _, of := range d.offers[:max(min(len(d.offers), maxRentalsInFlight-len(d.requested)), 0)] {
-		c.rent(now, of, d.counts[of], d.reasons[of])
+	for _, o := range d.offers[:max(min(len(d.offers), maxRentalsInFlight-len(d.requested)), 0)] {
+		c.rent(now, o, d.counts[o], d.reasons[o])
 	}
 }
 
@@ -72,8 +72,8 @@
 // forecast works out how much of the machines that are up is there for jobs
 // with a deadline, and how much work is on them.
 func (d *demand) estimateCapacity() {
-	for _, r := range d.incoming {
-		d.addIncoming(r)
+	for _, in := range d.incoming {
+		d.addIncoming(in)
 	}
 	for _, m := range d.c.sortedMachines {
 		if !d.c.schedulable(m, d.now) {
@@ -88,18 +88,18 @@
 				d.deadlineCPUs -= p.need.CPU
 				continue
 			}
-			left := p.job.correctedEstimate()
+			remaining := p.job.correctedEstimate()
 			if p.reported && p.state == Running {
-				left -= d.now - p.runningAt
+				remaining -= d.now - p.runningAt
 			}
-			d.workAhead += float64(p.need.CPU) * float64(max(left, Second))
+			d.workAhead += float64(p.need.CPU) * float64(max(remaining, Second))
 		}
 	}
 }
 
 // expect counts a machine that is coming.
-func (d *demand) addIncoming(r *incomingMachine) {
-	t := d.c.machineTypes[r.machineType]
+func (d *demand) addIncoming(m *incomingMachine) {
+	t := d.c.machineTypes[m.machineType]
 	d.deadlineCPUs += t.Capacity.CPU
 	d.incomingCPUs += t.Capacity.CPU
 	d.slowestBoot = max(d.slowestBoot, t.BootTime)
@@ -118,30 +118,30 @@
 	// Estimates are often half of what it takes; and it must not be too late yet to
 	// rent when this turns out too hopeful. The same goes for the first aim for
 	// its tasks' start that a rented machine can meet.
-	lead := d.c.provisioningTime(&j.spec)
-	for _, within := range j.class.startObjectives {
-		if within > lead {
-			if d.now+wait+5*Second+lead > j.submitted+within {
+	provisioning := d.c.provisioningTime(&j.spec)
+	for _, objective := range j.class.startObjectives {
+		if objective > provisioning {
+			if d.now+wait+5*Second+provisioning > j.submitted+objective {
 				return false
 			}
 			break
 		}
 	}
-	return d.now+wait+2*j.correctedEstimate()+5*Second+lead <= j.deadline
+	return d.now+wait+2*j.correctedEstimate()+5*Second+provisioning <= j.deadline
 }
 
 // job covers a job's waiting tasks.
 func (d *demand) coverJob(j *job) {
 	c := d.c
 	t := j.team
-	use := c.teamUsage(t)
+	usage := c.teamUsage(t)
 	zones := map[string]int{}
 	for z, n := range j.placedByZone {
 		zones[z] = n
 	}
-	half := (j.spec.Tasks + 1) / 2
+	maxPerZone := (j.spec.Tasks + 1) / 2
 	zoneOK := func(z string) bool {
-		if j.spec.Zone != "" && z != j.spec.Zone || j.spec.Spread && zones[z] >= half {
+		if j.spec.Zone != "" && z != j.spec.Zone || j.spec.Spread && zones[z] >= maxPerZone {
 			return false
 		}
 		if j.spec.OneZone {
@@ -155,46 +155,46 @@
 	}
 	next := 0 // what is coming before this has no room for the job
 	for n := min(j.pending, 400); n > 0; n-- {
-		if overMax(use, j.spec.Request, t.Max) {
+		if overMax(usage, j.spec.Request, t.Max) {
 			return
 		}
-		use = use.Add(j.spec.Request)
-		var r *incomingMachine
+		usage = usage.Add(j.spec.Request)
+		var m *incomingMachine
 		for ; next < len(d.incoming); next++ {
 			if d.fits(j, d.incoming[next], zoneOK) {
-				r = d.incoming[next]
+				m = d.incoming[next]
 				break
 			}
 		}
-		if r == nil {
-			r = d.rentForJob(j, n, zoneOK)
+		if m == nil {
+			m = d.rentForJob(j, n, zoneOK)
 		}
-		if r == nil {
+		if m == nil {
 			return
 		}
-		r.free = r.free.Sub(j.spec.Request)
-		zones[r.zone]++
+		m.free = m.free.Sub(j.spec.Request)
+		zones[m.zone]++
 	}
 }
 
-func (d *demand) fits(j *job, r *incomingMachine, zoneOK func(string) bool) bool {
-	return j.spec.Request.Fits(r.free) && (!r.spot || j.spec.Spot) && j.spec.typeAllowed(r.machineType) && zoneOK(r.zone)
+func (d *demand) fits(j *job, m *incomingMachine, zoneOK func(string) bool) bool {
+	return j.spec.Request.Fits(m.free) && (!m.spot || j.spec.Spot) && j.spec.typeAllowed(m.machineType) && zoneOK(m.zone)
 }
 
 // rentFor orders one more machine for n tasks of the job.
 func (d *demand) rentForJob(j *job, n int, zoneOK func(string) bool) *incomingMachine {
-	of, ok := d.cheapestOffer(&j.spec, n, zoneOK)
+	o, ok := d.cheapestOffer(&j.spec, n, zoneOK)
 	if !ok {
 		return nil
 	}
-	return d.addRental(of, "tasks wait: "+j.spec.Class)
+	return d.addRental(o, "tasks wait: "+j.spec.Class)
 }
 
 // open reports whether one more machine may be asked for: not while the last
 // request for such machines was refused or has no answer, since there may be
 // no more of them, and the cloud takes few calls; nor where it could not report.
-func (d *demand) mayRequest(of offer) bool {
-	return !d.c.partitioned(of.zone, d.now) && d.now >= d.c.refusedUntil[of] && !d.requested[of] && d.counts[of] < maxMachinesPerRental
+func (d *demand) mayRequest(o offer) bool {
+	return !d.c.partitioned(o.zone, d.now) && d.now >= d.c.refusedUntil[o] && !d.requested[o] && d.counts[o] < maxMachinesPerRental
 }
 
 // cheapest finds the machine whose useful part is cheapest for n such tasks.
@@ -210,18 +210,18 @@
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				of := offer{t.Name, z, spot}
-				if spot && !s.Spot || !d.mayRequest(of) {
+				o := offer{t.Name, z, spot}
+				if spot && !s.Spot || !d.mayRequest(o) {
 					continue
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				price *= 1 + overduePricePenalty*d.c.overdueShare(of, d.now)
+				price *= 1 + overduePricePenalty*d.c.overdueShare(o, d.now)
 				price /= float64(min(fits, n))
 				if !ok || price < bestPrice {
-					best, bestPrice, ok = of, price, true
+					best, bestPrice, ok = o, price, true
 				}
 			}
 		}
@@ -229,14 +229,14 @@
 	return best, ok
 }
 
-func (d *demand) addRental(of offer, why string) *incomingMachine {
-	if d.counts[of] == 0 {
-		d.offers = append(d.offers, of)
-		d.reasons[of] = why
+func (d *demand) addRental(o offer, reason string) *incomingMachine {
+	if d.counts[o] == 0 {
+		d.offers = append(d.offers, o)
+		d.reasons[o] = reason
 	}
-	d.counts[of]++
-	r := &incomingMachine{of, d.c.machineTypes[of.machineType].Capacity}
-	d.incoming = append(d.incoming, r)
-	d.addIncoming(r)
-	return r
+	d.counts[o]++
+	m := &incomingMachine{o, d.c.machineTypes[o.machineType].Capacity}
+	d.incoming = append(d.incoming, m)
+	d.addIncoming(m)
+	return m
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -11,13 +11,13 @@
 	c.updateReservations(now)
 	c.updatePartitionRecords(now)
 	c.evacuateServices(now)
-	coming := c.incomingMachines(now)
-	short := c.reservationShortfall(now, nil)
-	c.lendable = Resources{}.Sub(short)
-	for _, r := range coming {
-		short = short.Sub(r.free)
+	incoming := c.incomingMachines(now)
+	shortfall := c.reservationShortfall(now, nil)
+	c.lendable = Resources{}.Sub(shortfall)
+	for _, m := range incoming {
+		shortfall = shortfall.Sub(m.free)
 	}
-	c.releaseMachines(now, &short)
+	c.releaseMachines(now, &shortfall)
 	if !c.hasReservations(now) {
 		c.consolidate(now)
 	}
@@ -27,7 +27,7 @@
 	// What a leader that is cut off asks for may be rented minutes later, and one
 	// that workers do not reach could not use it.
 	if !c.isolated && !c.mayResignSoon(now) && (c.unreconciled == c.unreconciledInPartition(now) || now-c.termBeganAt > 2*c.cfg.ReportInterval) {
-		c.rentForDemand(now, coming)
+		c.rentForDemand(now, incoming)
 	}
 	if now >= c.nextSummaryAt {
 		c.nextSummaryAt = now + 10*Second
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -22,17 +22,17 @@
 // given. It reports false if there is no room for them.
 func (c *Core) placeGang(j *job, attempt uint64, now Micros) bool {
 	t := j.team
-	use := c.teamUsage(t)
-	if overMax(use, j.spec.Request.Times(j.pending), t.Max) {
+	usage := c.teamUsage(t)
+	if overMax(usage, j.spec.Request.Times(j.pending), t.Max) {
 		return true
 	}
 	zones := []string{""}
 	if j.spec.OneZone {
 		zones = c.catalogZones()
 	}
-	find := func(how gangOptions) (best gangPlan) {
+	bestPlan := func(options gangOptions) (best gangPlan) {
 		for _, z := range zones {
-			p := c.planGang(j, z, attempt, use, how, now)
+			p := c.planGang(j, z, attempt, usage, options, now)
 			if p.machines != nil && (best.machines == nil || p.slowestFetch < best.slowestFetch) {
 				best = p
 			}
@@ -40,17 +40,17 @@
 		return best
 	}
 	if c.awaitsCachedMachines(j, now) {
-		p := find(gangOptions{cachedOnly: true})
+		p := bestPlan(gangOptions{cachedOnly: true})
 		if p.machines != nil {
 			c.commitGang(j, attempt, &p, now)
 			return true
 		}
-		if find(gangOptions{}).machines != nil {
+		if bestPlan(gangOptions{}).machines != nil {
 			return true
 		}
 	}
 	for _, evict := range []bool{false, true} {
-		if p := find(gangOptions{evict: evict}); p.machines != nil {
+		if p := bestPlan(gangOptions{evict: evict}); p.machines != nil {
 			c.commitGang(j, attempt, &p, now)
 			return true
 		}
@@ -73,13 +73,13 @@
 }
 
 // planGang looks for a machine for each of a gang's waiting tasks.
-func (c *Core) planGang(j *job, zone string, attempt uint64, use Resources, how gangOptions, now Micros) (plan gangPlan) {
+func (c *Core) planGang(j *job, zone string, attempt uint64, usage Resources, options gangOptions, now Micros) (plan gangPlan) {
 	plan.tasks = j.pendingTasks()
-	on := make([]*machine, 0, len(plan.tasks))
+	chosen := make([]*machine, 0, len(plan.tasks))
 	for _, i := range plan.tasks {
-		m := c.pickMachine(j, now, zone, how.cachedOnly)
-		if m == nil && how.evict {
-			m = c.planReclaim(j, use, now, zone, &plan.reclaim)
+		m := c.pickMachine(j, now, zone, options.cachedOnly)
+		if m == nil && options.evict {
+			m = c.planReclaim(j, usage, now, zone, &plan.reclaim)
 		}
 		// A worker that knows this attempt of the task would not start it.
 		if m == nil || m.hasAttempt(j, i, attempt) {
@@ -87,14 +87,14 @@
 		}
 		plan.slowestFetch = max(plan.slowestFetch, c.imageFetchDelay(j, m))
 		c.adjustTentative(j, m, 1)
-		on = append(on, m)
-		use = use.Add(j.spec.Request)
+		chosen = append(chosen, m)
+		usage = usage.Add(j.spec.Request)
 	}
-	for _, m := range on {
+	for _, m := range chosen {
 		c.adjustTentative(j, m, -1)
 	}
-	if len(on) == len(plan.tasks) {
-		plan.machines = on
+	if len(chosen) == len(plan.tasks) {
+		plan.machines = chosen
 	}
 	return plan
 }
@@ -122,17 +122,17 @@
 			fetch = max(fetch, Micros(j.spec.ImageMB)*Second/Micros(t.FetchMBps))
 		}
 	}
-	patience := fetch
-	for _, within := range j.class.startObjectives {
-		if late := fetch * 4 / 3; within > late {
-			patience = min(patience, within-late)
+	maxWait := fetch
+	for _, objective := range j.class.startObjectives {
+		if slowFetch := fetch * 4 / 3; objective > slowFetch {
+			maxWait = min(maxWait, objective-slowFetch)
 			break
 		}
 	}
-	if now-j.waitingSince >= patience {
+	if now-j.waitingSince >= maxWait {
 		return false
 	}
-	return float64(c.machinesWithImage(j.imageID, now))*float64(patience) > float64(j.pending)*float64(j.correctedEstimate())
+	return float64(c.machinesWithImage(j.imageID, now))*float64(maxWait) > float64(j.pending)*float64(j.correctedEstimate())
 }
 
 // withImage says how many machines had an image lately.
@@ -152,16 +152,16 @@
 // zones lists the zones of the catalog.
 func (c *Core) catalogZones() []string {
 	seen := map[string]bool{}
-	var out []string
+	var zones []string
 	for _, t := range c.machineTypeList {
 		for _, z := range t.Zones {
 			if !seen[z] {
 				seen[z] = true
-				out = append(out, z)
+				zones = append(zones, z)
 			}
 		}
 	}
-	return out
+	return zones
 }
 
 // promise counts a task of a plan on a machine, or takes it off again: nothing
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -2,39 +2,44 @@
 
 import "slices"
 
-// shape is what decides whether any task of a job can be placed now; a pass
-// does not look again for a shape that found no room.
+// equivalenceKey identifies jobs whose tasks can be placed under the same conditions. Within a
+// pass, a key for which no capacity was found is not searched again.
 type equivalenceKey struct {
 	need          Resources
 	spot, service bool
 	team          string
 	priority      Priority
 	types, zone   string
-	gangTasks     int // its tasks
+	gangTasks     int // number of tasks of a gang; 0: not a gang
 	oneZone       bool
 	starving      bool
 }
 
+// equivalenceKey returns the job's key without the fields that apply to gangs only.
+
 func (j *job) equivalenceKey() equivalenceKey {
 	return equivalenceKey{need: j.spec.Request, spot: j.spec.Spot, service: j.spec.Kind == Service, team: j.spec.Team,
 		priority: j.spec.Priority, types: j.typesKey, zone: j.spec.Zone, starving: j.starving}
 }
 
-// starvesAfter is how long nothing of a job has started before it is given room that is kept
-// for others: users are owed that no job waits for longer than 90 s beside a machine that has
-// room for it, and its image has to be fetched within that time, too.
+// starvationTimeout is how long a job waits with no task placed before it may use capacity that
+// is kept for others. The service objective is that no job waits for more than 90 s while a
+// machine has room for it, and that time includes the image fetch.
 const starvationTimeout = 60 * Second
 
-// judgeStarving notes whether nothing of the job is on a machine, nor was put on one for long.
-// It may then take room that is spare or held, for one task, or for all of a gang: what is kept
-// there is for jobs that may come, and this one is there.
+// updateStarving sets whether the job is starving: no task of it is on a machine, and none was
+// placed for starvationTimeout. A starving job may use spare and reserved capacity for one task,
+// or for all tasks of a gang: that capacity is kept for jobs that may come, and this job is
+// already waiting.
 func (c *Core) updateStarving(j *job, now Micros) {
-	// A new leader does not know when something was placed; what runs it hears of soon.
-	began := c.termBeganAt - starvationTimeout*2/3
-	j.starving = j.occupying == 0 && now-max(j.submitted, j.lastPlacedAt, began) >= starvationTimeout
+	// A new leader does not know when tasks were last placed, but workers soon report what is
+	// running. A job therefore counts as starving no earlier than a third of the timeout into
+	// the term.
+	earliest := c.termBeganAt - starvationTimeout*2/3
+	j.starving = j.occupying == 0 && now-max(j.submitted, j.lastPlacedAt, earliest) >= starvationTimeout
 }
 
-// schedule gives room to waiting tasks in the queue's order.
+// schedule runs one placement pass: it places waiting tasks in the order of the queue.
 func (c *Core) schedule(now Micros) {
 	clear(c.candidateCaches)
 	c.changedMachines = c.changedMachines[:0]
@@ -42,7 +47,7 @@
 		return
 	}
 	c.countUnaccounted()
-	full := map[equivalenceKey]bool{}
+	infeasible := map[equivalenceKey]bool{}
 	for i, j := range c.queue {
 		if i == 0 || j.spec.Priority != c.queue[i-1].spec.Priority {
 			c.startOverdueArrays(c.queue[i:], now)
@@ -56,52 +61,53 @@
 			continue
 		}
 		c.updateStarving(j, now)
-		plain := (gang || !j.spec.OneZone) && !j.spec.Spread && j.failedOn == nil
+		keyDecides := (gang || !j.spec.OneZone) && !j.spec.Spread && j.failedOn == nil
 		key := j.equivalenceKey()
 		if gang {
 			key.gangTasks, key.oneZone = j.spec.Tasks, j.spec.OneZone
 		}
-		if plain && full[key] {
+		if keyDecides && infeasible[key] {
 			continue
 		}
 		if gang {
-			full[key] = !c.scheduleGang(j, now) && plain
+			infeasible[key] = !c.scheduleGang(j, now) && keyDecides
 			continue
 		}
 		t := j.team
-		use := c.teamUsage(t)
+		usage := c.teamUsage(t)
 		for {
 			i := j.nextPending()
-			if i < 0 || overMax(use, j.spec.Request, t.Max) || j.suspect() && j.occupying > 0 || c.borrowsReserved(j, use) {
+			if i < 0 || overMax(usage, j.spec.Request, t.Max) || j.suspect() && j.occupying > 0 || c.borrowsReserved(j, usage) {
 				break
 			}
 			m := c.pickMachine(j, now, "", false)
 			if m == nil {
 				var plan reclaimPlan
-				if m = c.planReclaim(j, use, now, "", &plan); m == nil {
-					full[key] = plain
+				if m = c.planReclaim(j, usage, now, "", &plan); m == nil {
+					infeasible[key] = keyDecides
 					break
 				}
 				c.evict(&plan, j, now)
 			}
 			c.place(j, i, m, c.nextAttempt(), now)
-			use = use.Add(j.spec.Request)
+			usage = usage.Add(j.spec.Request)
 		}
 	}
 }
 
-// beginWithin is how long one of the largest arrays of a class waits in its order before it is
-// begun with a task: users are owed that they begin within four minutes. One with fewer tasks
-// than beginLeast waits for longer, as a task is a large part of it, and has to be larger than
-// usual: where most have one task, a quarter of them are no largest.
+// The largest arrays of a class have to start within four minutes. After maxStartWait, one task
+// of such an array is placed ahead of the queue. An array with fewer than smallArrayTasks tasks
+// waits for maxStartWaitSmall, because one task is a large part of it. It must also be larger
+// than the class's median: where most arrays have one task, a quarter of them would otherwise
+// count as the largest.
 const (
 	maxStartWait      = 150 * Second
 	maxStartWaitSmall = 200 * Second
 	smallArrayTasks   = 8
 )
 
-// beginsLate reports whether the job is among the largest of its class and has waited in its
-// order for so long that it is to begin.
+// startOverdue reports whether the job is among the largest of its class and has waited for so
+// long that one of its tasks has to be placed ahead of the queue.
 func (j *job) startOverdue(now Micros) bool {
 	if j.spec.Tasks >= smallArrayTasks {
 		return j.spec.Tasks >= j.class.largeSize && now-j.submitted >= maxStartWait
@@ -109,12 +115,11 @@
 	return j.spec.Tasks >= j.class.largeSize && j.spec.Tasks > j.class.medianSize && now-j.submitted >= maxStartWaitSmall
 }
 
-// beginWaiting gives one task's room to each array of the first priority in the queue
-// that is among the largest of its class, has waited for long and has not begun: in
-// overload the order of the queue would leave those for the end. A task of each takes
-// little from the others.
+// startOverdueArrays places one task of each array that is overdue to start and has the priority
+// of the first job in queue. In overload, the order of the queue would leave these arrays until
+// the end. One task of each takes little capacity from the other jobs.
 func (c *Core) startOverdueArrays(queue []*job, now Micros) {
-	full := map[equivalenceKey]bool{}
+	infeasible := map[equivalenceKey]bool{}
 	for _, j := range queue {
 		if j.spec.Priority != queue[0].spec.Priority {
 			return
@@ -122,25 +127,26 @@
 		if j.spec.Kind != Array || !j.startOverdue(now) || j.occupying > 0 || j.done > 0 || j.unaccounted || j.stopping || now < j.notBefore {
 			continue
 		}
-		use := c.teamUsage(j.team)
+		usage := c.teamUsage(j.team)
 		i := j.nextPending()
-		if i < 0 || full[j.equivalenceKey()] || overMax(use, j.spec.Request, j.team.Max) || c.borrowsReserved(j, use) {
+		if i < 0 || infeasible[j.equivalenceKey()] || overMax(usage, j.spec.Request, j.team.Max) || c.borrowsReserved(j, usage) {
 			continue
 		}
 		if m := c.pickMachine(j, now, "", false); m != nil {
 			c.place(j, i, m, c.nextAttempt(), now)
 		} else {
-			full[j.equivalenceKey()] = true
+			infeasible[j.equivalenceKey()] = true
 		}
 	}
 }
 
+// place puts task i of the job on a machine and returns the placement.
 func (c *Core) place(j *job, i int, m *machine, attempt uint64, now Micros) *placement {
 	p := &placement{job: j, jobID: j.spec.ID, index: i, attempt: attempt, machine: m, need: j.spec.Request, placedAt: now}
-	lent := j.starving && j.spec.Kind != Service && c.takesSpare(j.spec.Request, m)
+	fromSpare := j.starving && j.spec.Kind != Service && c.takesSpare(j.spec.Request, m)
 	c.updateUsage(m, func() {
 		c.addPlacement(p)
-		if lent {
+		if fromSpare {
 			p.onSpare, m.spareUsed = true, m.spareUsed.Add(p.need)
 		}
 	})
@@ -153,50 +159,52 @@
 	return p
 }
 
-// lookForRoom collects the machines that waiting tasks may fit on, so that a
-// pass looks only at those: in a full fleet they are few. It reports whether
-// any task waits.
+// collectCandidates collects the machines on which the smallest requests of the waiting tasks
+// fit, and reports whether any task waits. A pass searches only these machines; in a full fleet
+// they are few.
 func (c *Core) collectCandidates(now Micros) bool {
-	least, waits := Resources{}, false
+	smallest, waiting := Resources{}, false
 	for _, j := range c.queue {
-		if j.pending > 0 && waits {
-			least = least.min(j.spec.Request)
+		if j.pending > 0 && waiting {
+			smallest = smallest.min(j.spec.Request)
 		} else if j.pending > 0 {
-			least, waits = j.spec.Request, true
+			smallest, waiting = j.spec.Request, true
 		}
 	}
-	if !waits {
+	if !waiting {
 		return false
 	}
 	c.updateSpare(now)
 	c.candidates = c.candidates[:0]
 	for _, m := range c.sortedMachines {
-		if !m.vacating && c.schedulable(m, now) && least.Fits(m.free()) {
+		if !m.vacating && c.schedulable(m, now) && smallest.Fits(m.free()) {
 			c.candidates = append(c.candidates, m)
 		}
 	}
 	return true
 }
 
-// allowed reports whether the job may run on the machine at all.
+// machineAllowed reports whether the job's constraints allow the machine, including its zone.
 func (c *Core) machineAllowed(j *job, m *machine) bool {
 	return c.machineTypeAllowed(j, m) && j.zoneAllowed(m.zone)
 }
 
-// kindAllowed reports whether it may run on such a machine.
+// machineTypeAllowed reports whether the job allows the machine's type and, for a spot machine,
+// spot capacity.
 func (c *Core) machineTypeAllowed(j *job, m *machine) bool {
 	return (!m.spot || j.spec.Spot) && j.spec.typeAllowed(m.typeName)
 }
 
-// pick chooses the machine for one more task of a job: where it starts
-// soonest, then where it wastes least. only restricts the zone, cached to where
-// its image is.
-func (c *Core) pickMachine(j *job, now Micros, only string, cached bool) *machine {
+// pickMachine returns the machine for one more task of a job, or nil if no machine has room. It
+// prefers the machine where the task starts soonest, then the one where it leaves the least CPU
+// unused. zoneFilter, unless empty, restricts the search to a zone, and requireCached to machines
+// that have the job's image.
+func (c *Core) pickMachine(j *job, now Micros, zoneFilter string, requireCached bool) *machine {
 	key := newSearchKey(j)
-	key.cachedOnly = cached
+	key.cachedOnly = requireCached
 	cost := func(m *machine) (int64, bool) {
 		free := m.free()
-		if !j.spec.Request.Fits(free) || !c.machineTypeAllowed(j, m) || cached && !m.hasImage(j.imageID) || m.vacating || !c.schedulable(m, now) {
+		if !j.spec.Request.Fits(free) || !c.machineTypeAllowed(j, m) || requireCached && !m.hasImage(j.imageID) || m.vacating || !c.schedulable(m, now) {
 			return 0, false
 		}
 		if j.spec.Kind != Service && !j.starving && c.takesSpare(j.spec.Request, m) {
@@ -206,17 +214,18 @@
 		if j.spec.Spot && !m.spot {
 			cost += int64(5 * Second)
 		}
-		left := free.Sub(j.spec.Request)
-		return cost + left.CPU*int64(20*Millisecond)/1000, true
+		remaining := free.Sub(j.spec.Request)
+		return cost + remaining.CPU*int64(20*Millisecond)/1000, true
 	}
-	best := c.cheapestCandidate(key, c.candidates, j, only, cost, func(m *machine) bool { return j.failedOn[m.name] })
+	best := c.cheapestCandidate(key, c.candidates, j, zoneFilter, cost, func(m *machine) bool { return j.failedOn[m.name] })
 	if best == nil && (len(j.failedOn) >= suspectThreshold || j.starving && j.failedOn != nil) {
-		best = c.cheapestCandidate(key, c.candidates, j, only, cost, func(*machine) bool { return false })
+		best = c.cheapestCandidate(key, c.candidates, j, zoneFilter, cost, func(*machine) bool { return false })
 	}
 	return best
 }
 
-// startCost is how long the task would wait for its image there.
+// imageFetchDelay returns how long, in microseconds, a task of the job would wait for its image
+// on the machine.
 func (c *Core) imageFetchDelay(j *job, m *machine) int64 {
 	if m.hasImage(j.imageID) || m.typ.FetchMBps == 0 {
 		return 0
@@ -224,14 +233,15 @@
 	return j.spec.ImageMB * int64(Second) / m.typ.FetchMBps * int64(1+m.fetchingTasks)
 }
 
-// recount keeps the count of spare room right over a change of a machine's use.
+// updateUsage calls change, which changes the machine's used resources, and updates the zone's
+// count of spare slots.
 func (c *Core) updateUsage(m *machine, change func()) {
 	c.changedMachines = append(c.changedMachines, m)
 	if m.spot || c.spareTaskRequest == (Resources{}) {
 		change()
 		return
 	}
-	was := c.spareSlots(m)
+	before := c.spareSlots(m)
 	change()
-	c.spareByZone[m.zone] += c.spareSlots(m) - was
+	c.spareByZone[m.zone] += c.spareSlots(m) - before
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -2,47 +2,49 @@
 
 import "slices"
 
-// placement is one start of a task on a machine, from the decision until the
-// machine no longer knows it.
+// placement is one attempt to run a task on a machine. It exists from the placement decision
+// until the machine has forgotten the task.
 type placement struct {
-	job     *job // nil: a task of no unfinished job
+	job     *job // nil: the task belongs to no unfinished job
 	jobID   string
 	index   int
 	attempt uint64
 	machine *machine
 	need    Resources
 
-	startSent            bool   // a start was sent, by a beat's answer or directly
-	startReportSeq       uint64 // the report in whose answer the start went out last
-	inDirectCommand      bool   // the start is in the direct command under way
-	startUnanswered      bool   // a direct start went unanswered and may still arrive
-	startUnansweredToken uint64
-	reported             bool // the machine has reported it
+	startSent            bool   // a start was sent, in the answer to a report or directly
+	startReportSeq       uint64 // sequence number of the report whose answer last carried the start
+	inDirectCommand      bool   // the start is in the direct command that is in flight
+	startUnanswered      bool   // a direct start was not answered and may still arrive
+	startUnansweredToken uint64 // the token of that start
+	reported             bool   // the machine has reported it
 	state                TaskState
 	cause                Cause
-	countedRunning       bool // as running
+	countedRunning       bool // included in the job's count of running tasks
 
 	stopRequested       bool
 	grace               Micros
 	stopSentAt          Micros // 0: never
-	completionRecorded  bool   // its end is recorded, or needs no record
-	placedAt            Micros // when it was decided
-	runningAt           Micros
-	inCurrentReport     bool // shown by the report being taken over
-	resendStart         bool // repeat the start in the answer to this beat
-	fetching            bool // last it was reported, it waited for its image
-	retryPending        bool // a gang task that gave up waiting: to be forgotten and started once more
-	waitRetries         int  // how often it was
-	fromPartitionRecord bool // taken from a former leader's record of what it kept
-	onSpare             bool // on spare room, by a job that had waited for long
+	completionRecorded  bool   // the completion is stored, or need not be
+	placedAt            Micros // when the placement was decided
+	runningAt           Micros // when the task was first reported as running; 0: never
+	inCurrentReport     bool   // listed in the report that is being applied
+	resendStart         bool   // the answer to the current report repeats the start
+	fetching            bool   // waiting for its image, as of the last report
+	retryPending        bool   // a gang task that stopped waiting for its peers: to be forgotten and started again
+	waitRetries         int    // number of such restarts
+	fromPartitionRecord bool   // known only from a former leader's partition record
+	onSpare             bool   // uses spare capacity, because its job was starving
 }
 
+// occupies reports whether the placement occupies its resources: it does until the machine
+// reports that the task has exited.
 func (p *placement) occupies() bool { return !(p.reported && p.state == Exited) }
 
-// onWorker reports whether the worker may be counting the task's resources.
+// mayOccupyWorker reports whether the worker may count the task's resources as used.
 func (p *placement) mayOccupyWorker() bool { return (p.startSent || p.reported) && p.occupies() }
 
-// add puts a placement on its machine and counts it.
+// addPlacement adds a placement to its machine and allocates its resources.
 func (c *Core) addPlacement(p *placement) {
 	p.machine.placements = append(p.machine.placements, p)
 	if p.occupies() {
@@ -50,7 +52,7 @@
 	}
 }
 
-// hold counts a placement.
+// allocate counts a placement's resources as used by its machine, team and job.
 func (c *Core) allocate(p *placement) {
 	p.machine.used = p.machine.used.Add(p.need)
 	p.machine.idleSince = 0
@@ -71,7 +73,7 @@
 	}
 }
 
-// release stops counting a placement: it has exited or is gone.
+// deallocate undoes allocate for a placement that has exited or is gone.
 func (c *Core) deallocate(p *placement, now Micros) {
 	m := p.machine
 	m.used = m.used.Sub(p.need)
@@ -102,7 +104,8 @@
 	}
 	delete(j.live, p.index)
 	if i := slices.IndexFunc(j.duplicates, func(o *placement) bool { return o.index == p.index }); i >= 0 {
-		// It may be there: it starts nowhere before that is over.
+		// The task may still run as a duplicate on another machine, so it is not started
+		// again before that placement ends.
 		j.live[p.index] = j.duplicates[i]
 		j.duplicates = slices.Delete(j.duplicates, i, i+1)
 	} else if j.status[p.index] == taskPlaced {
@@ -110,7 +113,7 @@
 	}
 }
 
-// countRunning keeps the job's count of tasks that run.
+// setRunning records whether the task runs and updates the job's count of running tasks.
 func (c *Core) setRunning(p *placement, running bool) {
 	if p.countedRunning == running || p.job == nil {
 		return
@@ -124,16 +127,16 @@
 	c.notifyProgress(p.job)
 }
 
-// remove takes a placement off its machine for good.
+// removePlacement removes a placement from its machine and deallocates its resources.
 func (c *Core) removePlacement(p *placement, now Micros) {
 	if p.occupies() {
 		c.deallocate(p, now)
 		c.handleGangTaskLost(p, now)
 	}
-	ts := p.machine.placements
-	for i, o := range ts {
+	all := p.machine.placements
+	for i, o := range all {
 		if o == p {
-			p.machine.placements = append(ts[:i], ts[i+1:]...)
+			p.machine.placements = append(all[:i], all[i+1:]...)
 			break
 		}
 	}
@@ -142,7 +145,7 @@
 	}
 }
 
-// clear drops everything on a machine: its lease is over, or it is gone.
+// clearMachine removes all placements of a machine whose lease is over or that is gone.
 func (c *Core) clearMachine(m *machine, now Micros) {
 	for len(m.placements) > 0 {
 		c.removePlacement(m.placements[len(m.placements)-1], now)
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -19,8 +19,8 @@
 // lends reports whether the team is not below its min without need, of which it
 // takes some, and without what else is taken from it.
 func (t *team) keepsMin(need, taken Resources) bool {
-	left := t.used.Sub(taken).Sub(need)
-	return (need.CPU == 0 || left.CPU >= t.Min.CPU) && (need.GPU == 0 || left.GPU >= t.Min.GPU)
+	remaining := t.used.Sub(taken).Sub(need)
+	return (need.CPU == 0 || remaining.CPU >= t.Min.CPU) && (need.GPU == 0 || remaining.GPU >= t.Min.GPU)
 }
 
 func (c *Core) team(name string) *team {
@@ -36,17 +36,17 @@
 // team may be guaranteed GPUs alone, or CPUs alone: what its min does not name
 // does not count, but GPUs that are asked for must be named. Memory is not part
 // of a quota.
-func withinGuarantee(used, req, lim Resources) bool {
-	if req.GPU > 0 && lim.GPU == 0 || req.GPU == 0 && lim.CPU == 0 {
+func withinGuarantee(used, request, guarantee Resources) bool {
+	if request.GPU > 0 && guarantee.GPU == 0 || request.GPU == 0 && guarantee.CPU == 0 {
 		return false
 	}
-	return (lim.CPU == 0 || used.CPU+req.CPU <= lim.CPU) && (lim.GPU == 0 || used.GPU+req.GPU <= lim.GPU)
+	return (guarantee.CPU == 0 || used.CPU+request.CPU <= guarantee.CPU) && (guarantee.GPU == 0 || used.GPU+request.GPU <= guarantee.GPU)
 }
 
 // overMax reports whether the request would take the team past its max; a max
 // of zero is none.
-func overMax(used, req, max Resources) bool {
-	return max.CPU > 0 && used.CPU+req.CPU > max.CPU || max.GPU > 0 && used.GPU+req.GPU > max.GPU
+func overMax(used, request, limit Resources) bool {
+	return limit.CPU > 0 && used.CPU+request.CPU > limit.CPU || limit.GPU > 0 && used.GPU+request.GPU > limit.GPU
 }
 
 // teamUse is what a team's tasks use or may be using: what is placed, and
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -7,8 +7,8 @@
 	"sort"
 )
 
-// estimate is how long a task of the job will run: the owner's estimate, put
-// right by how such estimates of its class have turned out.
+// correctedEstimate returns the expected run time of a task of the job: the owner's estimate,
+// scaled by the ratio of actual to estimated run times that was observed for the job's class.
 func (j *job) correctedEstimate() Micros {
 	if r := j.class.runRatio; r > 0 {
 		return Micros(float64(j.spec.EstimatedRun) * r)
@@ -16,7 +16,8 @@
 	return j.spec.EstimatedRun
 }
 
-// observe learns from a task that ran to its end.
+// observeRunTime updates the class's ratio of actual to estimated run times after a task ran to
+// completion. Tasks that save checkpoints do not count.
 func (c *Core) observeRunTime(p *placement, now Micros) {
 	if p.runningAt == 0 || p.job.spec.EstimatedRun <= 0 || p.job.spec.CheckpointInterval > 0 {
 		return
@@ -30,23 +31,23 @@
 	p.job.class.runRatio = r
 }
 
-// rankJobs decides which jobs with a deadline can be on time. The earliest
-// deadline first alone would, once there is more work than room, make every
-// job late: each gets its turn just too late. So, as in Moore and Hodgson's
-// rule, whenever a job in that order would be late, the largest so far is put
-// behind; and the same again with the later limit of the objectives.
+// rankJobs decides which jobs with a deadline can be on time. With more work than capacity,
+// earliest deadline first alone makes every job late, because each one runs just too late.
+// Therefore, as in the Moore-Hodgson algorithm, whenever a job in deadline order would be late,
+// the largest job accepted so far is deferred. The deferred jobs are then ranked in the same way
+// against the later limit of the objectives.
 func (c *Core) rankJobs(now Micros) {
-	var room int64
+	var capacity int64
 	var jobs []*job
 	for _, m := range c.sortedMachines {
 		if m.incoming(now) {
-			room += m.typ.Capacity.CPU // about to come
+			capacity += m.typ.Capacity.CPU // comes up soon
 		}
 		if c.schedulable(m, now) {
-			room += m.typ.Capacity.CPU
+			capacity += m.typ.Capacity.CPU
 			for _, p := range m.placements {
 				if p.job != nil && p.occupies() && p.job.deadline == 0 {
-					room -= p.need.CPU
+					capacity -= p.need.CPU
 				}
 			}
 		}
@@ -56,42 +57,42 @@
 			jobs = append(jobs, j)
 		}
 	}
-	if len(jobs) == 0 || room <= 0 {
+	if len(jobs) == 0 || capacity <= 0 {
 		return
 	}
 	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].deadline < jobs[b].deadline })
 	changed := false
-	set := func(j *job, rank int) {
+	setRank := func(j *job, rank int) {
 		changed = changed || j.rank != rank
 		j.rank = rank
 	}
 	work := 0.0
-	for rank, times := range []float64{1, max(c.cfg.LateFactor, 1)} {
+	for rank, factor := range []float64{1, max(c.cfg.LateFactor, 1)} {
 		var onTime workHeap
 		var late []*job
 		for _, j := range jobs {
-			due := j.submitted + Micros(float64(j.spec.Deadline)*times)
-			if now+j.correctedEstimate() > due {
-				late = append(late, j) // it cannot be helped whatever goes
+			latestEnd := j.submitted + Micros(float64(j.spec.Deadline)*factor)
+			if now+j.correctedEstimate() > latestEnd {
+				late = append(late, j) // late whatever else is deferred
 				continue
 			}
 			w := j.remainingWork()
 			work += w
 			heap.Push(&onTime, jobWork{j, w})
-			if now+Micros(work/float64(room))+j.correctedEstimate() > due {
-				worst := heap.Pop(&onTime).(jobWork)
-				work -= worst.work
-				late = append(late, worst.job)
+			if now+Micros(work/float64(capacity))+j.correctedEstimate() > latestEnd {
+				largest := heap.Pop(&onTime).(jobWork)
+				work -= largest.work
+				late = append(late, largest.job)
 			}
 		}
 		for _, o := range onTime {
-			set(o.job, rank)
+			setRank(o.job, rank)
 		}
 		sort.SliceStable(late, func(a, b int) bool { return late[a].deadline < late[b].deadline })
 		jobs = late
 	}
 	for i, j := range orderLateJobs(jobs) {
-		set(j, 2+i)
+		setRank(j, 2+i)
 	}
 	if changed {
 		sort.SliceStable(c.queue, func(a, b int) bool { return c.queue[a].before(c.queue[b]) })
@@ -99,50 +100,50 @@
 	}
 }
 
-// lateOrder is the order of jobs that are late for every aim and still wanted. The least
-// work first gets most of them done, and a job that has begun goes before one that has
-// not; but the largest would wait until all others are done, and on a day of overload for
-// ever. So as much work is taken by age, whatever its size.
+// orderLateJobs returns the jobs that miss every objective and are still wanted, in the order in
+// which they run. Shortest remaining work first completes the most jobs and prefers jobs that have
+// started, but the largest jobs would wait until all others are done, and in a lasting overload
+// for ever. Therefore the same amount of work is taken in order of age, whatever the size.
 func orderLateJobs(jobs []*job) []*job {
-	least := make([]jobWork, len(jobs))
+	byWork := make([]jobWork, len(jobs))
 	for i, j := range jobs {
-		least[i] = jobWork{j, j.remainingWork()}
+		byWork[i] = jobWork{j, j.remainingWork()}
 	}
-	oldest := slices.Clone(least)
-	slices.SortStableFunc(least, func(a, b jobWork) int { return cmp.Compare(a.work, b.work) })
-	slices.SortStableFunc(oldest, func(a, b jobWork) int { return cmp.Compare(a.job.submitted, b.job.submitted) })
-	out := make([]*job, 0, len(jobs))
+	byAge := slices.Clone(byWork)
+	slices.SortStableFunc(byWork, func(a, b jobWork) int { return cmp.Compare(a.work, b.work) })
+	slices.SortStableFunc(byAge, func(a, b jobWork) int { return cmp.Compare(a.job.submitted, b.job.submitted) })
+	ordered := make([]*job, 0, len(jobs))
 	taken := make(map[*job]bool, len(jobs))
-	next := func(from *[]jobWork) float64 {
-		for len(*from) > 0 {
-			o := (*from)[0]
-			*from = (*from)[1:]
+	takeNext := func(queue *[]jobWork) float64 {
+		for len(*queue) > 0 {
+			o := (*queue)[0]
+			*queue = (*queue)[1:]
 			if !taken[o.job] {
 				taken[o.job] = true
-				out = append(out, o.job)
+				ordered = append(ordered, o.job)
 				return o.work
 			}
 		}
 		return 0
 	}
-	for balance := 0.0; len(out) < len(jobs); {
+	for balance := 0.0; len(ordered) < len(jobs); {
 		if balance <= 0 {
-			balance += next(&least)
+			balance += takeNext(&byWork)
 		} else {
-			balance -= next(&oldest)
+			balance -= takeNext(&byAge)
 		}
 	}
-	return out
+	return ordered
 }
 
-// sizesKept is by how many of its latest arrays a class's sizes are known, and largeFrom
-// the share of them that are smaller than its largest.
 const (
-	sizeWindow    = 256
+	// sizeWindow is how many of a class's latest arrays are kept to judge their sizes.
+	sizeWindow = 256
+	// largeQuantile is the quantile of these sizes from which an array is among the largest.
 	largeQuantile = 0.75
 )
 
-// seenSize notes the tasks of an array of the class.
+// observeSize records the number of tasks of an array of the class.
 func (k *jobClass) observeSize(tasks int) {
 	if len(k.recentSizes) < sizeWindow {
 		k.recentSizes = append(k.recentSizes, tasks)
@@ -150,18 +151,18 @@
 		k.recentSizes[k.nextSize] = tasks
 	}
 	if k.nextSize = (k.nextSize + 1) % sizeWindow; k.nextSize%16 == 0 || len(k.recentSizes) < 16 {
-		in := slices.Sorted(slices.Values(k.recentSizes))
-		k.largeSize, k.medianSize = in[int(float64(len(in))*largeQuantile)], in[len(in)/2]
+		sorted := slices.Sorted(slices.Values(k.recentSizes))
+		k.largeSize, k.medianSize = sorted[int(float64(len(sorted))*largeQuantile)], sorted[len(sorted)/2]
 	}
 }
 
-// sized is a job with the work it still needs.
+// jobWork is a job with its remaining work.
 type jobWork struct {
 	job  *job
 	work float64
 }
 
-// largest is a heap with the job that needs the most work on top.
+// workHeap is a heap of jobs, the one with the most remaining work first.
 type workHeap []jobWork
 
 func (h workHeap) Len() int           { return len(h) }
@@ -175,11 +176,12 @@
 	return last
 }
 
-// work is the processor time that the job still needs.
+// remainingWork returns the CPU time that the job still needs, in thousandths of a CPU times
+// microseconds. A task that is placed counts as half done.
 func (j *job) remainingWork() float64 {
 	tasks := float64(j.pending) + float64(len(j.live))/2
 	if j.suspect() {
-		tasks = min(tasks, 1) // no more is tried
+		tasks = min(tasks, 1) // a suspect job has one task at a time
 	}
 	return tasks * float64(j.spec.Request.CPU) * float64(j.correctedEstimate())
 }
--- a/internal/core/reclaim.go
+++ b/internal/core/reclaim.go
@@ -17,20 +17,20 @@
 // of the job. Within the team's min, the victims belong to teams over theirs,
 // and no such team is taken below it; beyond, they are the team's own tasks of
 // lower priority. only restricts the zone.
-func (c *Core) planReclaim(j *job, use Resources, now Micros, only string, plan *reclaimPlan) *machine {
+func (c *Core) planReclaim(j *job, usage Resources, now Micros, zoneFilter string, plan *reclaimPlan) *machine {
 	if !j.proven && len(j.failedOn) >= 2 {
 		// A job that fails wherever it runs would evict borrowers on every retry.
 		return nil
 	}
-	guaranteed := withinGuarantee(use, j.spec.Request, j.team.Min)
+	guaranteed := withinGuarantee(usage, j.spec.Request, j.team.Min)
 	if !c.mayReclaim(j, guaranteed) {
 		return nil
 	}
 	var best *machine
 	if j.spec.Kind == Gang {
-		best = c.cheapestVictimMachineForPlan(j, guaranteed, now, only, plan)
+		best = c.cheapestVictimMachineForPlan(j, guaranteed, now, zoneFilter, plan)
 	} else {
-		best = c.cheapestVictimMachine(j, guaranteed, now, only)
+		best = c.cheapestVictimMachine(j, guaranteed, now, zoneFilter)
 	}
 	if best == nil {
 		return nil
@@ -62,11 +62,11 @@
 // pass and looks again only at machines that changed, while what a plan has taken
 // already makes all machines with tasks of the same teams cheaper or dearer, and
 // the plan may be dropped.
-func (c *Core) cheapestVictimMachineForPlan(j *job, guaranteed bool, now Micros, only string, plan *reclaimPlan) (best *machine) {
+func (c *Core) cheapestVictimMachineForPlan(j *job, guaranteed bool, now Micros, zoneFilter string, plan *reclaimPlan) (best *machine) {
 	c.machinesExamined += len(c.sortedMachines)
 	var bestCost int64
 	for _, m := range c.sortedMachines {
-		if only != "" && m.zone != only || !j.zoneAllowed(m.zone) || j.failedOn[m.name] {
+		if zoneFilter != "" && m.zone != zoneFilter || !j.zoneAllowed(m.zone) || j.failedOn[m.name] {
 			continue
 		}
 		if cost, ok := c.evictionCost(j, m, guaranteed, now, plan); ok && (best == nil || cost < bestCost) {
@@ -78,11 +78,11 @@
 
 // cheapestVictimMachine is the machine on which making room for a task of the job costs
 // least.
-func (c *Core) cheapestVictimMachine(j *job, guaranteed bool, now Micros, only string) *machine {
+func (c *Core) cheapestVictimMachine(j *job, guaranteed bool, now Micros, zoneFilter string) *machine {
 	key := newSearchKey(j)
 	key.team, key.priority, key.reclaim, key.guaranteed = j.spec.Team, j.spec.Priority, true, guaranteed
-	none := &reclaimPlan{}
-	return c.cheapestCandidate(key, c.sortedMachines, j, only, func(m *machine) (int64, bool) { return c.evictionCost(j, m, guaranteed, now, none) },
+	emptyPlan := &reclaimPlan{}
+	return c.cheapestCandidate(key, c.sortedMachines, j, zoneFilter, func(m *machine) (int64, bool) { return c.evictionCost(j, m, guaranteed, now, emptyPlan) },
 		func(m *machine) bool { return j.failedOn[m.name] })
 }
 
@@ -122,61 +122,61 @@
 // victims chooses tasks on one machine; nil if they would not make room.
 func (c *Core) selectVictims(j *job, m *machine, guaranteed bool, now Micros, plan *reclaimPlan) ([]*placement, int64) {
 	free := m.free().Add(plan.freed[m])
-	most := free
+	potential := free
 	for _, p := range m.placements {
 		if p.eligibleVictim(j, guaranteed) {
-			most = most.Add(p.need)
+			potential = potential.Add(p.need)
 		}
 	}
-	if !j.spec.Request.Fits(most) {
+	if !j.spec.Request.Fits(potential) {
 		return nil, 0
 	}
-	var cands []*placement
+	var eligible []*placement
 	for _, p := range m.placements {
 		if p.eligibleVictim(j, guaranteed) && !plan.chosen[p] {
-			cands = append(cands, p)
+			eligible = append(eligible, p)
 		}
 	}
-	sort.SliceStable(cands, func(a, b int) bool {
-		x, y := cands[a], cands[b]
+	sort.SliceStable(eligible, func(a, b int) bool {
+		x, y := eligible[a], eligible[b]
 		if x.job.spec.Priority != y.job.spec.Priority {
 			return x.job.spec.Priority < y.job.spec.Priority
 		}
 		return x.lostWork(now)*Micros(x.evictionGroupSize()) < y.lostWork(now)*Micros(y.evictionGroupSize())
 	})
 	taken := map[string]Resources{}
-	var out []*placement
+	var selected []*placement
 	if plan.freed[m] != (Resources{}) {
-		out = []*placement{} // others of the plan may have made room enough
+		selected = []*placement{} // others of the plan may have made room enough
 	}
 	var cost int64
-	for _, p := range cands {
+	for _, p := range eligible {
 		if j.spec.Request.Fits(free) {
 			break
 		}
-		if p.job.spec.Kind == Gang && slices.Contains(out, p) {
+		if p.job.spec.Kind == Gang && slices.Contains(selected, p) {
 			continue // its gang goes already
 		}
-		with := p.evictionGroup()
-		need := p.need.Times(len(with))
+		group := p.evictionGroup()
+		need := p.need.Times(len(group))
 		if t := p.job.team; guaranteed {
 			if !t.keepsMin(need, taken[t.Name].Add(plan.takenByTeam[t.Name])) {
 				continue
 			}
 			taken[t.Name] = taken[t.Name].Add(need)
 		}
-		for _, v := range with {
+		for _, v := range group {
 			if v.machine == m {
 				free = free.Add(v.need)
 			}
 			cost += int64(v.lostWork(now)) + int64(v.job.spec.Priority)*int64(60*Second)
 		}
-		out = append(out, with...)
+		selected = append(selected, group...)
 	}
 	if !j.spec.Request.Fits(free) {
 		return nil, 0
 	}
-	return out, cost
+	return selected, cost
 }
 
 // size is how many tasks stop with it.
--- a/internal/core/hold.go
+++ b/internal/core/reservation.go
@@ -27,40 +27,40 @@
 }
 
 // look takes what the class uses now.
-func (h *reservation) update(now, lead Micros, left float64) {
-	h.peak = h.usage.max(h.peak.scaled(left))
-	h.maxRise = h.maxRise.scaled(left)
-	for len(h.window) > 0 && now-h.window[0].at > lead {
-		h.window = h.window[1:]
+func (r *reservation) update(now, provisioning Micros, decay float64) {
+	r.peak = r.usage.max(r.peak.scaled(decay))
+	r.maxRise = r.maxRise.scaled(decay)
+	for len(r.window) > 0 && now-r.window[0].at > provisioning {
+		r.window = r.window[1:]
 	}
-	for _, was := range h.window {
-		h.maxRise = h.maxRise.max(h.usage.Sub(was.usage))
+	for _, past := range r.window {
+		r.maxRise = r.maxRise.max(r.usage.Sub(past.usage))
 	}
-	h.window = append(h.window, usageSample{now, h.usage})
+	r.window = append(r.window, usageSample{now, r.usage})
 }
 
 // atOnce reports whether tasks of a class are to start sooner than a machine can
 // be rented and have their image: only then are machines held for it.
 func (c *Core) needsReservation(k *jobClass) bool {
-	h := &k.reservation
-	t := c.fastestType(h.sample)
+	r := &k.reservation
+	t := c.fastestType(r.sample)
 	if t == nil {
 		return true
 	}
 	var fetch Micros
 	if t.FetchMBps > 0 {
-		fetch = Micros(h.meanImageMB * float64(Second) / float64(t.FetchMBps))
+		fetch = Micros(r.meanImageMB * float64(Second) / float64(t.FetchMBps))
 	}
 	return k.startObjectives[0] < t.BootTime+fetch
 }
 
 // want is what is to be there for the class.
 func (c *Core) reservationTarget(k *jobClass, now Micros) Resources {
-	h := &k.reservation
-	if !h.moreExpected(now) {
-		return h.usage
+	r := &k.reservation
+	if !r.moreExpected(now) {
+		return r.usage
 	}
-	return h.peak.min(h.usage.Add(h.maxRise))
+	return r.peak.min(r.usage.Add(r.maxRise))
 }
 
 // lookBack brings up to date what is known of such classes.
@@ -70,13 +70,13 @@
 	}
 	for _, j := range c.queue {
 		if k := j.class; len(k.startObjectives) > 0 && j.spec.Kind != Service {
-			h := &k.reservation
-			if h.sample == nil {
+			r := &k.reservation
+			if r.sample == nil {
 				c.objectiveClasses = append(c.objectiveClasses, k)
-				h.window = []usageSample{{at: now}}
+				r.window = []usageSample{{at: now}}
 			}
-			h.sample = &j.spec
-			h.usage = h.usage.Add(j.spec.Request.Times(j.pending + len(j.live)))
+			r.sample = &j.spec
+			r.usage = r.usage.Add(j.spec.Request.Times(j.pending + len(j.live)))
 		}
 	}
 	c.reservedClasses = c.reservedClasses[:0]
@@ -97,56 +97,56 @@
 			k.reservation.peak = k.reservation.usage
 		}
 		if len(c.reservedClasses) > 0 {
-			h := &c.reservedClasses[0].reservation
-			more := Resources{}.Sub(c.reservationShortfall(now, nil)).max(Resources{})
-			h.peak, h.maxRise = h.usage.Add(more), more
+			r := &c.reservedClasses[0].reservation
+			excess := Resources{}.Sub(c.reservationShortfall(now, nil)).max(Resources{})
+			r.peak, r.maxRise = r.usage.Add(excess), excess
 		}
 	}
-	left := math.Exp(-float64(now-c.usageUpdatedAt) / float64(max(c.cfg.Tuning.ReservationDecay, 1)))
+	decay := math.Exp(-float64(now-c.usageUpdatedAt) / float64(max(c.cfg.Tuning.ReservationDecay, 1)))
 	c.usageUpdatedAt = now
 	for _, k := range c.objectiveClasses {
-		h := &k.reservation
-		lead := c.provisioningTime(&JobSpec{Request: h.sample.Request})
-		if now-c.termBeganAt < lead {
-			h.window = nil // what had been waiting when the term began is no rise
+		r := &k.reservation
+		provisioning := c.provisioningTime(&JobSpec{Request: r.sample.Request})
+		if now-c.termBeganAt < provisioning {
+			r.window = nil // what had been waiting when the term began is no rise
 		}
-		h.update(now, lead, left)
+		r.update(now, provisioning, decay)
 	}
 }
 
 // shortOfHeld says what is missing from what is held; where negative, as much
 // can go.
-func (c *Core) reservationShortfall(now Micros, coming []*incomingMachine) Resources {
+func (c *Core) reservationShortfall(now Micros, incoming []*incomingMachine) Resources {
 	if len(c.reservedClasses) == 0 {
 		return Resources{math.MinInt32, math.MinInt32, math.MinInt32}
 	}
-	var short Resources
+	var shortfall Resources
 	for _, k := range c.reservedClasses {
-		short = short.Add(c.reservationTarget(k, now))
+		shortfall = shortfall.Add(c.reservationTarget(k, now))
 	}
-	for _, r := range coming {
-		short = short.Sub(r.free)
+	for _, in := range incoming {
+		shortfall = shortfall.Sub(in.free)
 	}
 	for _, m := range c.sortedMachines {
 		if !c.schedulable(m, now) {
 			continue
 		}
-		short = short.Sub(m.typ.Capacity)
+		shortfall = shortfall.Sub(m.typ.Capacity)
 		for _, p := range m.placements {
 			if p.occupies() && (p.job == nil || !slices.Contains(c.reservedClasses, p.job.class)) {
-				short = short.Add(p.need)
+				shortfall = shortfall.Add(p.need)
 			}
 		}
 	}
-	return short
+	return shortfall
 }
 
 // borrowsHeld reports whether a task of the job would take, beyond its team's min,
 // room that is held for a class of higher priority which could not take it back: the
 // class is of another team, and one without a min. That room is there for what is to
 // start at once, and what borrows it may keep it for minutes. The team has use placed.
-func (c *Core) borrowsReserved(j *job, use Resources) bool {
-	if j.starving || slices.Contains(c.reservedClasses, j.class) || withinGuarantee(use, j.spec.Request, j.team.Min) {
+func (c *Core) borrowsReserved(j *job, usage Resources) bool {
+	if j.starving || slices.Contains(c.reservedClasses, j.class) || withinGuarantee(usage, j.spec.Request, j.team.Min) {
 		return false
 	}
 	for _, k := range c.reservedClasses {
@@ -171,14 +171,14 @@
 
 // hold rents what is missing from what is held.
 func (d *demand) rentReserved() {
-	short := d.c.reservationShortfall(d.now, d.incoming)
+	shortfall := d.c.reservationShortfall(d.now, d.incoming)
 	for _, k := range d.c.reservedClasses {
-		for short.lacksCPUOrGPU() {
-			of, ok := d.cheapestOffer(k.reservation.sample, math.MaxInt, func(string) bool { return true })
+		for shortfall.lacksCPUOrGPU() {
+			o, ok := d.cheapestOffer(k.reservation.sample, math.MaxInt, func(string) bool { return true })
 			if !ok {
 				break
 			}
-			short = short.Sub(d.addRental(of, "held for tasks that are to start at once").free)
+			shortfall = shortfall.Sub(d.addRental(o, "held for tasks that are to start at once").free)
 		}
 	}
 }
--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -53,18 +53,18 @@
 	if a.count == 0 {
 		return false
 	}
-	pause := 10 * Second
+	interval := 10 * Second
 	if a.count > 1 {
-		pause = max(pause, (a.lastAt-a.firstAt)/Micros(a.count-1))
+		interval = max(interval, (a.lastAt-a.firstAt)/Micros(a.count-1))
 	}
-	return now-a.lastAt < 3*pause
+	return now-a.lastAt < 3*interval
 }
 
 // countSpare works out for how many tasks of services room is wanted, and
 // counts, by zone, how many could start at once.
 func (c *Core) updateSpare(now Micros) {
 	c.spareTaskRequest, c.spareTarget, c.spareTargetPerZone, c.spareFetchRate = Resources{}, 0, 0, 0
-	want := 0.0
+	target := 0.0
 	for _, k := range c.classes {
 		a := &k.serviceArrivals
 		if !a.moreExpected(now) {
@@ -76,11 +76,11 @@
 		if len(k.startObjectives) > 0 {
 			c.spareFetchRate = max(c.spareFetchRate, a.meanImageMB/(float64(k.startObjectives[0])/float64(Second)))
 		}
-		want += spareShare*a.rateAt(now)*float64(c.provisioningTime(&JobSpec{Request: a.need})) + a.meanTasks
+		target += spareShare*a.rateAt(now)*float64(c.provisioningTime(&JobSpec{Request: a.need})) + a.meanTasks
 	}
 	need, tasks := c.evacuationDemand(now)
 	c.spareTaskRequest = c.spareTaskRequest.max(need)
-	want += float64(tasks)
+	target += float64(tasks)
 	clear(c.spareByZone)
 	if c.spareTaskRequest == (Resources{}) {
 		return
@@ -95,8 +95,8 @@
 			}
 		}
 	}
-	c.spareTargetPerZone = max(c.cfg.Tuning.SpareTasks, int(math.Ceil(want/float64(max(len(zones), 1)))))
-	c.spareTarget = max(2*c.cfg.Tuning.SpareTasks, int(math.Ceil(want)))
+	c.spareTargetPerZone = max(c.cfg.Tuning.SpareTasks, int(math.Ceil(target/float64(max(len(zones), 1)))))
+	c.spareTarget = max(2*c.cfg.Tuning.SpareTasks, int(math.Ceil(target)))
 	for _, m := range c.sortedMachines {
 		if !m.spot && c.schedulable(m, now) {
 			c.spareByZone[m.zone] += c.spareSlots(m)
@@ -119,12 +119,12 @@
 	if m.spot || c.spareTaskRequest == (Resources{}) {
 		return false
 	}
-	left := c.spareTaskRequest.countIn(m.free().Add(m.spareUsed).Sub(need))
-	zone := c.spareByZone[m.zone] - c.spareSlots(m) + left
-	if zone < c.spareTargetPerZone || left > 0 {
-		return zone < c.spareTargetPerZone
+	remaining := c.spareTaskRequest.countIn(m.free().Add(m.spareUsed).Sub(need))
+	inZone := c.spareByZone[m.zone] - c.spareSlots(m) + remaining
+	if inZone < c.spareTargetPerZone || remaining > 0 {
+		return inZone < c.spareTargetPerZone
 	}
-	return zone < 2*c.spareTargetPerZone || float64(m.typ.FetchMBps) < fetchTimeMargin*c.spareFetchRate
+	return inZone < 2*c.spareTargetPerZone || float64(m.typ.FetchMBps) < fetchTimeMargin*c.spareFetchRate
 }
 
 // fetchSpread is how much longer than usual a fetch may well take.
@@ -135,12 +135,12 @@
 	if m.spot || c.spareTaskRequest == (Resources{}) {
 		return false
 	}
-	all := 0
+	total := 0
 	for _, n := range c.spareByZone {
-		all += n
+		total += n
 	}
 	n := c.spareSlots(m)
-	return c.spareByZone[m.zone]-n < c.spareTargetPerZone || all-n < c.spareTarget
+	return c.spareByZone[m.zone]-n < c.spareTargetPerZone || total-n < c.spareTarget
 }
 
 // spareAtMost is how many times the cheapest price spare room may cost.
@@ -152,16 +152,16 @@
 	if c.spareTaskRequest == (Resources{}) {
 		return
 	}
-	have, all := map[string]int{}, 0
+	slots, total := map[string]int{}, 0
 	for z, n := range c.spareByZone {
-		have[z] += n
-		all += n
-	}
-	for _, r := range d.incoming {
-		if !r.spot {
-			n := c.spareTaskRequest.countIn(r.free)
-			have[r.zone] += n
-			all += n
+		slots[z] += n
+		total += n
+	}
+	for _, m := range d.incoming {
+		if !m.spot {
+			n := c.spareTaskRequest.countIn(m.free)
+			slots[m.zone] += n
+			total += n
 		}
 	}
 	price := func(t *MachineType, missing int) float64 {
@@ -174,13 +174,13 @@
 		}
 	}
 	for {
-		good := 0
-		for _, n := range have {
+		coveredZones := 0
+		for _, n := range slots {
 			if n >= c.spareTargetPerZone {
-				good++
+				coveredZones++
 			}
 		}
-		if good >= 2 && all >= c.spareTarget {
+		if coveredZones >= 2 && total >= c.spareTarget {
 			return
 		}
 		var best offer
@@ -192,13 +192,13 @@
 				continue
 			}
 			for _, z := range t.Zones {
-				missing := c.spareTarget - all
-				if good < 2 {
-					missing = c.spareTargetPerZone - have[z]
+				missing := c.spareTarget - total
+				if coveredZones < 2 {
+					missing = c.spareTargetPerZone - slots[z]
 				}
-				of := offer{t.Name, z, false}
-				if missing > 0 && d.mayRequest(of) && price(t, missing) < bestPrice {
-					best, bestPrice = of, price(t, missing)
+				o := offer{t.Name, z, false}
+				if missing > 0 && d.mayRequest(o) && price(t, missing) < bestPrice {
+					best, bestPrice = o, price(t, missing)
 				}
 			}
 		}
@@ -206,7 +206,7 @@
 			return
 		}
 		n := c.spareTaskRequest.countIn(d.addRental(best, "spare room for services").free)
-		have[best.zone] += n
-		all += n
+		slots[best.zone] += n
+		total += n
 	}
 }
