--- a/internal/core/boot_stats.go
+++ b/internal/core/boot_stats.go
@@ -2,48 +2,54 @@
 
 import "math"
 
-// Whether machines of a type come up in time in a zone is judged by what those did
-// that were rented lately: where many are late or never come, others are rented first.
-// What is overdue is replaced once and stays rented until it is given up, so at most
-// twice as much is on its way as is wanted; the late one that comes after all is used
-// or goes back like any that is idle.
+// Recent boots show whether machines of an offer, which is a type in a zone, come up in time. Where
+// many are late or never come up, other offers are preferred. An overdue machine is replaced once
+// and stays rented until it is given up, so at most twice the wanted capacity is incoming. An overdue
+// machine that comes up after all is used, or released like any idle machine.
 
-// boots is what the machines of an offer did lately.
+// bootStats are the results of recent boots of an offer's machines.
 type bootStats struct {
-	updatedAt    Micros  // of the last that is known of
-	overdueShare float64 // the share that were overdue
+	updatedAt    Micros  // time of the last result
+	overdueShare float64 // share of boots that were overdue, as of updatedAt
 }
 
 const (
-	// bootsWeight is what the last one counts, bootsMemory how slowly all is
-	// forgotten: troubles last for minutes.
+	// bootStatsWeight is the weight of the latest boot in the average.
 	bootStatsWeight = 0.2
-	bootStatsDecay  = 120 * Second
-	// lateDearer is by how much the price counts as higher where all are overdue.
+	// bootStatsDecay is the time constant with which past boots are forgotten. Disturbances of the
+	// cloud last for minutes.
+	bootStatsDecay = 120 * Second
+	// overduePricePenalty is the relative rise of the price at which an offer is rated if all its
+	// boots are overdue.
 	overduePricePenalty = 2.0
-	// A boot is overdue after half as long again as the catalog says, and given up
-	// after bootsGiven times that, and some seconds.
-	bootSlack        = 2 * Second
+	// bootSlack is added to one and a half times the catalog's boot time. A boot that takes
+	// longer is overdue.
+	bootSlack = 2 * Second
+	// bootGiveUpFactor is the multiple of the catalog's boot time, plus bootGiveUpSlack, after
+	// which a machine is given up.
 	bootGiveUpFactor = 3
 	bootGiveUpSlack  = 10 * Second
 )
 
-// late is the share of the machines of an offer that were overdue lately.
+// overdueShare returns the share of the offer's recent boots that were overdue, decayed since the
+// last result.
 func (c *Core) overdueShare(o offer, now Micros) float64 {
 	b := c.bootStatsByOffer[o]
 	return b.overdueShare * math.Exp(-float64(now-b.updatedAt)/float64(bootStatsDecay))
 }
 
+// offer returns the offer of which the machine was rented.
 func (m *machine) offer() offer { return offer{m.typeName, m.zone, m.spot} }
 
-// booted notes that a machine that was rented is up.
+// recordBoot records that a rented machine came up in time. It does nothing for an overdue machine,
+// which is already counted.
 func (c *Core) recordBoot(m *machine, now Micros) {
 	if m.rentedAt > 0 && !m.bootOverdue {
 		c.bootStatsByOffer[m.offer()] = bootStats{now, (1 - bootStatsWeight) * c.overdueShare(m.offer(), now)}
 	}
 }
 
-// checkBoot notes if a machine that was rented has not come in time.
+// checkBootOverdue marks a rented machine that has not come up in time as overdue and records that.
 func (c *Core) checkBootOverdue(m *machine, now Micros) {
 	if m.bootOverdue || m.typ == nil || m.rentedAt == 0 || now-m.discoveredAt < bootDeadline(m.typ) {
 		return
@@ -53,14 +59,14 @@
 	c.bootStatsByOffer[m.offer()] = bootStats{now, share + bootStatsWeight*(1-share)}
 }
 
-// bootTime is within what most machines of a type come up.
+// bootDeadline returns the time within which most machines of a type come up.
 func bootDeadline(t *MachineType) Micros { return t.BootTime*3/2 + bootSlack }
 
-// coming reports whether the machine is about to come up. What takes longer than most
-// may never come, and nothing should wait for it.
+// incoming reports whether the machine is expected to come up soon. An overdue machine may never
+// come up, so nothing should wait for it.
 func (m *machine) incoming(now Micros) bool {
 	return m.booting && !m.releasing && m.typ != nil && now-m.discoveredAt < bootDeadline(m.typ)
 }
 
-// givenUpAfter is for how long a machine is waited for at all.
+// bootGiveUpAfter returns the time after which a machine that has not come up is given up.
 func bootGiveUpAfter(t *MachineType) Micros { return bootGiveUpFactor*t.BootTime + bootGiveUpSlack }
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -6,24 +6,23 @@
 )
 
 const (
-	// vacateShare is how long a service is left in peace between two moves, on
-	// the average: each move takes it down for as long as its image takes, and
-	// they must not add up.
+	// serviceMoveInterval is the average time between two moves of a service. Each move interrupts
+	// the service for as long as its image fetch takes, and these interruptions must not add up.
 	serviceMoveInterval = 140 * Second
-	// vacateMost is how many services are moved to empty a machine.
+	// maxVacatedServices is the maximum number of services that are moved to empty a machine.
 	maxVacatedServices = 16
-	// vacateTries is how many machines are looked at closely in one pass.
+	// maxVacateAttempts is the maximum number of machines that are examined in detail in one pass.
 	maxVacateAttempts = 8
 )
 
-// consolidate empties ordinary machines that a few services keep rented while
-// there is room for them elsewhere. The more services there are, the more may
-// move in a second. A machine that batches use as well is of use.
+// consolidate empties on-demand machines that stay rented only for a few services which have room on
+// other machines. The rate of moves is proportional to the number of services. A machine that batch
+// tasks use as well is not emptied.
 func (c *Core) consolidate(now Micros) {
 	services := 0
 	for _, j := range c.queue {
 		if j.pending > 0 {
-			// Room is short.
+			// Capacity is short.
 			c.nextVacateAt = now
 			for _, m := range c.vacating {
 				m.vacating = false
@@ -38,7 +37,7 @@
 	if c.unreconciled > 0 || services == 0 {
 		return
 	}
-	// Moves that were not made are not made up for.
+	// Missed moves are not made up for.
 	c.nextVacateAt = max(c.nextVacateAt, now-Second)
 	if now < c.nextVacateAt {
 		return
@@ -59,7 +58,7 @@
 		}
 		gain := m.typ.Price * free / float64(len(m.placements))
 		if m.vacating {
-			gain *= 10 // finish what was begun
+			gain *= 10 // finish emptying this machine first
 		} else {
 			targets = append(targets, m)
 		}
@@ -78,7 +77,7 @@
 			continue
 		}
 		if !m.vacating {
-			c.log("vacating: its services fit elsewhere", "machine", m.name, "type", m.typeName, "used_cpus", m.used.CPU/1000)
+			c.log("vacating machine: its services fit on other machines", "machine", m.name, "type", m.typeName, "used_cpus", m.used.CPU/1000)
 			m.vacating = true
 			c.vacating = append(c.vacating, m)
 			targets = slices.DeleteFunc(targets, func(o *machine) bool { return o == m })
@@ -95,41 +94,44 @@
 	}
 }
 
-// moves are services that are to move, by where there is room for them.
+// movePlan is a set of planned moves of services to other machines.
 type movePlan struct {
 	targets    []*machine
-	plannedUse map[*machine]Resources
-	zoneDelta  map[jobZone]int // tasks of a job that come to a zone, or leave it
+	plannedUse map[*machine]Resources // resources that the moves need on their targets
+	zoneDelta  map[jobZone]int        // change in the number of a job's tasks in a zone
 	moves      []serviceMove
 }
 
+// serviceMove is a planned move of a service's task to another machine.
 type serviceMove struct {
 	placement *placement
 	target    *machine
 }
 
+// jobZone is a key for counts by job and zone.
 type jobZone struct {
 	job  *job
 	zone string
 }
 
+// newMovePlan returns an empty plan for moves to the given machines.
 func newMovePlan(machines []*machine) *movePlan {
 	return &movePlan{targets: machines, plannedUse: map[*machine]Resources{}, zoneDelta: map[jobZone]int{}}
 }
 
-// left is what stays free on a machine that services may move to.
+// freeOn returns the resources that remain free on a target after the planned moves.
 func (plan *movePlan) freeOn(o *machine) Resources { return o.free().Sub(plan.plannedUse[o]) }
 
-// count notes a move, or one that is not made after all.
+// apply counts a move if sign is 1, and undoes that if sign is -1.
 func (plan *movePlan) apply(mv serviceMove, sign int) {
 	plan.plannedUse[mv.target] = plan.plannedUse[mv.target].Add(mv.placement.need.Times(sign))
 	plan.zoneDelta[jobZone{mv.placement.job, mv.target.zone}] += sign
 	plan.zoneDelta[jobZone{mv.placement.job, mv.placement.machine.zone}] -= sign
 }
 
-// take finds room for tasks of services away from their machines, with their
-// images there already if cached is set: for all of them, or it reports false and
-// nothing is taken.
+// planMoves adds moves to other machines for all given placements of services. With requireCached,
+// only machines that have the image are targets. If one placement has no target, planMoves returns
+// false and leaves the plan as it was.
 func (c *Core) planMoves(plan *movePlan, placements []*placement, requireCached bool) bool {
 	start := len(plan.moves)
 	for _, p := range placements {
@@ -138,7 +140,7 @@
 			if o == p.machine || requireCached && !o.hasImage(j.imageID) || !p.need.Fits(plan.freeOn(o)) {
 				return false
 			}
-			j.placedByZone[fromZone]-- // as it will be
+			j.placedByZone[fromZone]-- // count the zones as they are after the move
 			ok := c.machineAllowed(j, o) && (!j.spec.Spread || o.zone == fromZone || j.placedByZone[o.zone]+plan.zoneDelta[jobZone{j, o.zone}] < (j.spec.Tasks+1)/2)
 			j.placedByZone[fromZone]++
 			return ok
@@ -157,8 +159,8 @@
 	return true
 }
 
-// movable reports whether all services on a machine, and there are some, have
-// room on the machines to, with their image and besides the spare room.
+// canVacate reports whether the machine runs services and all of them have room on targets that have
+// their images, with enough spare capacity left.
 func (c *Core) canVacate(m *machine, targets []*machine, now Micros) bool {
 	plan := newMovePlan(targets)
 	var services []*placement
@@ -176,7 +178,7 @@
 			if m.vacating {
 				continue
 			}
-			return false // batches make use of it
+			return false // batch tasks use it
 		}
 		services = append(services, p)
 	}
@@ -186,7 +188,7 @@
 	if c.spareTaskRequest == (Resources{}) {
 		return true
 	}
-	// What is left must do for the services that are expected.
+	// The remaining capacity has to suffice for the expected services.
 	spareLeft := 0
 	for _, o := range c.sortedMachines {
 		if o != m && !o.spot && !o.vacating && c.schedulable(o, now) {
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -1,13 +1,14 @@
 package core
 
-// room is a machine that is coming: tasks are promised to it before more is
-// rented.
+// incomingMachine is a machine that was rented or requested and is not up yet. Waiting tasks are
+// assigned to it before more machines are rented.
 type incomingMachine struct {
 	offer
-	free Resources
+	free Resources // not assigned to tasks yet
 }
 
-// coming lists the machines that are coming.
+// incomingMachines returns the machines that are expected to come up: those that are booting and
+// those of rentals that are not granted yet.
 func (c *Core) incomingMachines(now Micros) []*incomingMachine {
 	var machines []*incomingMachine
 	for _, m := range c.sortedMachines {
@@ -28,8 +29,8 @@
 	return machines
 }
 
-// rentForDemand rents for tasks that wait and for room that is kept, after
-// what is coming already.
+// rentForDemand rents machines for waiting tasks, spare capacity and reservations, as far as the
+// incoming machines do not cover them.
 func (c *Core) rentForDemand(now Micros, incoming []*incomingMachine) {
 	d := &demand{c: c, now: now, incoming: incoming, requested: map[offer]bool{}, counts: map[offer]int{}, reasons: map[offer]string{}}
 	for _, r := range c.rentals {
@@ -54,23 +55,23 @@
 	}
 }
 
-// demand is one computation of what to rent.
+// demand is the state of one computation of what to rent.
 type demand struct {
 	c            *Core
 	now          Micros
 	incoming     []*incomingMachine
 	requested    map[offer]bool // a request has no answer yet
-	counts       map[offer]int
-	offers       []offer
+	counts       map[offer]int  // machines to rent
+	offers       []offer        // keys of counts, in the order in which they were added
 	reasons      map[offer]string
-	deadlineCPUs int64 // of machines that are up or coming, for jobs with a deadline
-	incomingCPUs int64
-	slowestBoot  Micros  // of the slowest that is coming
-	workAhead    float64 // on them and ahead in the queue, in CPU time
+	deadlineCPUs int64   // CPU of machines that are up or incoming, available to jobs with a deadline
+	incomingCPUs int64   // CPU of incoming machines
+	slowestBoot  Micros  // longest boot time of an incoming machine
+	workAhead    float64 // work on these machines and ahead in the queue, in CPU time
 }
 
-// forecast works out how much of the machines that are up is there for jobs
-// with a deadline, and how much work is on them.
+// estimateCapacity computes the CPU available to jobs with a deadline and the work that is already
+// placed on it.
 func (d *demand) estimateCapacity() {
 	for _, in := range d.incoming {
 		d.addIncoming(in)
@@ -97,7 +98,7 @@
 	}
 }
 
-// expect counts a machine that is coming.
+// addIncoming adds an incoming machine to the capacity.
 func (d *demand) addIncoming(m *incomingMachine) {
 	t := d.c.machineTypes[m.machineType]
 	d.deadlineCPUs += t.Capacity.CPU
@@ -105,9 +106,9 @@
 	d.slowestBoot = max(d.slowestBoot, t.BootTime)
 }
 
-// inTime reports whether a job's waiting tasks would be done by its deadline
-// on the machines there are, behind the work that goes first. A machine that
-// is rented now costs money from now on and helps only once it is up.
+// meetsDeadline reports whether a job's waiting tasks would be done by its deadline on the present
+// and incoming machines, after the work ahead of them. It adds the job's tasks to that work.
+// Renting for such a job would cost money from now on without being needed.
 func (d *demand) meetsDeadline(j *job) bool {
 	if j.deadline == 0 || j.spec.Kind == Service || d.deadlineCPUs <= 0 {
 		return false
@@ -115,9 +116,9 @@
 	d.workAhead += float64(j.spec.Request.CPU) * float64(j.correctedEstimate()) * float64(j.pending)
 	wait := Micros(d.workAhead / float64(d.deadlineCPUs))
 	wait += Micros(float64(d.slowestBoot) * float64(d.incomingCPUs) / float64(d.deadlineCPUs))
-	// Estimates are often half of what it takes; and it must not be too late yet to
-	// rent when this turns out too hopeful. The same goes for the first aim for
-	// its tasks' start that a rented machine can meet.
+	// Tasks often run for twice their estimate. The margin also leaves time to rent a machine
+	// if the forecast proves too optimistic. The same holds for the earliest start objective
+	// that a rented machine can meet.
 	provisioning := d.c.provisioningTime(&j.spec)
 	for _, objective := range j.class.startObjectives {
 		if objective > provisioning {
@@ -130,7 +131,8 @@
 	return d.now+wait+2*j.correctedEstimate()+5*Second+provisioning <= j.deadline
 }
 
-// job covers a job's waiting tasks.
+// coverJob assigns a job's waiting tasks to incoming machines and adds rentals for the rest, up to
+// its team's maximum.
 func (d *demand) coverJob(j *job) {
 	c := d.c
 	t := j.team
@@ -153,7 +155,7 @@
 		}
 		return true
 	}
-	next := 0 // what is coming before this has no room for the job
+	next := 0 // incoming machines before this index have no room for the job
 	for n := min(j.pending, 400); n > 0; n-- {
 		if overMax(usage, j.spec.Request, t.Max) {
 			return
@@ -177,27 +179,32 @@
 	}
 }
 
+// fits reports whether a task of the job can run on the incoming machine.
 func (d *demand) fits(j *job, m *incomingMachine, zoneOK func(string) bool) bool {
 	return j.spec.Request.Fits(m.free) && (!m.spot || j.spec.Spot) && j.spec.typeAllowed(m.machineType) && zoneOK(m.zone)
 }
 
-// rentFor orders one more machine for n tasks of the job.
+// rentForJob adds a rental of one machine for n tasks of the job, or returns nil if no suitable
+// machine may be requested.
 func (d *demand) rentForJob(j *job, n int, zoneOK func(string) bool) *incomingMachine {
 	o, ok := d.cheapestOffer(&j.spec, n, zoneOK)
 	if !ok {
 		return nil
 	}
-	return d.addRental(o, "tasks wait: "+j.spec.Class)
+	return d.addRental(o, "waiting tasks: "+j.spec.Class)
 }
 
-// open reports whether one more machine may be asked for: not while the last
-// request for such machines was refused or has no answer, since there may be
-// no more of them, and the cloud takes few calls; nor where it could not report.
+// mayRequest reports whether one more machine of the offer may be requested. None is requested
+// for a time after a refusal or while a request is unanswered, because the cloud may have no more
+// of these machines and limits the rate of calls. None is requested in a partitioned zone, where
+// the machine could not report.
 func (d *demand) mayRequest(o offer) bool {
 	return !d.c.partitioned(o.zone, d.now) && d.now >= d.c.refusedUntil[o] && !d.requested[o] && d.counts[o] < maxMachinesPerRental
 }
 
-// cheapest finds the machine whose useful part is cheapest for n such tasks.
+// cheapestOffer returns the offer with the lowest price per task for n tasks of the job, and false
+// if no suitable machine may be requested. Offers whose machines recently came up late count as
+// more expensive.
 func (d *demand) cheapestOffer(s *JobSpec, n int, zoneOK func(string) bool) (best offer, ok bool) {
 	bestPrice := 0.0
 	for _, t := range d.c.machineTypeList {
@@ -229,6 +236,7 @@
 	return best, ok
 }
 
+// addRental adds one machine of the offer to the rentals and returns it as an incoming machine.
 func (d *demand) addRental(o offer, reason string) *incomingMachine {
 	if d.counts[o] == 0 {
 		d.offers = append(d.offers, o)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -2,7 +2,8 @@
 
 import "sort"
 
-// fleet compares the machines there are with those that are wanted.
+// updateFleet compares the machines with the demand and rents, releases and empties machines
+// accordingly.
 func (c *Core) updateFleet(now Micros) {
 	if len(c.machineTypes) == 0 {
 		return
@@ -22,10 +23,10 @@
 		c.consolidate(now)
 	}
 	c.retryRentals(now)
-	// After a takeover most machines are heard of within a report's time; before,
-	// what is free on them is not known, and all that waits would be rented for.
-	// What a leader that is cut off asks for may be rented minutes later, and one
-	// that workers do not reach could not use it.
+	// After a takeover, most machines report within a report interval. Before that, their free
+	// capacity is unknown, and machines would be rented for all waiting tasks. Nothing is rented
+	// by an isolated leader, whose requests may be executed minutes later, or by a leader that
+	// workers do not reach, which could not use the machines.
 	if !c.isolated && !c.mayResignSoon(now) && (c.unreconciled == c.unreconciledInPartition(now) || now-c.termBeganAt > 2*c.cfg.ReportInterval) {
 		c.rentForDemand(now, incoming)
 	}
@@ -35,8 +36,8 @@
 	}
 }
 
-// soonest is the type of machine on which a task of the job fits that takes the
-// shortest time to come; nil if there is none.
+// fastestType returns the machine type with the shortest boot time on which a task of the job fits,
+// or nil if there is none.
 func (c *Core) fastestType(s *JobSpec) *MachineType {
 	var best *MachineType
 	for _, t := range c.machineTypeList {
@@ -47,8 +48,8 @@
 	return best
 }
 
-// lead is about how long a machine takes to come on which a task of the job fits,
-// 0 if there is none.
+// provisioningTime returns about how long it takes until a newly rented machine on which a task of
+// the job fits is up, or 0 if there is no such machine type.
 func (c *Core) provisioningTime(s *JobSpec) Micros {
 	if t := c.fastestType(s); t != nil {
 		return t.BootTime
@@ -56,11 +57,11 @@
 	return 0
 }
 
-// listSlack is for what a list takes to come, on top of how late it may be.
+// listSlack allows for the time that the cloud's list takes to arrive, in addition to its lag.
 const listSlack = 5 * Second
 
-// Listed takes a whole list of the cloud's machines; it is late, so a new machine
-// missing from it says nothing.
+// HandleMachineList applies a complete list of the cloud's machines. The list lags behind, so a new
+// machine may be missing from it.
 func (c *Core) HandleMachineList(now Micros, list []ListedMachine) {
 	if !c.leading {
 		return
@@ -92,10 +93,10 @@
 			c.queueRelease(m, now, "failed")
 		}
 	}
-	// A machine stays listed until it is gone, so one that is not listed in time is
-	// gone, or never comes: a former leader may have ended with a return that was
-	// executed, and then most of what it recorded is silent, which alone would pass
-	// for a fault on this side. Returning it again proves it.
+	// A machine stays listed until it is gone. One that is not listed in time is gone or will
+	// never come up. A former leader may have failed after a release was executed but before it
+	// was recorded. Most recorded machines do not report then, which alone would look like a
+	// network fault on the leader's side. Releasing such a machine again confirms that it is gone.
 	for _, m := range c.sortedMachines {
 		if !m.releasing && !listed[m.name] && now-m.discoveredAt > 2*c.cfg.ListLag+listSlack && !m.reportedWithin(now, c.reportTimeout()) {
 			c.log("not listed any more", "machine", m.name, "booting", m.booting)
@@ -104,7 +105,7 @@
 	}
 }
 
-// Catalog takes the cloud's current machine types.
+// SetCatalog sets the cloud's current machine types.
 func (c *Core) SetCatalog(types []MachineType) {
 	c.machineTypes = map[string]*MachineType{}
 	c.machineTypeList = nil
@@ -118,6 +119,7 @@
 	c.needsPlacement = true
 }
 
+// addMachine adds a machine to the fleet.
 func (c *Core) addMachine(m *machine) {
 	m.typ = c.machineTypes[m.typeName]
 	c.machines[m.name] = m
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -1,12 +1,13 @@
 package core
 
-// waiting reports whether a gang has been placed and is not known to have run.
+// awaitsGangStart reports whether the job is a gang that has tasks on machines and whose current
+// attempt is not known to have run.
 func (j *job) awaitsGangStart() bool {
 	return j.spec.Kind == Gang && j.occupying > 0 && j.lastRunAttempt != j.gangAttempt
 }
 
-// scheduleGang places all tasks of a gang or none of them. It reports false if
-// there is no room for them.
+// scheduleGang places all tasks of a gang or none of them. It returns false if there is no room for
+// them.
 func (c *Core) scheduleGang(j *job, now Micros) bool {
 	if j.pending < len(j.status) {
 		return true
@@ -18,8 +19,8 @@
 	return c.placeGang(j, 0, now)
 }
 
-// placeGang places the waiting tasks of a gang, with a new attempt if none is
-// given. It reports false if there is no room for them.
+// placeGang places the pending tasks of a gang with the given attempt, or with a new one if attempt
+// is 0. It returns false if there is no room for them.
 func (c *Core) placeGang(j *job, attempt uint64, now Micros) bool {
 	t := j.team
 	usage := c.teamUsage(t)
@@ -58,21 +59,21 @@
 	return false
 }
 
-// gangPlan is a machine for each of a gang's waiting tasks.
+// gangPlan assigns a machine to each pending task of a gang.
 type gangPlan struct {
 	tasks        []int
-	machines     []*machine // nil: there is no room for all
+	machines     []*machine // one for each of tasks; nil: there is no room for all
 	reclaim      reclaimPlan
-	slowestFetch int64 // the longest fetch
+	slowestFetch int64 // the longest image fetch, in microseconds
 }
 
-// gangTry says how room is looked for.
+// gangOptions are the options of a search for machines for a gang.
 type gangOptions struct {
-	cachedOnly bool // only where the image is
-	evict      bool
+	cachedOnly bool // only machines that have the image
+	evict      bool // other tasks may be stopped
 }
 
-// planGang looks for a machine for each of a gang's waiting tasks.
+// planGang looks for a machine for each pending task of a gang. It leaves the state as it was.
 func (c *Core) planGang(j *job, zone string, attempt uint64, usage Resources, options gangOptions, now Micros) (plan gangPlan) {
 	plan.tasks = j.pendingTasks()
 	chosen := make([]*machine, 0, len(plan.tasks))
@@ -81,7 +82,7 @@
 		if m == nil && options.evict {
 			m = c.planReclaim(j, usage, now, zone, &plan.reclaim)
 		}
-		// A worker that knows this attempt of the task would not start it.
+		// A worker that already has this attempt of the task would not start it.
 		if m == nil || m.hasAttempt(j, i, attempt) {
 			break
 		}
@@ -99,6 +100,7 @@
 	return plan
 }
 
+// commitGang places a gang's tasks as planned and stops the plan's victims.
 func (c *Core) commitGang(j *job, attempt uint64, plan *gangPlan, now Micros) {
 	if attempt == 0 {
 		attempt = c.nextAttempt()
@@ -110,11 +112,11 @@
 	c.evict(&plan.reclaim, j, now)
 }
 
-// awaitsImage reports whether a gang rather waits for machines that have its
-// image than takes others that are free: all of it is held up by its slowest
-// fetch. It does so for as long as the fetch takes, as far as that leaves it in
-// time for the earliest of its aims that it can meet with a fetch, and if as many
-// machines as it needs are likely to fall free meanwhile.
+// awaitsCachedMachines reports whether a gang should wait for machines that have its image instead
+// of using other free machines, because its slowest image fetch delays all of it. It waits for no
+// longer than a fetch takes, and only if enough machines with the image are likely to become free
+// in that time. The wait also leaves time to meet the earliest start objective that can be met with
+// a fetch.
 func (c *Core) awaitsCachedMachines(j *job, now Micros) bool {
 	var fetch Micros
 	for _, t := range c.machineTypeList {
@@ -135,7 +137,8 @@
 	return float64(c.machinesWithImage(j.imageID, now))*float64(maxWait) > float64(j.pending)*float64(j.correctedEstimate())
 }
 
-// withImage says how many machines had an image lately.
+// machinesWithImage returns how many machines have an image in their cache. The counts are up to a
+// second old.
 func (c *Core) machinesWithImage(id int, now Micros) int {
 	if now-c.imageCountsAt >= Second {
 		c.imageCountsAt = now
@@ -149,7 +152,7 @@
 	return c.imageCounts[id]
 }
 
-// zones lists the zones of the catalog.
+// catalogZones returns the zones of the catalog's machine types, each once.
 func (c *Core) catalogZones() []string {
 	seen := map[string]bool{}
 	var zones []string
@@ -164,52 +167,53 @@
 	return zones
 }
 
-// promise counts a task of a plan on a machine, or takes it off again: nothing
-// of a plan that is dropped is left, in the machine's cache or anywhere else.
+// adjustTentative counts a task of a plan on a machine if sign is 1 and removes it again if sign is
+// -1. It changes nothing else, such as the machine's image cache, so a plan that is dropped leaves
+// no trace.
 func (c *Core) adjustTentative(j *job, m *machine, sign int) {
 	c.updateUsage(m, func() { m.used = m.used.Add(j.spec.Request.Times(sign)) })
 	j.placedByZone[m.zone] += sign
 }
 
 const (
-	// gangPatience is how long the machines of a gang that has not started are
-	// kept for want of another.
+	// gangReplacementTimeout is how long a gang that has not started keeps its machines while
+	// there is no machine for a missing task.
 	gangReplacementTimeout = 10 * Second
-	// waitsMost is how often a gang task waits for the others for as long as a
-	// worker lets it. Images can take longer to fetch than that.
+	// maxWaitRetries is how often a gang task is restarted after its worker gave up waiting for
+	// the other tasks. Their image fetches can take longer than one such wait.
 	maxWaitRetries = 4
 )
 
-// completeGang replaces what a gang that has not started lacks, with the same
-// attempt, so that the others go on waiting. If there is no room for it before
-// long, it starts anew.
+// completeGang places the missing tasks of a gang that has not started, with the same attempt, so
+// that its other tasks keep waiting for them. If there is no room for gangReplacementTimeout, the
+// gang is stopped and starts again.
 func (c *Core) completeGang(j *job, now Micros) {
 	if !j.awaitsGangStart() {
 		return
 	}
 	for _, p := range j.live {
 		if p.attempt != j.gangAttempt || p.stopRequested {
-			return // not before it is gone
+			return // wait until this placement is gone
 		}
 	}
 	if j.incompleteSince == 0 {
-		j.incompleteSince = now // taken over from a leader that had not told them all
+		j.incompleteSince = now // a former leader had not started all tasks
 	}
 	c.placeGang(j, j.gangAttempt, now)
 	switch {
 	case j.pending == 0:
 		j.incompleteSince = 0
 	case now-j.incompleteSince > gangReplacementTimeout:
-		c.log("gang starts anew: no room for what it lacks", "job", j.spec.ID, "tasks", j.pending)
+		c.log("gang restarts: no room for its missing tasks", "job", j.spec.ID, "tasks", j.pending)
 		c.stopGang(j, now, 0)
 	}
 }
 
-// waitAgain lets a gang task that exited because the others were not there yet
-// wait once more where it is: its image is there by now, and theirs, which may
-// take longer than a worker lets a task wait, will be. Stopping the gang would
-// end their fetches, and begin the same again. Only the answer to a beat may
-// tell the worker: a direct command could arrive after all this is over.
+// retryWait restarts a gang task that exited because its peers were missing, on the same machine,
+// and reports whether it did. The task's image is there by now. Its peers may still fetch theirs,
+// which can take longer than a worker lets a task wait. Stopping the gang would abort those fetches
+// and repeat the same wait. The restart is sent only in the answer to a report, because a direct
+// command could arrive after the attempt is over.
 func (c *Core) retryWait(p *placement) bool {
 	j := p.job
 	if p.cause != CausePeersMissing || p.stopRequested || p.startUnanswered || p.waitRetries >= maxWaitRetries || j == nil || c.jobs[p.jobID] != j ||
@@ -223,8 +227,7 @@
 	return true
 }
 
-// stopGang stops all tasks of a gang; they start again together once the last
-// has exited.
+// stopGang stops all tasks of a gang. They start again together after the last one has exited.
 func (c *Core) stopGang(j *job, now, grace Micros) {
 	if j.stopping {
 		return
@@ -236,9 +239,9 @@
 	c.finishGangStop(j)
 }
 
-// gangLost deals with a gang that lost a task. One that has not started waits
-// for a replacement, which schedule looks for; what its other machines have
-// fetched meanwhile is not lost. Otherwise the rest is stopped.
+// handleGangTaskLost handles the loss of a gang's task. A gang that has not started waits for a
+// replacement, which schedule looks for, so that the images fetched by the other tasks are not
+// lost. Otherwise the remaining tasks are stopped.
 func (c *Core) handleGangTaskLost(p *placement, now Micros) {
 	if p.job == nil || p.job.spec.Kind != Gang || p.job.cancelled || p.attempt != p.job.gangAttempt || p.job.stopping {
 		return
@@ -255,6 +258,7 @@
 	c.stopGang(p.job, now, 0)
 }
 
+// finishGangStop lets a gang that is being stopped be scheduled again once it has no tasks left.
 func (c *Core) finishGangStop(j *job) {
 	if j.stopping && len(j.live) == 0 {
 		j.stopping = false
--- a/internal/core/reclaim.go
+++ b/internal/core/reclaim.go
@@ -5,18 +5,19 @@
 	"sort"
 )
 
-// reclaimPlan is a set of victims that is not acted on yet.
+// reclaimPlan is a set of victims that are not stopped yet.
 type reclaimPlan struct {
 	victims     []*placement
-	chosen      map[*placement]bool
-	takenByTeam map[string]Resources // by team
-	freed       map[*machine]Resources
+	chosen      map[*placement]bool    // the victims as a set
+	takenByTeam map[string]Resources   // resources of the victims
+	freed       map[*machine]Resources // resources of the victims
 }
 
-// reclaim looks for one machine on which stopping tasks makes room for a task
-// of the job. Within the team's min, the victims belong to teams over theirs,
-// and no such team is taken below it; beyond, they are the team's own tasks of
-// lower priority. only restricts the zone.
+// planReclaim looks for a machine on which stopping tasks makes room for a task of the job. It
+// adds the victims to the plan and returns the machine, or nil if there is none. Within the team's
+// minimum, the victims belong to teams above their own minimum, and no such team is taken below
+// it. Beyond the minimum, the victims are tasks of the same team with a lower priority. usage is
+// what the team uses; zoneFilter, unless empty, restricts the search to a zone.
 func (c *Core) planReclaim(j *job, usage Resources, now Micros, zoneFilter string, plan *reclaimPlan) *machine {
 	if !j.proven && len(j.failedOn) >= 2 {
 		// A job that fails wherever it runs would evict borrowers on every retry.
@@ -48,8 +49,9 @@
 	return best
 }
 
-// evictionCost is what it costs to make room on a machine for a task of the job;
-// false if that is not possible. Where the job's other tasks are does not count.
+// evictionCost returns the cost, in microseconds of lost work and delay, of making room on a machine
+// for a task of the job, and false if that is not possible. It ignores the zone constraints, which
+// depend on the job's other tasks.
 func (c *Core) evictionCost(j *job, m *machine, guaranteed bool, now Micros, plan *reclaimPlan) (int64, bool) {
 	if m.vacating || !c.schedulable(m, now) || !c.machineTypeAllowed(j, m) || !j.spec.Request.Fits(m.typ.Capacity) {
 		return 0, false
@@ -58,10 +60,11 @@
 	return cost + c.imageFetchDelay(j, m), victims != nil
 }
 
-// victimMachineOfPlan looks at every machine. It can't choose: that keeps what it saw for a
-// pass and looks again only at machines that changed, while what a plan has taken
-// already makes all machines with tasks of the same teams cheaper or dearer, and
-// the plan may be dropped.
+// cheapestVictimMachineForPlan returns the machine on which making room for a task of the job costs
+// least after the victims that the plan already has, or nil if there is none. It examines every
+// machine and cannot use cheapestCandidate. That function keeps costs for a pass and examines only
+// changed machines again, while a plan's victims change the cost of all machines with tasks of the
+// same teams, and the plan may be dropped.
 func (c *Core) cheapestVictimMachineForPlan(j *job, guaranteed bool, now Micros, zoneFilter string, plan *reclaimPlan) (best *machine) {
 	c.machinesExamined += len(c.sortedMachines)
 	var bestCost int64
@@ -76,8 +79,8 @@
 	return best
 }
 
-// cheapestVictimMachine is the machine on which making room for a task of the job costs
-// least.
+// cheapestVictimMachine returns the machine on which making room for a task of the job costs least,
+// or nil if there is none.
 func (c *Core) cheapestVictimMachine(j *job, guaranteed bool, now Micros, zoneFilter string) *machine {
 	key := newSearchKey(j)
 	key.team, key.priority, key.reclaim, key.guaranteed = j.spec.Team, j.spec.Priority, true, guaranteed
@@ -86,8 +89,7 @@
 		func(m *machine) bool { return j.failedOn[m.name] })
 }
 
-// mayReclaim reports whether there can be victims at all, without a look at
-// the machines.
+// mayReclaim reports whether there can be victims at all. It does not examine machines.
 func (c *Core) mayReclaim(j *job, guaranteed bool) bool {
 	if guaranteed {
 		for _, t := range c.teams {
@@ -105,8 +107,8 @@
 	return false
 }
 
-// maybeVictim reports whether a task may be stopped to make room for one of
-// the job, its team's min aside.
+// eligibleVictim reports whether the task may be stopped to make room for a task of the job. It
+// does not check that the victim's team stays at its minimum.
 func (p *placement) eligibleVictim(j *job, guaranteed bool) bool {
 	switch {
 	case p.job == nil || !p.occupies() || p.stopRequested || p.job == j:
@@ -119,7 +121,8 @@
 	return p.job.team == j.team && p.job.spec.Priority < j.spec.Priority
 }
 
-// victims chooses tasks on one machine; nil if they would not make room.
+// selectVictims returns the tasks to stop on a machine, with their gangs, to make room for a task of
+// the job, and the cost of stopping them. It returns nil if they would not make room.
 func (c *Core) selectVictims(j *job, m *machine, guaranteed bool, now Micros, plan *reclaimPlan) ([]*placement, int64) {
 	free := m.free().Add(plan.freed[m])
 	potential := free
@@ -147,7 +150,7 @@
 	taken := map[string]Resources{}
 	var selected []*placement
 	if plan.freed[m] != (Resources{}) {
-		selected = []*placement{} // others of the plan may have made room enough
+		selected = []*placement{} // victims of the plan may already make enough room
 	}
 	var cost int64
 	for _, p := range eligible {
@@ -155,7 +158,7 @@
 			break
 		}
 		if p.job.spec.Kind == Gang && slices.Contains(selected, p) {
-			continue // its gang goes already
+			continue // its gang is already selected
 		}
 		group := p.evictionGroup()
 		need := p.need.Times(len(group))
@@ -179,7 +182,7 @@
 	return selected, cost
 }
 
-// size is how many tasks stop with it.
+// evictionGroupSize returns the number of tasks in the eviction group.
 func (p *placement) evictionGroupSize() int {
 	if p.job.spec.Kind == Gang {
 		return len(p.job.live)
@@ -187,8 +190,8 @@
 	return 1
 }
 
-// stopsWith lists what stops if the task is stopped: of a gang, all tasks, on
-// other machines too.
+// evictionGroup returns the tasks that stop if this one is stopped. Of a gang these are all tasks,
+// including those on other machines.
 func (p *placement) evictionGroup() []*placement {
 	if p.job.spec.Kind == Gang {
 		return p.job.livePlacements()
@@ -196,7 +199,8 @@
 	return []*placement{p}
 }
 
-// lost is the work that is repeated if the task is stopped now.
+// lostWork returns the run time that has to be repeated, or spent on a checkpoint, if the task is
+// stopped now.
 func (p *placement) lostWork(now Micros) Micros {
 	if !p.reported || p.state != Running {
 		return 0
@@ -207,6 +211,7 @@
 	return now - p.runningAt
 }
 
+// evict stops the plan's victims to make room for the job.
 func (c *Core) evict(plan *reclaimPlan, j *job, now Micros) {
 	for _, v := range plan.victims {
 		c.log("reclaim", "for", j.spec.ID, "team", j.spec.Team, "victim", v.jobID, "task", v.index, "victim_team", v.job.spec.Team, "machine", v.machine.name)
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// Batch jobs of a class whose tasks are to start sooner than a machine can be
-// rented need machines that are there already: what the class uses, and as much
-// more as it came to need within the time that a machine takes, at the worst
-// that is remembered, but no more than it used at its peak.
+// Batch jobs of a class whose tasks have to start sooner than a machine can be rented need machines
+// that are up already. For such a class, capacity is reserved: its present usage plus the largest
+// remembered rise of its usage within the time that a machine takes to come up, but no more than its
+// peak usage.
 
-// holding is what is known of such a class.
+// reservation is the usage of a class that has a start objective. Peak and rise decay over time.
 type reservation struct {
 	arrivals
-	sample  *JobSpec      // the last one's
-	usage   Resources     // what its jobs use and wait for
-	peak    Resources     // the most of that, forgotten slowly
-	maxRise Resources     // the most by which it rose while a machine comes, forgotten slowly
-	window  []usageSample // in the last such time
+	sample  *JobSpec      // the last job
+	usage   Resources     // placed and pending tasks
+	peak    Resources     // maximum of usage
+	maxRise Resources     // maximum rise of usage within the provisioning time
+	window  []usageSample // samples within the last provisioning time
 }
 
-// usage is what a class used at a time.
+// usageSample is the usage of a class at a time.
 type usageSample struct {
 	at    Micros
 	usage Resources
 }
 
-// look takes what the class uses now.
+// update adds the present usage to the window, the peak and the rise. provisioning is the length of
+// the window, and decay the factor by which peak and rise have decayed since the last update.
 func (r *reservation) update(now, provisioning Micros, decay float64) {
 	r.peak = r.usage.max(r.peak.scaled(decay))
 	r.maxRise = r.maxRise.scaled(decay)
@@ -39,8 +40,8 @@
 	r.window = append(r.window, usageSample{now, r.usage})
 }
 
-// atOnce reports whether tasks of a class are to start sooner than a machine can
-// be rented and have their image: only then are machines held for it.
+// needsReservation reports whether tasks of the class have to start sooner than a machine can be
+// rented and have fetched their image. Capacity is reserved only for such a class.
 func (c *Core) needsReservation(k *jobClass) bool {
 	r := &k.reservation
 	t := c.fastestType(r.sample)
@@ -54,7 +55,7 @@
 	return k.startObjectives[0] < t.BootTime+fetch
 }
 
-// want is what is to be there for the class.
+// reservationTarget returns the capacity that should be up for the class, including what it uses.
 func (c *Core) reservationTarget(k *jobClass, now Micros) Resources {
 	r := &k.reservation
 	if !r.moreExpected(now) {
@@ -63,7 +64,8 @@
 	return r.peak.min(r.usage.Add(r.maxRise))
 }
 
-// lookBack brings up to date what is known of such classes.
+// updateReservations updates the usage of the classes with a start objective and determines for
+// which of them capacity is reserved.
 func (c *Core) updateReservations(now Micros) {
 	for _, k := range c.objectiveClasses {
 		k.reservation.usage = Resources{}
@@ -90,8 +92,8 @@
 		return
 	}
 	if c.reservationsUnknown {
-		// What the former leader held is what there is: it is not let go only
-		// because nobody remembers why.
+		// The former leader's reservations are not recorded. They are taken to be all of the
+		// present capacity, so that none of it is released only because the reason is unknown.
 		c.reservationsUnknown = false
 		for _, k := range c.objectiveClasses {
 			k.reservation.peak = k.reservation.usage
@@ -108,14 +110,14 @@
 		r := &k.reservation
 		provisioning := c.provisioningTime(&JobSpec{Request: r.sample.Request})
 		if now-c.termBeganAt < provisioning {
-			r.window = nil // what had been waiting when the term began is no rise
+			r.window = nil // jobs that were pending when the term began are no rise
 		}
 		r.update(now, provisioning, decay)
 	}
 }
 
-// shortOfHeld says what is missing from what is held; where negative, as much
-// can go.
+// reservationShortfall returns the capacity that is missing from the reservations, given the machines
+// that are up and the incoming ones. Where it is negative, that much can be released.
 func (c *Core) reservationShortfall(now Micros, incoming []*incomingMachine) Resources {
 	if len(c.reservedClasses) == 0 {
 		return Resources{math.MinInt32, math.MinInt32, math.MinInt32}
@@ -141,10 +143,10 @@
 	return shortfall
 }
 
-// borrowsHeld reports whether a task of the job would take, beyond its team's min,
-// room that is held for a class of higher priority which could not take it back: the
-// class is of another team, and one without a min. That room is there for what is to
-// start at once, and what borrows it may keep it for minutes. The team has use placed.
+// borrowsReserved reports whether a task of the job, beyond its team's minimum, would use capacity
+// that is reserved for a class of higher priority and that this class could not reclaim, because it
+// belongs to another team without a minimum. Tasks of the class have to start at once, while a
+// borrower may keep the capacity for minutes. usage is what the job's team uses.
 func (c *Core) borrowsReserved(j *job, usage Resources) bool {
 	if j.starving || slices.Contains(c.reservedClasses, j.class) || withinGuarantee(usage, j.spec.Request, j.team.Min) {
 		return false
@@ -158,18 +160,18 @@
 	return false
 }
 
-// lacks reports whether CPUs or GPUs are missing. Memory comes with them.
+// lacksCPUOrGPU reports whether a shortfall contains CPUs or GPUs. Memory comes with them.
 func (r Resources) lacksCPUOrGPU() bool { return r.CPU > 0 || r.GPU > 0 }
 
-// holding reports whether anything is held: then room on machines that a few
-// services keep is of use.
+// hasReservations reports whether capacity is reserved. The free capacity on machines that run only
+// a few services is of use then.
 func (c *Core) hasReservations(now Micros) bool {
 	return slices.ContainsFunc(c.reservedClasses, func(k *jobClass) bool {
 		return k.reservation.sample.Request.Fits(c.reservationTarget(k, now))
 	})
 }
 
-// hold rents what is missing from what is held.
+// rentReserved rents the capacity that is missing from the reservations.
 func (d *demand) rentReserved() {
 	shortfall := d.c.reservationShortfall(d.now, d.incoming)
 	for _, k := range d.c.reservedClasses {
@@ -178,7 +180,7 @@
 			if !ok {
 				break
 			}
-			shortfall = shortfall.Sub(d.addRental(o, "held for tasks that are to start at once").free)
+			shortfall = shortfall.Sub(d.addRental(o, "reserved for tasks that have to start at once").free)
 		}
 	}
 }
--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -2,30 +2,30 @@
 
 import "math"
 
-// A service is to start within seconds and a machine takes half a minute, so
-// room is kept for services that are expected: for a share of the tasks that
-// come, at the rate they came lately, while a machine is rented, and for one
-// job more.
+// A service has to start within seconds, but a machine takes half a minute to come up. Spare
+// capacity is therefore kept for expected services: for a share of the tasks that arrive, at the
+// recent rate, while a machine is rented, and for one more job.
 
-// spareShare is that share: room falls free meanwhile as well. With all of them
-// nothing started sooner that an aim could tell, for a tenth more money.
+// spareShare is the share of expected tasks for which spare capacity is kept. Other capacity becomes
+// free in the meantime. With a share of 1, no service started measurably sooner with respect to its
+// start objective, and the cost was a tenth higher.
 const spareShare = 0.4
 
-// arrivals is what has been seen of a class of services.
+// arrivals are statistics of the jobs submitted in a class.
 type arrivals struct {
-	need        Resources // of the last one's tasks
-	firstAt     Micros
-	lastAt      Micros
+	need        Resources // of a task of the last job
+	firstAt     Micros    // submission of the first job
+	lastAt      Micros    // submission of the last job
 	count       int
-	rate        float64 // tasks a microsecond, as of last
-	meanTasks   float64 // tasks of a job, smoothed
-	meanImageMB float64 // of its image, smoothed
+	rate        float64 // tasks per microsecond, as of lastAt
+	meanTasks   float64 // moving average of a job's tasks
+	meanImageMB float64 // moving average of a job's image size
 }
 
-// rateWindow is over how long the rate is smoothed.
+// arrivalRateWindow is the time constant with which the arrival rate is smoothed.
 const arrivalRateWindow = 60 * Second
 
-// seen notes a service. After a takeover they come in no order.
+// observe adds a job to the statistics. After a takeover, jobs are observed in no particular order.
 func (a *arrivals) observe(j *job) {
 	tasks := float64(len(j.status))
 	if a.count == 0 {
@@ -43,12 +43,13 @@
 	a.count++
 }
 
+// rateAt returns the arrival rate in tasks per microsecond, decayed since the last job.
 func (a *arrivals) rateAt(now Micros) float64 {
 	return a.rate * math.Exp(-float64(now-a.lastAt)/float64(arrivalRateWindow))
 }
 
-// expected reports whether more services of the class are to be expected:
-// three times the usual pause has not passed yet.
+// moreExpected reports whether more jobs of the class are expected: less than three times the mean
+// interval between jobs has passed since the last one. The interval counts as at least 10 s.
 func (a *arrivals) moreExpected(now Micros) bool {
 	if a.count == 0 {
 		return false
@@ -60,8 +61,8 @@
 	return now-a.lastAt < 3*interval
 }
 
-// countSpare works out for how many tasks of services room is wanted, and
-// counts, by zone, how many could start at once.
+// updateSpare computes for how many service tasks spare capacity is wanted and counts, by zone, how
+// many could start at once.
 func (c *Core) updateSpare(now Micros) {
 	c.spareTaskRequest, c.spareTarget, c.spareTargetPerZone, c.spareFetchRate = Resources{}, 0, 0, 0
 	target := 0.0
@@ -104,17 +105,17 @@
 	}
 }
 
-// spareOn is how many tasks of services the machine has room for. What is lent counts as if it
-// were there: kept anew out of the room that falls free, it would be taken from jobs that are
-// in time, for those that had waited for long.
+// spareSlots returns the number of service tasks for which the machine has room. Spare capacity that
+// starving jobs use counts as free. Otherwise it would be replaced from capacity that becomes free,
+// at the cost of jobs that are still on time.
 func (c *Core) spareSlots(m *machine) int {
 	return c.spareTaskRequest.countIn(m.free().Add(m.spareUsed))
 }
 
-// takesSpare reports whether a batch task on the ordinary machine would take
-// room that is kept for services. Every machine keeps room for one, as each has
-// other images in its cache, if there is little room, or if a service's start is
-// too late once its image has to be fetched.
+// takesSpare reports whether a batch task on the machine would use capacity that is kept for
+// services. Spot machines keep none. Each machine keeps room for one service task, because each has
+// different images in its cache, if the zone has little spare capacity or if a service that has to
+// fetch its image would start too late.
 func (c *Core) takesSpare(need Resources, m *machine) bool {
 	if m.spot || c.spareTaskRequest == (Resources{}) {
 		return false
@@ -127,10 +128,11 @@
 	return inZone < 2*c.spareTargetPerZone || float64(m.typ.FetchMBps) < fetchTimeMargin*c.spareFetchRate
 }
 
-// fetchSpread is how much longer than usual a fetch may well take.
+// fetchTimeMargin is the factor by which an image fetch may take longer than usual.
 const fetchTimeMargin = 1.5
 
-// neededSpare reports whether services could lack room without the machine.
+// neededForSpare reports whether there could be too little spare capacity for services without the
+// machine.
 func (c *Core) neededForSpare(m *machine) bool {
 	if m.spot || c.spareTaskRequest == (Resources{}) {
 		return false
@@ -143,10 +145,10 @@
 	return c.spareByZone[m.zone]-n < c.spareTargetPerZone || total-n < c.spareTarget
 }
 
-// spareAtMost is how many times the cheapest price spare room may cost.
+// maxSparePriceRatio limits the price of spare capacity, as a multiple of the cheapest.
 const maxSparePriceRatio = 2.0
 
-// spare rents the room that is missing, in two zones at least.
+// rentSpare rents the missing spare capacity, in at least two zones.
 func (d *demand) rentSpare() {
 	c := d.c
 	if c.spareTaskRequest == (Resources{}) {
@@ -184,8 +186,8 @@
 			return
 		}
 		var best offer
-		// Room that may never be used is not worth a machine that is dear for
-		// its size; it is tried again when the cheap ones are not refused.
+		// Capacity that may never be used does not justify a machine that is expensive for its
+		// size. It is rented later, when the cheap machines are no longer refused.
 		bestPrice := maxSparePriceRatio * cheapest
 		for _, t := range c.machineTypeList {
 			if !c.spareTaskRequest.Fits(t.Capacity) {
@@ -205,7 +207,7 @@
 		if best == (offer{}) {
 			return
 		}
-		n := c.spareTaskRequest.countIn(d.addRental(best, "spare room for services").free)
+		n := c.spareTaskRequest.countIn(d.addRental(best, "spare capacity for services").free)
 		slots[best.zone] += n
 		total += n
 	}
