--- a/internal/core/boot_stats_test.go
+++ b/internal/core/boot_stats_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// TestBoots: what is overdue is replaced once, elsewhere if machines are late there as
-// a rule, and is used when it comes after all.
+// TestBootStats checks that an overdue machine is replaced once and is used if it comes up after all.
+// Later machines are rented elsewhere if most machines of the offer were late.
 func TestBootStats(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		take   map[string]Micros // by zone; 0: they never come
-		most   int               // machines rented for the work of ten
-		in     string            // the zone in which most are rented for later work
-		within Micros
+		name     string
+		bootTime map[string]Micros // by zone; 0: the machines never come up
+		limit    int               // most machines that may be rented where ten are needed
+		wantZone string            // the zone in which most machines are rented for later jobs
+		within   Micros
 	}{
 		{"in time", map[string]Micros{"a": 20 * Second, "b": 20 * Second}, 10, "", 25 * Second},
 		{"never in one zone", map[string]Micros{"a": 0, "b": 20 * Second}, 20, "b", 60 * Second},
@@ -23,32 +23,32 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
 			w.beginTerm(100, nil, Snapshot{})
-			var fs []*fakeWorker
-			rented, where := 0, map[string]int{}
-			up := map[string]Micros{}
-			play := func(until func() bool, most Micros) Micros {
+			var workers []*fakeWorker
+			rented, rentedByZone := 0, map[string]int{}
+			upAt := map[string]Micros{}
+			advanceUntil := func(until func() bool, limit Micros) Micros {
 				from := w.now
-				for w.now-from < most && !until() {
+				for w.now-from < limit && !until() {
 					w.advance(Second)
 					for _, r := range w.rentals {
 						var names []string
 						for range r.Count {
 							rented++
-							where[r.Zone]++
+							rentedByZone[r.Zone]++
 							n := fmt.Sprintf("n-%03d", rented)
 							names = append(names, n)
-							if d := c.take[r.Zone]; d > 0 {
-								up[n] = w.now + d
+							if d := c.bootTime[r.Zone]; d > 0 {
+								upAt[n] = w.now + d
 							}
 							f := w.newWorker(n, r.Zone)
 							f.status.Type, f.status.Spot = r.Type, r.Spot
-							fs = append(fs, f)
+							workers = append(workers, f)
 						}
 						w.c.RentResult(w.now, w.now, r.Request, RentGranted, names)
 					}
 					w.rentals = nil
-					for _, f := range fs {
-						if at := up[f.status.Machine]; at > 0 && w.now >= at && w.c.machines[f.status.Machine] != nil {
+					for _, f := range workers {
+						if at := upAt[f.status.Machine]; at > 0 && w.now >= at && w.c.machines[f.status.Machine] != nil {
 							f.executeDirect()
 							f.report()
 						}
@@ -61,24 +61,24 @@
 			}
 			job := JobSpec{ID: "job-1", Kind: Array, Tasks: 10, Request: Resources{8000, 0, 8000}}
 			w.submit(job)
-			if took := play(runs("job-1"), 200*Second); took > c.within {
-				t.Errorf("all run after %d s, want %d at most", took/Second, c.within/Second)
+			if took := advanceUntil(runs("job-1"), 200*Second); took > c.within {
+				t.Errorf("all tasks run after %d s, want at most %d", took/Second, c.within/Second)
 			}
-			if rented > c.most {
-				t.Errorf("%d machines were rented for ten, want %d at most", rented, c.most)
+			if rented > c.limit {
+				t.Errorf("%d machines rented where ten are needed, want at most %d", rented, c.limit)
 			}
-			clear(where)
+			clear(rentedByZone)
 			job.ID = "job-2"
 			w.submit(job)
-			play(runs("job-2"), 60*Second)
-			if c.in != "" && where[c.in] <= 5 {
-				t.Errorf("rented later by zone: %v, want most in %s", where, c.in)
+			advanceUntil(runs("job-2"), 60*Second)
+			if c.wantZone != "" && rentedByZone[c.wantZone] <= 5 {
+				t.Errorf("machines rented later, by zone: %v, want most in %s", rentedByZone, c.wantZone)
 			}
 			job.ID, job.Tasks, rented = "job-3", 40, 1000
 			w.submit(job)
-			play(func() bool { return w.c.jobs["job-3"].running == 40 }, 70*Second)
+			advanceUntil(func() bool { return w.c.jobs["job-3"].running == 40 }, 70*Second)
 			if got := w.c.jobs["job-3"].running; rented > 1080 || got < 40 {
-				t.Errorf("known by then: %d machines rented for forty, %d run", rented-1000, got)
+				t.Errorf("with the statistics: %d machines rented for forty tasks, %d run", rented-1000, got)
 			}
 		})
 	}
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestFleet: what is rented, and what goes back.
+// TestFleet checks which machines are rented and which are released.
 func TestFleet(t *testing.T) {
-	t.Run("spot for jobs that allow it, once", func(t *testing.T) {
+	t.Run("spot machines are rented for jobs that allow them, once", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 8, Spot: true})
@@ -16,29 +16,29 @@
 		w.want("rented", fmt.Sprint(w.rentals[0].Spot, w.rentals[0].Count), "true 2")
 		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1", "n-2"})
 		w.advance(5 * Second)
-		w.want("nothing twice", len(w.rentals), 1)
+		w.want("requests after the grant", len(w.rentals), 1)
 	})
-	t.Run("a machine that is overdue does not count as coming", func(t *testing.T) {
+	t.Run("an overdue machine does not count as incoming", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1, Zone: "b"})
 		w.advance(Second)
 		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1"})
 		w.advance(25 * Second)
-		w.want("rented while it is coming", len(w.rentals), 1)
+		w.want("requests while the machine is incoming", len(w.rentals), 1)
 		w.advance(10 * Second)
-		w.want("rented when it is overdue", len(w.rentals), 2)
+		w.want("requests when the machine is overdue", len(w.rentals), 2)
 	})
-	t.Run("refused capacity is remembered, names are not used again", func(t *testing.T) {
+	t.Run("a refused offer is not requested for a while, request names are not reused", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1, Zone: "b"})
 		w.advance(Second)
 		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentRefused, nil)
 		w.advance(5 * Second)
-		w.want("asked while refused", len(w.rentals), 1)
+		w.want("requests while refused", len(w.rentals), 1)
 		w.advance(15 * Second)
-		w.want("asked again", len(w.rentals) == 2 && w.rentals[0].Request != w.rentals[1].Request, true)
+		w.want("requested again", len(w.rentals) == 2 && w.rentals[0].Request != w.rentals[1].Request, true)
 	})
 	t.Run("an unanswered request is repeated under its name", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
@@ -50,7 +50,7 @@
 		w.advance(2 * Second)
 		w.want("repeated", len(w.rentals) == 2 && w.rentals[1].Request == name, true)
 	})
-	t.Run("what a former leader rented counts as coming, until it is not listed in time", func(t *testing.T) {
+	t.Run("machines rented by a former leader count as incoming until they are not listed in time", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 4, Request: Resources{2000, 0, 2000}, Image: "im", Zone: "b"}, Revision: 5}
 		w.now = 100 * Second
@@ -59,13 +59,13 @@
 		w.want("rented", len(w.rentals), 0)
 		w.c.HandleMachineList(w.now, nil)
 		w.advance(2 * Second)
-		w.want("rented, the list is late", len(w.rentals), 0)
+		w.want("rented while the list may lag", len(w.rentals), 0)
 		w.advance(12 * Second)
 		w.c.HandleMachineList(w.now, nil)
 		w.advance(2 * Second)
-		w.want("rented, it is gone", len(w.rentals), 1)
+		w.want("rented when the machine is gone", len(w.rentals), 1)
 	})
-	t.Run("idle machines go back after a minute, drained ones at once", func(t *testing.T) {
+	t.Run("idle machines are released after a minute, drained ones at once", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
 		f := w.newWorker("n-1", "a").report()
@@ -85,14 +85,14 @@
 			w.advance(Second)
 			f.report()
 		}
-		w.want("back later", len(w.releases) == 2 && w.releases[1].Machines[0] == "n-1" && w.releases[1].Reason == "idle", true)
+		w.want("released later", len(w.releases) == 2 && w.releases[1].Machines[0] == "n-1" && w.releases[1].Reason == "idle", true)
 	})
-	t.Run("many go back with one request; one that reports again before is kept", func(t *testing.T) {
+	t.Run("several machines are released with one request, one that reports again before is kept", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
-		var fs []*fakeWorker
+		var workers []*fakeWorker
 		for i := range 4 {
-			fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
+			workers = append(workers, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 		}
 		ms := w.c.machines
 		w.c.queueRelease(ms["n-0"], w.now, "idle")
@@ -103,26 +103,26 @@
 		}
 		w.step()
 		w.want("one request at a time", fmt.Sprint(w.releases), "[{[n-0] idle}]")
-		fs[2].report()
+		workers[2].report()
 		w.c.ReleaseResult(w.now, []string{"n-0"}, true)
 		w.step()
-		w.want("the rest together", fmt.Sprint(w.releases[1:]), "[{[n-1 n-3] silent}]")
+		w.want("the other machines together", fmt.Sprint(w.releases[1:]), "[{[n-1 n-3] silent}]")
 		w.c.ReleaseResult(w.now, []string{"n-1", "n-3"}, false)
 		w.advance(2 * Second)
-		w.want("asked again", fmt.Sprint(w.releases[2:]), "[{[n-1 n-3] silent}]")
+		w.want("requested again", fmt.Sprint(w.releases[2:]), "[{[n-1 n-3] silent}]")
 	})
-	t.Run("a silent machine is returned, unless it is this side that hears nothing", func(t *testing.T) {
+	t.Run("an unreachable machine is released, unless no machine reports", func(t *testing.T) {
 		for _, c := range []struct{ heard, want int }{{3, 1}, {0, 0}} {
 			w := newWorld(t, Team{Name: "blue"})
 			w.beginTerm(100, nil, Snapshot{})
-			var fs []*fakeWorker
+			var workers []*fakeWorker
 			for i := range 4 {
-				fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
+				workers = append(workers, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 			}
-			fs[3].losesCommands = true
+			workers[3].losesCommands = true
 			for range 12 {
 				w.advance(Second)
-				for i, f := range fs {
+				for i, f := range workers {
 					f.losesCommands = i >= c.heard
 					f.executeDirect()
 					if i < c.heard {
@@ -133,7 +133,7 @@
 			w.want("returned", len(w.releases), c.want)
 		}
 	})
-	t.Run("a machine that one service keeps rented is emptied, one that batches use is not", func(t *testing.T) {
+	t.Run("a machine that runs only one service is emptied, one with batch tasks is not", func(t *testing.T) {
 		for _, c := range []struct {
 			batch bool
 			want  string
@@ -148,7 +148,7 @@
 					x.report()
 				}
 			}
-			// One service on n-1; n-2 is fuller and has room for it.
+			// One service runs on n-1. n-2 has more tasks and room for that service.
 			w.submit(JobSpec{ID: "job-1", Kind: Service, Tasks: 1, Zone: "a"})
 			w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: 2, Zone: "b"})
 			if c.batch {
@@ -165,19 +165,19 @@
 			w.want("back", fmt.Sprint(w.releases), c.want)
 		}
 	})
-	t.Run("the more services, the more move in a second", func(t *testing.T) {
-		// After a batch left them thinly spread: one service on every machine.
+	t.Run("the rate of moves is proportional to the number of services", func(t *testing.T) {
+		// After a batch job has ended, each machine runs one service.
 		moves := func(machines int) int {
 			w := newWorld(t, Team{Name: "blue"})
 			w.beginTerm(100, nil, Snapshot{})
-			var fs []*fakeWorker
+			var workers []*fakeWorker
 			for i := range machines {
-				fs = append(fs, w.newWorker(fmt.Sprintf("n-%03d", i), "a").report())
+				workers = append(workers, w.newWorker(fmt.Sprintf("n-%03d", i), "a").report())
 			}
 			w.submit(JobSpec{ID: "job-1", Tasks: machines, Request: Resources{7000, 0, 1000}})
 			w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: machines, Request: Resources{1000, 0, 1000}})
 			round := func() {
-				for _, f := range fs {
+				for _, f := range workers {
 					f.executeDirect()
 					f.report()
 				}
@@ -196,19 +196,19 @@
 		}
 		few, many := moves(20), moves(200)
 		w := &world{t: t}
-		one := 20 * float64(Second) / float64(serviceMoveInterval) // a service's moves in that time
+		one := 20 * float64(Second) / float64(serviceMoveInterval) // moves of one service in that time
 		w.want("few move", float64(few) >= 1 && float64(few) <= 20*one+1, true)
 		w.want("many move", float64(many) >= 0.8*200*one && float64(many) <= 1.2*200*one, true)
 	})
-	t.Run("what a class with a start aim may need before a machine comes is held, by the next leader too", func(t *testing.T) {
+	t.Run("capacity is reserved for a class with a start objective, by the next leader too", func(t *testing.T) {
 		const sooner, later = 2 * Second, 60 * Second
 		for _, c := range []struct {
-			name   string
-			within Micros
-			gone   bool // no more jobs come
-			want   int  // machines that go back
+			name       string
+			within     Micros
+			noMoreJobs bool // no more jobs are submitted
+			want       int  // released machines
 		}{
-			{"no aim", 0, false, 2},
+			{"no objective", 0, false, 2},
 			{"renting would be too late", sooner, false, 0},
 			{"renting is in time", later, false, 2},
 			{"no more are expected", sooner, true, 2},
@@ -219,17 +219,17 @@
 				w.c.cfg.StartObjectives = map[string][]Micros{"sweep": {c.within}}
 			}
 			w.beginTerm(100, nil, Snapshot{})
-			fs := []*fakeWorker{w.newWorker("n-1", "a"), w.newWorker("n-2", "b")}
-			for _, f := range fs {
-				f.status.Type = "g" // of its CPUs one task leaves most, but no GPU
+			workers := []*fakeWorker{w.newWorker("n-1", "a"), w.newWorker("n-2", "b")}
+			for _, f := range workers {
+				f.status.Type = "g" // one task uses all GPUs but few CPUs
 			}
 			sweep := JobSpec{Class: "sweep", Tasks: 2, Request: Resources{1000, 2000, 1000}}
 			n := 0
-			// All that is seen in this time is a job every other report.
+			// With jobs, one job is submitted in every other round and cancelled in the next.
 			rounds := func(count int, jobs bool) {
 				for i := range count {
 					w.advance(3 * Second)
-					for _, f := range fs {
+					for _, f := range workers {
 						f.executeDirect()
 						f.report()
 					}
@@ -244,28 +244,28 @@
 			}
 			rounds(10, false)
 			rounds(10, true)
-			rounds(6, false) // but for this pause
-			rounds(20, !c.gone)
-			w.want("returned, "+c.name, w.releases != nil, c.want > 0)
+			rounds(6, false) // a pause in which more jobs are still expected
+			rounds(20, !c.noMoreJobs)
+			w.want("machines released, "+c.name, w.releases != nil, c.want > 0)
 			if c.want > 0 {
 				continue
 			}
 			var records []MachineRecord
-			for i, f := range fs {
+			for i, f := range workers {
 				records = append(records, MachineRecord{Name: f.status.Machine, Address: f.status.Address, Type: "g", Zone: string(rune('a' + i))})
 			}
 			sweep.Tasks, sweep.ID, sweep.Team, sweep.Image = 1, "job-100", "blue", "im"
 			w.beginTerm(200, []JobRecord{{Spec: sweep, Revision: 5}}, Snapshot{MachineGroups: []MachineGroupRecord{{MachinePrefix + "1-1", records}}})
 			n = 200
 			rounds(30, true)
-			w.want("returned by the next leader", len(w.releases), 0)
-			// A machine that is lost is replaced before any task waits.
+			w.want("released by the next leader", len(w.releases), 0)
+			// A lost machine is replaced before any task waits.
 			w.rentals = nil
 			w.c.ReleaseResult(w.now, []string{"n-2"}, true)
 			w.advance(2 * Second)
-			w.want("rented in its place", len(w.rentals), 1)
+			w.want("requests for a replacement", len(w.rentals), 1)
 			w.advance(2 * Second)
-			w.want("not asked for twice", len(w.rentals), 1)
+			w.want("requests after the first", len(w.rentals), 1)
 		}
 	})
 	for _, c := range []struct {
@@ -273,8 +273,8 @@
 		typ  string
 		snap Snapshot
 	}{
-		{"a machine of a type that nobody knows goes back", "new", Snapshot{}},
-		{"a machine taken over empty goes back", "m", Snapshot{MachineGroups: recordedMachines("n-1")}},
+		{"a machine of an unknown type is released", "new", Snapshot{}},
+		{"a machine that is idle at takeover is released", "m", Snapshot{MachineGroups: recordedMachines("n-1")}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
@@ -289,7 +289,7 @@
 			w.want("back", len(w.releases), 1)
 		})
 	}
-	t.Run("a machine that never comes up goes back", func(t *testing.T) {
+	t.Run("a machine that never comes up is released", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1})
@@ -301,15 +301,16 @@
 	})
 }
 
-// TestNotListed: a leader ended after its return of most machines was executed, and
-// before it could say so. The next one hears hardly any and must not take that for a
-// fault on its side until their leases are over: the list tells that they are gone.
+// TestUnlistedMachinesAreReleased covers a leader that fails after its release of most machines was
+// executed but before it could record that. Hardly any machine reports to the next leader, which
+// must not take this for a network fault on its side until the leases are over: the cloud's list
+// shows that the machines are gone.
 func TestUnlistedMachinesAreReleased(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		listed bool // the machines are, as those are that only cannot be heard
-		after  Micros
-		back   int
+		name         string
+		listed       bool // the machines are listed, so they exist but do not report
+		after        Micros
+		wantReleased int
 	}{
 		{"gone", false, 15 * Second, 6},
 		{"gone, and the list may still be too old", false, 12 * Second, 0},
@@ -333,57 +334,58 @@
 			}
 			w.c.HandleMachineList(w.now, list)
 			w.step()
-			w.want("given back", w.releasedMachines(), c.back)
-			if c.back > 0 {
+			w.want("released machines", w.releasedMachines(), c.wantReleased)
+			if c.wantReleased > 0 {
 				w.c.ReleaseResult(w.now, names[:6], true)
 				w.reportRounds(2, []*fakeWorker{f})
-				w.want("tasks that run", w.c.jobs["job-1"].running, 2)
+				w.want("running tasks", w.c.jobs["job-1"].running, 2)
 			}
 		})
 	}
 }
 
-// TestLendable: what is held for a class that starts at once is not lent to a job of
-// lower priority that borrows, since the class could not take it back: on a drawn day
-// a guest's long reruns filled it, and sweeps waited for minutes.
+// TestReservedRoomIsNotBorrowed checks that capacity reserved for a class is not lent to a job of lower
+// priority that is beyond its team's minimum, if the class could not reclaim it. On a randomly
+// generated day of the simulation, long reruns of another team filled the reserved capacity, and jobs
+// that had to start at once waited for minutes.
 func TestReservedRoomIsNotBorrowed(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		own, min Resources // of the class's team and of the other
-		priority Priority
-		runs     int // of its sixteen tasks, on room for sixteen, half of it held
+		name        string
+		own, min    Resources // minimum of the class's team and of the other team
+		priority    Priority
+		wantRunning int // running tasks of sixteen; half of the capacity for sixteen is reserved
 	}{
 		{"borrows", Resources{}, Resources{}, Low, 8},
 		{"within its min", Resources{}, Resources{CPU: 40000}, Low, 16},
 		{"of no lower priority", Resources{}, Resources{}, High, 16},
-		{"what can be taken back", Resources{CPU: 2000}, Resources{}, Low, 16},
+		{"the class can reclaim", Resources{CPU: 2000}, Resources{}, Low, 16},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue", Min: c.own}, Team{Name: "green", Min: c.min})
 			w.c.cfg.StartObjectives = map[string][]Micros{"sweep": {Second}}
 			w.c.cfg.Tuning.ReservationDecay = 600 * Second
 			w.beginTerm(100, nil, Snapshot{})
-			var fs []*fakeWorker
+			var workers []*fakeWorker
 			for i := range 4 {
-				fs = append(fs, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
+				workers = append(workers, w.newWorker(fmt.Sprintf("n-%d", i), "a").report())
 			}
-			w.reportRounds(25, fs)
+			w.reportRounds(25, workers)
 			sweep := JobSpec{ID: "job-1", Class: "sweep", Kind: Array, Priority: High, Tasks: 8}
 			w.submit(sweep)
-			w.reportRounds(3, fs)
-			for _, f := range fs {
+			w.reportRounds(3, workers)
+			for _, f := range workers {
 				for i := range f.status.Tasks {
 					f.exitTask(i, CauseDone)
 				}
 			}
-			w.reportRounds(3, fs)
+			w.reportRounds(3, workers)
 			w.submit(JobSpec{ID: "job-2", Class: "rerun", Team: "green", Kind: Array, Priority: c.priority, Tasks: 16})
-			w.reportRounds(3, fs)
-			w.want("tasks of the other team that run", w.c.jobs["job-2"].running, c.runs)
+			w.reportRounds(3, workers)
+			w.want("running tasks of the other team", w.c.jobs["job-2"].running, c.wantRunning)
 			sweep.ID = "job-3"
 			w.submit(sweep)
-			w.reportRounds(1, fs)
-			w.want("tasks of the class that start at once", w.c.jobs["job-3"].running, 16-c.runs+min(int(c.own.CPU/2000), 1))
+			w.reportRounds(1, workers)
+			w.want("running tasks of the class", w.c.jobs["job-3"].running, 16-c.wantRunning+min(int(c.own.CPU/2000), 1))
 		})
 	}
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -32,7 +32,7 @@
 // or for all tasks of a gang: that capacity is kept for jobs that may come, and this job is
 // already waiting.
 func (c *Core) updateStarving(j *job, now Micros) {
-	// A new leader does not know when tasks were last placed, but workers soon report what is
+	// A new leader has no times of former placements, but workers soon report what is
 	// running. A job therefore counts as starving no earlier than a third of the timeout into
 	// the term.
 	earliest := c.termBeganAt - starvationTimeout*2/3
--- a/internal/core/place_test.go
+++ b/internal/core/place_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestPlaces: types, zones, kinds of machine, spread and one zone.
+// TestPlacementConstraints checks that placement respects machine types, zones, spot and GPU
+// requirements, the spread over zones and the restriction to one zone.
 func TestPlacementConstraints(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -20,22 +21,22 @@
 		{"gang in one zone or not at all", JobSpec{Tasks: 5, Kind: Gang, OneZone: true}, "0 0 0"},
 		{"gang in one zone with spot", JobSpec{Tasks: 5, Kind: Gang, OneZone: true, Spot: true}, "1 4 0"},
 		{"no such type", JobSpec{Tasks: 1, Types: []string{"g"}}, "0 0 0"},
-		{"no GPU there", JobSpec{Tasks: 1, Request: Resources{1000, 1000, 1000}}, "0 0 0"},
+		{"no machine with GPUs", JobSpec{Tasks: 1, Request: Resources{1000, 1000, 1000}}, "0 0 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
 			w.beginTerm(100, nil, Snapshot{})
 			a1, a2, b1 := w.newWorker("a1", "a"), w.newWorker("a2", "a"), w.newWorker("b1", "b")
 			a2.status.Spot = true
-			fs := []*fakeWorker{a1, a2, b1}
-			for _, f := range fs {
+			workers := []*fakeWorker{a1, a2, b1}
+			for _, f := range workers {
 				f.report()
 			}
 			c.job.ID = "job-1"
 			w.submit(c.job)
 			n := [3]int{}
 			for range 3 {
-				for i, f := range fs {
+				for i, f := range workers {
 					f.executeDirect()
 					f.report()
 					n[i] = len(f.status.Tasks)
@@ -46,13 +47,14 @@
 	}
 }
 
-// TestHeldAtOnce: machines are held for a class whose tasks are to start sooner
-// than a machine can be rented, and for no other. A class with a start aim of 90 s
-// had a machine rented for every task that waited, in time or not.
+// TestReservationOnlyBelowProvisioningTime checks that capacity is reserved only for a class whose
+// tasks have to start sooner than a machine can be rented. When it was reserved for every class with
+// a start objective, a class with an objective of 90 s had a machine rented for every waiting task,
+// even if the tasks would have started in time.
 func TestReservationOnlyBelowProvisioningTime(t *testing.T) {
 	for _, c := range []struct {
-		within Micros
-		rents  bool
+		within     Micros
+		wantRental bool
 	}{{2 * Second, true}, {90 * Second, false}, {28 * Second, true}} {
 		w := newWorld(t, Team{Name: "blue"})
 		w.c.cfg.StartObjectives = map[string][]Micros{"sweep": {c.within}}
@@ -62,22 +64,21 @@
 		w.reportRounds(3, []*fakeWorker{f})
 		w.submit(JobSpec{ID: "job-2", Class: "sweep", Tasks: 4, EstimatedRun: 10 * Second, Deadline: 300 * Second})
 		w.reportRounds(4, []*fakeWorker{f})
-		w.want(fmt.Sprintf("rented for tasks that wait for 10 s, to start within %d s", c.within/Second), len(w.rentals) > 0, c.rents)
+		w.want(fmt.Sprintf("machines rented for tasks that wait for 10 s and have to start within %d s", c.within/Second), len(w.rentals) > 0, c.wantRental)
 	}
 }
 
-// TestWorkPerEvent counts, with a thousand machines and ten thousand tasks,
-// how many machines and jobs an ordinary beat has the core look at: a walk over
-// all of them for every event is what made large deployments short of
-// processor time.
+// TestWorkPerEvent counts how many machines and jobs the core examines for an ordinary report, with
+// a thousand machines and ten thousand tasks. Going through all of them for every event made large
+// deployments run short of CPU time.
 func TestWorkPerEvent(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
 	w.beginTerm(100, nil, Snapshot{})
-	fs := make([]*fakeWorker, 1000)
-	for i := range fs {
-		fs[i] = w.newWorker(fmt.Sprintf("n-%04d", i), "ab"[i%2:i%2+1])
-		fs[i].status.Seq++
-		r := fs[i].status
+	workers := make([]*fakeWorker, 1000)
+	for i := range workers {
+		workers[i] = w.newWorker(fmt.Sprintf("n-%04d", i), "ab"[i%2:i%2+1])
+		workers[i].status.Seq++
+		r := workers[i].status
 		w.c.HandleReport(w.now, &r)
 	}
 	w.step()
@@ -92,28 +93,28 @@
 	w.want("jobs placed", w.c.jobs["job-99"].pending, 0)
 	w.sent = nil
 
-	// One worker reports; its tasks run, and one of them has ended.
+	// One worker reports: its tasks run, and one of them has completed.
 	m := w.c.machines["n-0007"]
-	r := fs[7].status
+	r := workers[7].status
 	r.Seq += 5
 	for _, p := range m.placements {
 		r.Tasks = append(r.Tasks, TaskReport{Job: p.jobID, Index: p.index, Attempt: p.attempt, State: Running})
 	}
 	r.Tasks[0].State, r.Tasks[0].Cause = Exited, CauseDone
 	w.c.HandleReport(w.now, &r)
-	w.want("machines to be told something", len(w.c.commandQueue), 1)
-	w.want("jobs with something to write", len(w.c.completionQueue), 1)
-	w.want("the queue is not gone through: no task waits", w.c.collectCandidates(w.now), false)
+	w.want("machines in the command queue", len(w.c.commandQueue), 1)
+	w.want("jobs in the completion queue", len(w.c.completionQueue), 1)
+	w.want("a task waits", w.c.collectCandidates(w.now), false)
 	w.step()
 
-	// Work waits that fits only where the task ended.
+	// The waiting tasks fit only on the machine where the task completed.
 	w.c.UpdateJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: "job-100", Team: "blue", Tasks: 500, Request: Resources{800, 0, 1000}, Image: "im"}, Revision: 5})
 	w.c.collectCandidates(w.now)
-	w.want("machines looked at for each task", len(w.c.candidates), 1)
-	w.want("no victims are looked for where there can be none", w.c.mayReclaim(w.c.jobs["job-100"], false), false)
+	w.want("machines examined for each task", len(w.c.candidates), 1)
+	w.want("victims are searched where there can be none", w.c.mayReclaim(w.c.jobs["job-100"], false), false)
 
-	// Gangs that find no room, nor victims who would make any, are looked at once
-	// a pass for all of their shape, and not again before something changes.
+	// Of gangs with the same equivalence key that find neither room nor victims, only one is
+	// examined in a pass, and not again before something changes.
 	for i := range 50 {
 		w.c.UpdateJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: fmt.Sprintf("job-2%02d", i), Team: "blue", Kind: Gang, Tasks: 4, Priority: High,
 			Request: Resources{8000, 0, 1000}, Types: []string{"g"}, OneZone: true, Image: "im"}, Revision: 5})
@@ -121,16 +122,17 @@
 	w.advance(Second / 2)
 	w.c.machinesExamined = 0
 	w.advance(Second)
-	// A pass a second; victims in each of two zones and tries without any.
-	w.want("machines looked at for gangs", w.c.machinesExamined >= 1000 && w.c.machinesExamined <= 2100, true)
+	// There is one pass per second. It searches for victims in each of two zones, and for free
+	// capacity.
+	w.want("machines examined for gangs", w.c.machinesExamined >= 1000 && w.c.machinesExamined <= 2100, true)
 
-	// CPUs alone make no room: GPUs or memory may be what is used up.
+	// Free CPUs alone are not enough: memory or GPUs may be exhausted.
 	for _, c := range []struct {
 		used Resources
 		want int
 	}{{Resources{}, 1}, {Resources{Mem: 32000}, 0}, {Resources{GPU: 1}, 0}} {
 		m.used = c.used
 		w.c.collectCandidates(w.now)
-		w.want(fmt.Sprint("machines with room where this is used: ", c.used), len(w.c.candidates), c.want)
+		w.want(fmt.Sprint("candidates when this is used: ", c.used), len(w.c.candidates), c.want)
 	}
 }
--- a/internal/core/rank_test.go
+++ b/internal/core/rank_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestOverload: once there is more work than room, the largest late jobs go
-// behind, so that the others are on time.
+// TestOverload checks that with more work than capacity, the largest late jobs are deferred so that
+// the others are on time.
 func TestOverload(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
 	w.beginTerm(100, nil, Snapshot{})
@@ -15,10 +15,10 @@
 		w.submit(JobSpec{ID: id, Tasks: tasks, EstimatedRun: 20 * Second, Deadline: due, Request: Resources{8000, 0, 1000}})
 	}
 	job("job-1", 1, 45*Second)
-	job("job-2", 4, 60*Second) // 80 s of work: cannot be done by then
+	job("job-2", 4, 60*Second) // 80 s of work: it cannot meet its deadline
 	job("job-3", 1, 70*Second)
-	job("job-4", 1, 10*Second) // too late already
-	job("job-5", 3, 5*Second)  // the same, and more work, though due first
+	job("job-4", 1, 10*Second) // already too late
+	job("job-5", 3, 5*Second)  // already too late, with more work but an earlier deadline
 	w.advance(Second)
 	for id, rank := range map[string]int{"job-1": 0, "job-2": 4, "job-3": 0, "job-4": 2, "job-5": 3} {
 		w.want(id, w.c.jobs[id].rank, rank)
@@ -30,16 +30,16 @@
 	w.want("queue", order, "job-1 job-3 job-4 job-5 job-2 ")
 }
 
-// TestLateOrder: of jobs that are late for every aim the least work goes first, and as much
-// work by age: by the least work alone, a quarter of the largest of a flood was done at the
-// day's end, and nearly nine in ten of all.
+// TestOrderLateJobs checks that jobs that miss every objective run in order of least work, with the
+// same amount of work taken in order of age. With least work first alone, only a quarter of the
+// largest jobs of an overload were done by the end of the day, against nearly 90 % of all jobs.
 func TestOrderLateJobs(t *testing.T) {
 	k := &jobClass{}
 	make := func(id, tasks int, submitted Micros) *job {
 		return newJob(JobRecord{Spec: JobSpec{ID: fmt.Sprint("job-", id), Tasks: tasks, EstimatedRun: Second, Request: Resources{CPU: 1000}}}, submitted)
 	}
 	for _, c := range []struct {
-		tasks []int // of jobs, the oldest first
+		tasks []int // number of tasks of each job, the oldest first
 		want  string
 	}{
 		{nil, ""},
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestBeginWaiting: an array that the order of the queue leaves for the end begins with one
-// task once it has waited for long, a small one, of three tasks where most have one, later; one
-// of a lower priority does not go before others.
+// TestStartOverdueArrays checks that a large array at the end of the queue starts with one task after
+// maxStartWait. A small array, with three tasks where most arrays have one, starts after
+// maxStartWaitSmall. An array of a lower priority does not start ahead of the others.
 func TestStartOverdueArrays(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
 	w.beginTerm(100, nil, Snapshot{})
@@ -73,9 +73,9 @@
 	submit := func(id string, tasks int, p Priority) {
 		w.submit(JobSpec{ID: id, Tasks: tasks, Priority: p, EstimatedRun: 10 * Second, Deadline: 20 * Second, Request: Resources{8000, 0, 1000}})
 	}
-	began := map[string]Micros{}
+	startedAt := map[string]Micros{}
 	for s := range 250 {
-		submit(fmt.Sprint("job-s", s), 1, Normal) // small ones come all the time
+		submit(fmt.Sprint("job-s", s), 1, Normal) // small jobs keep arriving
 		if s == 10 {
 			submit("job-0", 40, Normal)
 			submit("job-1", 40, Low)
@@ -86,8 +86,8 @@
 		f.report()
 		for i, task := range f.status.Tasks {
 			if task.State == Running {
-				if began[task.Job] == 0 {
-					began[task.Job] = w.now
+				if startedAt[task.Job] == 0 {
+					startedAt[task.Job] = w.now
 				}
 				if s%2 == 0 {
 					f.exitTask(i, CauseDone)
@@ -95,11 +95,11 @@
 			}
 		}
 	}
-	if at := began["job-0"]; at == 0 || at > 170*Second {
-		t.Errorf("the large one began at %d s", at/Second)
+	if at := startedAt["job-0"]; at == 0 || at > 170*Second {
+		t.Errorf("the large array started at %d s", at/Second)
 	}
-	if at := began["job-2"]; at < 200*Second || at > 230*Second {
-		t.Errorf("the small one began at %d s", at/Second)
+	if at := startedAt["job-2"]; at < 200*Second || at > 230*Second {
+		t.Errorf("the small array started at %d s", at/Second)
 	}
-	w.want("the one of lower priority", began["job-1"], Micros(0))
+	w.want("start of the array of lower priority", startedAt["job-1"], Micros(0))
 }
--- a/internal/core/starvation_test.go
+++ b/internal/core/starvation_test.go
@@ -5,47 +5,47 @@
 	"testing"
 )
 
-// TestNoJobWaitsBesideRoom: room that is kept for services that are expected, or held for a
-// class that starts at once, goes to a job of which nothing has started for long: it is given
-// one task's room. It waited for as long as such services kept coming and the cloud had no
-// more machines. So did one whose task had failed on the only machine with room.
+// TestStarvingJobTakesKeptRoom checks that a job with no task placed for starvationTimeout gets
+// capacity for one task, even if that capacity is spare capacity for expected services or reserved
+// for a class. Otherwise the job waits for as long as such services keep arriving and the cloud has
+// no more machines. The same holds for a job whose task failed on the only machine with room.
 func TestStarvingJobTakesKeptRoom(t *testing.T) {
 	for _, c := range []struct {
-		what string
-		kind Kind
-		hold bool
-		fail bool
+		name     string
+		kind     Kind
+		reserved bool
+		fail     bool
 	}{
-		{"an array beside spare room", Array, false, false}, {"a gang beside spare room", Gang, false, false},
-		{"an array beside held room", Array, true, false}, {"an array where a task of it failed", Array, false, true},
+		{"an array, spare capacity", Array, false, false}, {"a gang, spare capacity", Gang, false, false},
+		{"an array, reserved capacity", Array, true, false}, {"an array, on a machine where its task failed", Array, false, true},
 	} {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"}, Team{Name: "green"}, Team{Name: "guest"})
 			w.c.cfg.StartObjectives = map[string][]Micros{"urgent": {2 * Second}}
 			w.c.cfg.Tuning.ReservationDecay = 600 * Second
-			if !c.hold && !c.fail {
+			if !c.reserved && !c.fail {
 				w.c.cfg.Tuning.SpareTasks = 3
 			}
 			w.beginTerm(100, nil, Snapshot{})
 			f := w.newWorker("n-1", "a").report()
 			n := 0
-			arrive := func() { // what the room is kept for keeps coming, and going
+			arrive := func() { // jobs for which the capacity is kept arrive and end
 				n++
 				s := JobSpec{ID: "job-9" + string(rune('0'+n/10)) + string(rune('0'+n%10)), Tasks: 1, Kind: Service, Team: "green", Class: "web", Priority: Production}
-				if c.hold {
+				if c.reserved {
 					s.Kind, s.Class, s.Priority, s.Tasks, s.Request, s.EstimatedRun = Array, "urgent", High, 1, Resources{8000, 0, 2000}, 5*Second
 				}
 				w.submit(s)
 				f.executeDirect()
 				f.report()
-				if c.hold {
-					w.reportRounds(2, []*fakeWorker{f}) // so that it is seen what the class uses
+				if c.reserved {
+					w.reportRounds(2, []*fakeWorker{f}) // so that the usage of the class is observed
 				}
 				w.cancel(s.ID)
 				f.executeDirect()
 				f.report()
 			}
-			w.reportRounds(22, []*fakeWorker{f}) // what waited when the term began is no rise
+			w.reportRounds(22, []*fakeWorker{f}) // jobs pending when the term began are no rise of usage
 			arrive()
 			w.reportRounds(3, []*fakeWorker{f})
 			arrive()
@@ -70,19 +70,20 @@
 				f.executeDirect()
 				f.report()
 			}
-			w.want("has begun", f.liveTasks(), "job-1/0 ")
+			w.want("tasks after the timeout", f.liveTasks(), "job-1/0 ")
 		})
 	}
 }
 
-// TestLentRoomIsNotKeptAnew: spare room that went to a job which had waited for long is not
-// kept again out of what falls free: in a flood that took a thirtieth of all deadlines.
+// TestLentSpareIsNotReplaced checks that spare capacity used by a starving job is not replaced from
+// capacity that becomes free. In an overload, that replacement made a thirtieth of all jobs miss
+// their deadlines.
 func TestLentSpareIsNotReplaced(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"}, Team{Name: "green"})
 	w.c.cfg.Tuning.SpareTasks = 4
 	w.beginTerm(100, nil, Snapshot{})
 	f := w.newWorker("n-1", "a").report()
-	serve := func(id string) { // services are expected
+	submitService := func(id string) { // more services are expected after this
 		w.submit(JobSpec{ID: id, Tasks: 1, Kind: Service, Team: "green", Class: "web", Priority: Production})
 		f.executeDirect()
 		f.report()
@@ -90,28 +91,29 @@
 		f.executeDirect()
 		f.report()
 	}
-	serve("job-90")
+	submitService("job-90")
 	w.reportRounds(10, []*fakeWorker{f})
-	serve("job-91")
+	submitService("job-91")
 	w.submit(JobSpec{ID: "job-1", Tasks: 1, Request: Resources{4000, 0, 2000}})
 	for i := range 7 {
 		w.reportRounds(9, []*fakeWorker{f})
-		serve(fmt.Sprint("job-8", i))
+		submitService(fmt.Sprint("job-8", i))
 	}
-	w.want("on spare room", f.liveTasks(), "job-1/0 ")
+	w.want("tasks on spare capacity", f.liveTasks(), "job-1/0 ")
 	g := w.newWorker("n-2", "a").report()
 	w.submit(JobSpec{ID: "job-2", Tasks: 9})
 	w.advance(Second)
 	g.executeDirect()
-	w.want("room that comes is for those in time", w.c.jobs["job-2"].occupying, 4)
+	w.want("tasks on new capacity", w.c.jobs["job-2"].occupying, 4)
 	w.want("lent", w.c.machines["n-1"].spareUsed, Resources{4000, 0, 2000})
 	f.exitTask(0, CauseDone)
 	f.report()
-	w.want("lent no more", w.c.machines["n-1"].spareUsed, Resources{})
+	w.want("spare capacity in use after the task", w.c.machines["n-1"].spareUsed, Resources{})
 }
 
-// TestWaitedBeforeATakeover: a job that waited for long under a former leader does not begin to
-// wait anew under the next: it takes kept room once what runs has been heard of.
+// TestStarvationCountsAcrossTakeover checks that a job that starved under a former leader does not
+// wait for the full timeout again under the next one. It gets kept capacity once the workers have
+// reported their tasks.
 func TestStarvationCountsAcrossTakeover(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"}, Team{Name: "green"})
 	w.c.cfg.Tuning.SpareTasks = 4
@@ -120,7 +122,7 @@
 	w.beginTerm(100, []JobRecord{{Spec: old, SubmittedAt: 10 * Second, Revision: 3}}, Snapshot{})
 	f := w.newWorker("n-1", "a")
 	for i := range 24 {
-		if i%8 == 0 { // services are expected
+		if i%8 == 0 { // more services are expected after this
 			id := fmt.Sprint("job-9", i/8)
 			w.submit(JobSpec{ID: id, Tasks: 1, Kind: Service, Team: "green", Class: "web", Priority: Production})
 			w.cancel(id)
@@ -132,5 +134,5 @@
 			w.want("waits", w.c.jobs["job-1"].occupying, 0)
 		}
 	}
-	w.want("has room", w.c.jobs["job-1"].occupying, 1)
+	w.want("placed after the timeout", w.c.jobs["job-1"].occupying, 1)
 }
