--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -107,8 +107,9 @@
 }
 
 // meetsDeadline reports whether a job's waiting tasks would be done by its deadline on the present
-// and incoming machines, after the work ahead of them. It adds the job's tasks to that work.
-// Renting for such a job would cost money from now on without being needed.
+// and incoming machines, after the work ahead of them. It adds the job's tasks to that work. A machine
+// that is rented now costs money at once and helps only after it is up, so none is rented for such a
+// job.
 func (d *demand) meetsDeadline(j *job) bool {
 	if j.deadline == 0 || j.spec.Kind == Service || d.deadlineCPUs <= 0 {
 		return false
