--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -6,24 +6,23 @@
 )
 
 const (
-	// vacateShare is how long a service is left in peace between two moves, on
-	// the average: each move takes it down for as long as its image takes, and
-	// they must not add up.
+	// serviceMoveInterval is the average time between two moves of a service. Each move interrupts
+	// the service for as long as its image fetch takes, and these interruptions must not add up.
 	serviceMoveInterval = 140 * Second
-	// vacateMost is how many services are moved to empty a machine.
+	// maxVacatedServices is the maximum number of services that are moved to empty a machine.
 	maxVacatedServices = 16
-	// vacateTries is how many machines are looked at closely in one pass.
+	// maxVacateAttempts is the maximum number of machines that are examined in detail in one pass.
 	maxVacateAttempts = 8
 )
 
-// consolidate empties ordinary machines that a few services keep rented while
-// there is room for them elsewhere. The more services there are, the more may
-// move in a second. A machine that batches use as well is of use.
+// consolidate empties on-demand machines that stay rented only for a few services which have room on
+// other machines. The rate of moves is proportional to the number of services. A machine that batch
+// tasks use as well is not emptied.
 func (c *Core) consolidate(now Micros) {
 	services := 0
 	for _, j := range c.queue {
 		if j.pending > 0 {
-			// Room is short.
+			// Capacity is short.
 			c.nextVacateAt = now
 			for _, m := range c.vacating {
 				m.vacating = false
@@ -38,7 +37,7 @@
 	if c.unreconciled > 0 || services == 0 {
 		return
 	}
-	// Moves that were not made are not made up for.
+	// Missed moves are not made up for.
 	c.nextVacateAt = max(c.nextVacateAt, now-Second)
 	if now < c.nextVacateAt {
 		return
@@ -47,8 +46,8 @@
 		m    *machine
 		gain float64
 	}
-	var from []vacateCandidate
-	var to []*machine
+	var sources []vacateCandidate
+	var targets []*machine
 	for _, m := range c.sortedMachines {
 		if m.spot || m.used == (Resources{}) || !c.schedulable(m, now) {
 			continue
@@ -59,18 +58,18 @@
 		}
 		gain := m.typ.Price * free / float64(len(m.placements))
 		if m.vacating {
-			gain *= 10 // finish what was begun
+			gain *= 10 // finish emptying this machine first
 		} else {
-			to = append(to, m)
+			targets = append(targets, m)
 		}
 		if m.vacating || len(m.placements) <= maxVacatedServices {
-			from = append(from, vacateCandidate{m, gain})
+			sources = append(sources, vacateCandidate{m, gain})
 		}
 	}
-	slices.SortStableFunc(from, func(a, b vacateCandidate) int { return cmp.Compare(b.gain, a.gain) })
-	for _, f := range from[:min(len(from), maxVacateAttempts)] {
-		m := f.m
-		if !c.canVacate(m, to, now) {
+	slices.SortStableFunc(sources, func(a, b vacateCandidate) int { return cmp.Compare(b.gain, a.gain) })
+	for _, source := range sources[:min(len(sources), maxVacateAttempts)] {
+		m := source.m
+		if !c.canVacate(m, targets, now) {
 			if m.vacating {
 				m.vacating = false
 				c.vacating = slices.DeleteFunc(c.vacating, func(o *machine) bool { return o == m })
@@ -78,10 +77,10 @@
 			continue
 		}
 		if !m.vacating {
-			c.log("vacating: its services fit elsewhere", "machine", m.name, "type", m.typeName, "used_cpus", m.used.CPU/1000)
+			c.log("vacating machine: its services fit on other machines", "machine", m.name, "type", m.typeName, "used_cpus", m.used.CPU/1000)
 			m.vacating = true
 			c.vacating = append(c.vacating, m)
-			to = slices.DeleteFunc(to, func(o *machine) bool { return o == m })
+			targets = slices.DeleteFunc(targets, func(o *machine) bool { return o == m })
 		}
 		for _, p := range slices.Clone(m.placements) {
 			if now < c.nextVacateAt {
@@ -95,73 +94,76 @@
 	}
 }
 
-// moves are services that are to move, by where there is room for them.
+// movePlan is a set of planned moves of services to other machines.
 type movePlan struct {
 	targets    []*machine
-	plannedUse map[*machine]Resources
-	zoneDelta  map[jobZone]int // tasks of a job that come to a zone, or leave it
+	plannedUse map[*machine]Resources // resources that the moves need on their targets
+	zoneDelta  map[jobZone]int        // change in the number of a job's tasks in a zone
 	moves      []serviceMove
 }
 
+// serviceMove is a planned move of a service's task to another machine.
 type serviceMove struct {
 	placement *placement
 	target    *machine
 }
 
+// jobZone is a key for counts by job and zone.
 type jobZone struct {
 	job  *job
 	zone string
 }
 
-func newMovePlan(to []*machine) *movePlan {
-	return &movePlan{targets: to, plannedUse: map[*machine]Resources{}, zoneDelta: map[jobZone]int{}}
+// newMovePlan returns an empty plan for moves to the given machines.
+func newMovePlan(machines []*machine) *movePlan {
+	return &movePlan{targets: machines, plannedUse: map[*machine]Resources{}, zoneDelta: map[jobZone]int{}}
 }
 
-// left is what stays free on a machine that services may move to.
-func (v *movePlan) freeOn(o *machine) Resources { return o.free().Sub(v.plannedUse[o]) }
+// freeOn returns the resources that remain free on a target after the planned moves.
+func (plan *movePlan) freeOn(o *machine) Resources { return o.free().Sub(plan.plannedUse[o]) }
 
-// count notes a move, or one that is not made after all.
-func (v *movePlan) apply(mv serviceMove, sign int) {
-	v.plannedUse[mv.target] = v.plannedUse[mv.target].Add(mv.placement.need.Times(sign))
-	v.zoneDelta[jobZone{mv.placement.job, mv.target.zone}] += sign
-	v.zoneDelta[jobZone{mv.placement.job, mv.placement.machine.zone}] -= sign
+// apply counts a move if sign is 1, and undoes that if sign is -1.
+func (plan *movePlan) apply(mv serviceMove, sign int) {
+	plan.plannedUse[mv.target] = plan.plannedUse[mv.target].Add(mv.placement.need.Times(sign))
+	plan.zoneDelta[jobZone{mv.placement.job, mv.target.zone}] += sign
+	plan.zoneDelta[jobZone{mv.placement.job, mv.placement.machine.zone}] -= sign
 }
 
-// take finds room for tasks of services away from their machines, with their
-// images there already if cached is set: for all of them, or it reports false and
-// nothing is taken.
-func (c *Core) planMoves(v *movePlan, ps []*placement, cached bool) bool {
-	before := len(v.moves)
-	for _, p := range ps {
-		j, from := p.job, p.machine.zone
-		i := slices.IndexFunc(v.targets, func(o *machine) bool {
-			if o == p.machine || cached && !o.hasImage(j.imageID) || !p.need.Fits(v.freeOn(o)) {
+// planMoves adds moves to other machines for all given placements of services. With requireCached,
+// only machines that have the image are targets. If one placement has no target, planMoves returns
+// false and leaves the plan as it was.
+func (c *Core) planMoves(plan *movePlan, placements []*placement, requireCached bool) bool {
+	start := len(plan.moves)
+	for _, p := range placements {
+		j, fromZone := p.job, p.machine.zone
+		i := slices.IndexFunc(plan.targets, func(o *machine) bool {
+			if o == p.machine || requireCached && !o.hasImage(j.imageID) || !p.need.Fits(plan.freeOn(o)) {
 				return false
 			}
-			j.placedByZone[from]-- // as it will be
-			ok := c.machineAllowed(j, o) && (!j.spec.Spread || o.zone == from || j.placedByZone[o.zone]+v.zoneDelta[jobZone{j, o.zone}] < (j.spec.Tasks+1)/2)
-			j.placedByZone[from]++
+			j.placedByZone[fromZone]-- // count the zones as they are after the move
+			ok := c.machineAllowed(j, o) && (!j.spec.Spread || o.zone == fromZone || j.placedByZone[o.zone]+plan.zoneDelta[jobZone{j, o.zone}] < (j.spec.Tasks+1)/2)
+			j.placedByZone[fromZone]++
 			return ok
 		})
 		if i < 0 {
-			for _, mv := range v.moves[before:] {
-				v.apply(mv, -1)
+			for _, mv := range plan.moves[start:] {
+				plan.apply(mv, -1)
 			}
-			v.moves = v.moves[:before]
+			plan.moves = plan.moves[:start]
 			return false
 		}
-		mv := serviceMove{p, v.targets[i]}
-		v.apply(mv, 1)
-		v.moves = append(v.moves, mv)
+		mv := serviceMove{p, plan.targets[i]}
+		plan.apply(mv, 1)
+		plan.moves = append(plan.moves, mv)
 	}
 	return true
 }
 
-// movable reports whether all services on a machine, and there are some, have
-// room on the machines to, with their image and besides the spare room.
-func (c *Core) canVacate(m *machine, to []*machine, now Micros) bool {
-	v := newMovePlan(to)
-	var ps []*placement
+// canVacate reports whether the machine runs services and all of them have room on targets that have
+// their images, with enough spare capacity left.
+func (c *Core) canVacate(m *machine, targets []*machine, now Micros) bool {
+	plan := newMovePlan(targets)
+	var services []*placement
 	for _, p := range m.placements {
 		if !p.occupies() {
 			continue
@@ -176,22 +178,22 @@
 			if m.vacating {
 				continue
 			}
-			return false // batches make use of it
+			return false // batch tasks use it
 		}
-		ps = append(ps, p)
+		services = append(services, p)
 	}
-	if len(ps) == 0 || !c.planMoves(v, ps, true) {
+	if len(services) == 0 || !c.planMoves(plan, services, true) {
 		return false
 	}
 	if c.spareTaskRequest == (Resources{}) {
 		return true
 	}
-	// What is left must do for the services that are expected.
-	left := 0
+	// The remaining capacity has to suffice for the expected services.
+	spareLeft := 0
 	for _, o := range c.sortedMachines {
 		if o != m && !o.spot && !o.vacating && c.schedulable(o, now) {
-			left += c.spareTaskRequest.countIn(v.freeOn(o))
+			spareLeft += c.spareTaskRequest.countIn(plan.freeOn(o))
 		}
 	}
-	return left >= c.spareTarget
+	return spareLeft >= c.spareTarget
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -1,18 +1,19 @@
 package core
 
-// room is a machine that is coming: tasks are promised to it before more is
-// rented.
+// incomingMachine is a machine that was rented or requested and is not up yet. Waiting tasks are
+// assigned to it before more machines are rented.
 type incomingMachine struct {
 	offer
-	free Resources
+	free Resources // not assigned to tasks yet
 }
 
-// coming lists the machines that are coming.
+// incomingMachines returns the machines that are expected to come up: those that are booting and
+// those of rentals that are not granted yet.
 func (c *Core) incomingMachines(now Micros) []*incomingMachine {
-	var coming []*incomingMachine
+	var machines []*incomingMachine
 	for _, m := range c.sortedMachines {
 		if m.incoming(now) && !c.partitioned(m.zone, now) {
-			coming = append(coming, &incomingMachine{offer{m.typeName, m.zone, m.spot}, m.typ.Capacity})
+			machines = append(machines, &incomingMachine{offer{m.typeName, m.zone, m.spot}, m.typ.Capacity})
 		}
 	}
 	for _, r := range c.sortedRentals() {
@@ -21,17 +22,17 @@
 		}
 		if t := c.machineTypes[r.Type]; t != nil {
 			for i := 0; i < r.Count; i++ {
-				coming = append(coming, &incomingMachine{offer{r.Type, r.Zone, r.Spot}, t.Capacity})
+				machines = append(machines, &incomingMachine{offer{r.Type, r.Zone, r.Spot}, t.Capacity})
 			}
 		}
 	}
-	return coming
+	return machines
 }
 
-// rentForDemand rents for tasks that wait and for room that is kept, after
-// what is coming already.
-func (c *Core) rentForDemand(now Micros, coming []*incomingMachine) {
-	d := &demand{c: c, now: now, incoming: coming, requested: map[offer]bool{}, counts: map[offer]int{}, reasons: map[offer]string{}}
+// rentForDemand rents machines for waiting tasks, spare capacity and reservations, as far as the
+// incoming machines do not cover them.
+func (c *Core) rentForDemand(now Micros, incoming []*incomingMachine) {
+	d := &demand{c: c, now: now, incoming: incoming, requested: map[offer]bool{}, counts: map[offer]int{}, reasons: map[offer]string{}}
 	for _, r := range c.rentals {
 		if !r.granted {
 			d.requested[offer{r.Type, r.Zone, r.Spot}] = true
@@ -49,31 +50,31 @@
 	}
 	d.rentSpare()
 	d.rentReserved()
-	for _, of := range d.offers[:max(min(len(d.offers), maxRentalsInFlight-len(d.requested)), 0)] {
-		c.rent(now, of, d.counts[of], d.reasons[of])
+	for _, o := range d.offers[:max(min(len(d.offers), maxRentalsInFlight-len(d.requested)), 0)] {
+		c.rent(now, o, d.counts[o], d.reasons[o])
 	}
 }
 
-// demand is one computation of what to rent.
+// demand is the state of one computation of what to rent.
 type demand struct {
 	c            *Core
 	now          Micros
 	incoming     []*incomingMachine
 	requested    map[offer]bool // a request has no answer yet
-	counts       map[offer]int
-	offers       []offer
+	counts       map[offer]int  // machines to rent
+	offers       []offer        // keys of counts, in the order in which they were added
 	reasons      map[offer]string
-	deadlineCPUs int64 // of machines that are up or coming, for jobs with a deadline
-	incomingCPUs int64
-	slowestBoot  Micros  // of the slowest that is coming
-	workAhead    float64 // on them and ahead in the queue, in CPU time
+	deadlineCPUs int64   // CPU of machines that are up or incoming, available to jobs with a deadline
+	incomingCPUs int64   // CPU of incoming machines
+	slowestBoot  Micros  // longest boot time of an incoming machine
+	workAhead    float64 // work on these machines and ahead in the queue, in CPU time
 }
 
-// forecast works out how much of the machines that are up is there for jobs
-// with a deadline, and how much work is on them.
+// estimateCapacity computes the CPU available to jobs with a deadline and the work that is already
+// placed on it.
 func (d *demand) estimateCapacity() {
-	for _, r := range d.incoming {
-		d.addIncoming(r)
+	for _, in := range d.incoming {
+		d.addIncoming(in)
 	}
 	for _, m := range d.c.sortedMachines {
 		if !d.c.schedulable(m, d.now) {
@@ -88,26 +89,27 @@
 				d.deadlineCPUs -= p.need.CPU
 				continue
 			}
-			left := p.job.correctedEstimate()
+			remaining := p.job.correctedEstimate()
 			if p.reported && p.state == Running {
-				left -= d.now - p.runningAt
+				remaining -= d.now - p.runningAt
 			}
-			d.workAhead += float64(p.need.CPU) * float64(max(left, Second))
+			d.workAhead += float64(p.need.CPU) * float64(max(remaining, Second))
 		}
 	}
 }
 
-// expect counts a machine that is coming.
-func (d *demand) addIncoming(r *incomingMachine) {
-	t := d.c.machineTypes[r.machineType]
+// addIncoming adds an incoming machine to the capacity.
+func (d *demand) addIncoming(m *incomingMachine) {
+	t := d.c.machineTypes[m.machineType]
 	d.deadlineCPUs += t.Capacity.CPU
 	d.incomingCPUs += t.Capacity.CPU
 	d.slowestBoot = max(d.slowestBoot, t.BootTime)
 }
 
-// inTime reports whether a job's waiting tasks would be done by its deadline
-// on the machines there are, behind the work that goes first. A machine that
-// is rented now costs money from now on and helps only once it is up.
+// meetsDeadline reports whether a job's waiting tasks would be done by its deadline on the present
+// and incoming machines, after the work ahead of them. It adds the job's tasks to that work. A machine
+// that is rented now costs money at once and helps only after it is up, so none is rented for such a
+// job.
 func (d *demand) meetsDeadline(j *job) bool {
 	if j.deadline == 0 || j.spec.Kind == Service || d.deadlineCPUs <= 0 {
 		return false
@@ -115,33 +117,34 @@
 	d.workAhead += float64(j.spec.Request.CPU) * float64(j.correctedEstimate()) * float64(j.pending)
 	wait := Micros(d.workAhead / float64(d.deadlineCPUs))
 	wait += Micros(float64(d.slowestBoot) * float64(d.incomingCPUs) / float64(d.deadlineCPUs))
-	// Estimates are often half of what it takes; and it must not be too late yet to
-	// rent when this turns out too hopeful. The same goes for the first aim for
-	// its tasks' start that a rented machine can meet.
-	lead := d.c.provisioningTime(&j.spec)
-	for _, within := range j.class.startObjectives {
-		if within > lead {
-			if d.now+wait+5*Second+lead > j.submitted+within {
+	// Tasks often run for twice their estimate. The margin also leaves time to rent a machine
+	// if the forecast proves too optimistic. The same holds for the earliest start objective
+	// that a rented machine can meet.
+	provisioning := d.c.provisioningTime(&j.spec)
+	for _, objective := range j.class.startObjectives {
+		if objective > provisioning {
+			if d.now+wait+5*Second+provisioning > j.submitted+objective {
 				return false
 			}
 			break
 		}
 	}
-	return d.now+wait+2*j.correctedEstimate()+5*Second+lead <= j.deadline
+	return d.now+wait+2*j.correctedEstimate()+5*Second+provisioning <= j.deadline
 }
 
-// job covers a job's waiting tasks.
+// coverJob assigns a job's waiting tasks to incoming machines and adds rentals for the rest, up to
+// its team's maximum.
 func (d *demand) coverJob(j *job) {
 	c := d.c
 	t := j.team
-	use := c.teamUsage(t)
+	usage := c.teamUsage(t)
 	zones := map[string]int{}
 	for z, n := range j.placedByZone {
 		zones[z] = n
 	}
-	half := (j.spec.Tasks + 1) / 2
+	maxPerZone := (j.spec.Tasks + 1) / 2
 	zoneOK := func(z string) bool {
-		if j.spec.Zone != "" && z != j.spec.Zone || j.spec.Spread && zones[z] >= half {
+		if j.spec.Zone != "" && z != j.spec.Zone || j.spec.Spread && zones[z] >= maxPerZone {
 			return false
 		}
 		if j.spec.OneZone {
@@ -153,51 +156,56 @@
 		}
 		return true
 	}
-	next := 0 // what is coming before this has no room for the job
+	next := 0 // incoming machines before this index have no room for the job
 	for n := min(j.pending, 400); n > 0; n-- {
-		if overMax(use, j.spec.Request, t.Max) {
+		if overMax(usage, j.spec.Request, t.Max) {
 			return
 		}
-		use = use.Add(j.spec.Request)
-		var r *incomingMachine
+		usage = usage.Add(j.spec.Request)
+		var m *incomingMachine
 		for ; next < len(d.incoming); next++ {
 			if d.fits(j, d.incoming[next], zoneOK) {
-				r = d.incoming[next]
+				m = d.incoming[next]
 				break
 			}
 		}
-		if r == nil {
-			r = d.rentForJob(j, n, zoneOK)
+		if m == nil {
+			m = d.rentForJob(j, n, zoneOK)
 		}
-		if r == nil {
+		if m == nil {
 			return
 		}
-		r.free = r.free.Sub(j.spec.Request)
-		zones[r.zone]++
+		m.free = m.free.Sub(j.spec.Request)
+		zones[m.zone]++
 	}
 }
 
-func (d *demand) fits(j *job, r *incomingMachine, zoneOK func(string) bool) bool {
-	return j.spec.Request.Fits(r.free) && (!r.spot || j.spec.Spot) && j.spec.typeAllowed(r.machineType) && zoneOK(r.zone)
+// fits reports whether a task of the job can run on the incoming machine.
+func (d *demand) fits(j *job, m *incomingMachine, zoneOK func(string) bool) bool {
+	return j.spec.Request.Fits(m.free) && (!m.spot || j.spec.Spot) && j.spec.typeAllowed(m.machineType) && zoneOK(m.zone)
 }
 
-// rentFor orders one more machine for n tasks of the job.
+// rentForJob adds a rental of one machine for n tasks of the job, or returns nil if no suitable
+// machine may be requested.
 func (d *demand) rentForJob(j *job, n int, zoneOK func(string) bool) *incomingMachine {
-	of, ok := d.cheapestOffer(&j.spec, n, zoneOK)
+	o, ok := d.cheapestOffer(&j.spec, n, zoneOK)
 	if !ok {
 		return nil
 	}
-	return d.addRental(of, "tasks wait: "+j.spec.Class)
+	return d.addRental(o, "waiting tasks: "+j.spec.Class)
 }
 
-// open reports whether one more machine may be asked for: not while the last
-// request for such machines was refused or has no answer, since there may be
-// no more of them, and the cloud takes few calls; nor where it could not report.
-func (d *demand) mayRequest(of offer) bool {
-	return !d.c.partitioned(of.zone, d.now) && d.now >= d.c.refusedUntil[of] && !d.requested[of] && d.counts[of] < maxMachinesPerRental
+// mayRequest reports whether one more machine of the offer may be requested. None is requested
+// for a time after a refusal or while a request is unanswered, because the cloud may have no more
+// of these machines and limits the rate of calls. None is requested in a partitioned zone, where
+// the machine could not report.
+func (d *demand) mayRequest(o offer) bool {
+	return !d.c.partitioned(o.zone, d.now) && d.now >= d.c.refusedUntil[o] && !d.requested[o] && d.counts[o] < maxMachinesPerRental
 }
 
-// cheapest finds the machine whose useful part is cheapest for n such tasks.
+// cheapestOffer returns the offer with the lowest price per task for n tasks of the job, and false
+// if no suitable machine may be requested. Offers whose machines recently came up late count as
+// more expensive.
 func (d *demand) cheapestOffer(s *JobSpec, n int, zoneOK func(string) bool) (best offer, ok bool) {
 	bestPrice := 0.0
 	for _, t := range d.c.machineTypeList {
@@ -210,18 +218,18 @@
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				of := offer{t.Name, z, spot}
-				if spot && !s.Spot || !d.mayRequest(of) {
+				o := offer{t.Name, z, spot}
+				if spot && !s.Spot || !d.mayRequest(o) {
 					continue
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				price *= 1 + overduePricePenalty*d.c.overdueShare(of, d.now)
+				price *= 1 + overduePricePenalty*d.c.overdueShare(o, d.now)
 				price /= float64(min(fits, n))
 				if !ok || price < bestPrice {
-					best, bestPrice, ok = of, price, true
+					best, bestPrice, ok = o, price, true
 				}
 			}
 		}
@@ -229,14 +237,15 @@
 	return best, ok
 }
 
-func (d *demand) addRental(of offer, why string) *incomingMachine {
-	if d.counts[of] == 0 {
-		d.offers = append(d.offers, of)
-		d.reasons[of] = why
+// addRental adds one machine of the offer to the rentals and returns it as an incoming machine.
+func (d *demand) addRental(o offer, reason string) *incomingMachine {
+	if d.counts[o] == 0 {
+		d.offers = append(d.offers, o)
+		d.reasons[o] = reason
 	}
-	d.counts[of]++
-	r := &incomingMachine{of, d.c.machineTypes[of.machineType].Capacity}
-	d.incoming = append(d.incoming, r)
-	d.addIncoming(r)
-	return r
+	d.counts[o]++
+	m := &incomingMachine{o, d.c.machineTypes[o.machineType].Capacity}
+	d.incoming = append(d.incoming, m)
+	d.addIncoming(m)
+	return m
 }
