--- a/internal/core/failure_attribution.go
+++ b/internal/core/failure_attribution.go
@@ -1,63 +1,64 @@
 package core
 
-// A task that fails is its machine's fault or its job's. A faulty machine fails
-// every task, whatever its job; a job that was submitted with a mistake fails on
-// every machine. So a job of which a task has run well is not at fault (proven),
-// and each of its failures speaks against the machine; one that failed on several
-// machines while nothing of it ran well anywhere is suspect, its failures speak
-// against no machine, and it is tried with one task at a time, less and less
-// often. While neither is known, its failures count against the machine.
+// A task's failure is attributed to its machine or to its job. A faulty machine fails the tasks of
+// every job; a job that was submitted with a mistake fails on every machine. A job is proven once
+// one of its tasks has run well, and each of its failures counts against the machine. A job is
+// suspect if it has failed on several machines and is not proven: its failures count against no
+// machine, and it is retried with one task at a time, with exponential back-off. The failures of
+// a job that is neither count against the machine.
 //
-// Without this a few jobs with a mistake put most of the fleet out of use: a
-// hundred of one's tasks fail on as many machines in the same moment.
+// Without this attribution a few jobs with mistakes quarantine most of the fleet: a hundred tasks
+// of one job fail on as many machines at the same time.
 
 const (
-	// suspectFrom is on how many machines a job fails before it is suspect.
+	// suspectThreshold is the number of machines on which an unproven job has failed from which
+	// on it is suspect.
 	suspectThreshold = 3
-	// attributeJobs is how many jobs that are not suspect fail on a machine before it
-	// is taken out of use.
+	// quarantineThreshold is the number of jobs, not suspect, that have failed on a machine from
+	// which on the machine is quarantined.
 	quarantineThreshold = 2
-	// provenAfter is how long a task has to run to have run well: one that fails
-	// does so once it has its image, or soon after.
+	// provenRunTime is the run time after which a task counts as having run well: a task with a
+	// mistake fails when it has fetched its image, or soon after.
 	provenRunTime = 3 * Second
-	// The pause of a suspect job doubles from the first to the most.
+	// suspectBackoff is the first back-off of a suspect job. It doubles up to maxSuspectBackoff.
 	suspectBackoff    = 2 * Second
 	maxSuspectBackoff = 64 * Second
 )
 
-// suspect reports whether the job is taken to fail wherever it runs.
+// suspect reports whether the job is assumed to fail on every machine.
 func (j *job) suspect() bool { return !j.proven && len(j.failedOn) >= suspectThreshold }
 
-// failed notes that a task failed.
+// recordFailure attributes the failure of a task to its machine, or to its job, which then backs
+// off.
 func (c *Core) recordFailure(p *placement, now Micros) {
 	m, j := p.machine, p.job
 	if j.failedOn == nil {
 		j.failedOn = map[string]bool{}
 	}
-	before := j.suspect()
+	wasSuspect := j.suspect()
 	j.failedOn[m.name] = true
 	c.log("task failed", "machine", m.name, "job", p.jobID, "task", p.index, "machines_failed_on", len(j.failedOn), "proven", j.proven)
 	if !j.suspect() {
 		c.attributeToMachine(m, p.jobID, now)
 		return
 	}
-	if !before {
+	if !wasSuspect {
 		for name := range j.failedOn {
-			if o := c.machines[name]; o != nil {
-				delete(o.failedJobs, p.jobID)
+			if other := c.machines[name]; other != nil {
+				delete(other.failedJobs, p.jobID)
 			}
 		}
 	}
-	if now >= j.notBefore { // or it is one more of those that were started together
-		pause := min(suspectBackoff<<j.backoffs, maxSuspectBackoff)
-		j.notBefore = now + pause
+	if now >= j.notBefore { // tasks that were started together cause one back-off
+		backoff := min(suspectBackoff<<j.backoffs, maxSuspectBackoff)
+		j.notBefore = now + backoff
 		j.backoffs = min(j.backoffs+1, 10)
-		c.log("job backs off: it failed on several machines", "job", p.jobID, "machines", len(j.failedOn), "for_ms", pause/Millisecond)
+		c.log("job backs off: it failed on several machines", "job", p.jobID, "machines", len(j.failedOn), "for_ms", backoff/Millisecond)
 	}
 }
 
-// blame lays a failure to a machine, which is taken out of use when several jobs
-// failed there.
+// attributeToMachine counts a job's failure against a machine, and quarantines the machine once
+// several jobs have failed on it.
 func (c *Core) attributeToMachine(m *machine, job string, now Micros) {
 	if m.failedJobs == nil {
 		m.failedJobs = map[string]bool{}
@@ -65,19 +66,19 @@
 	m.failedJobs[job] = true
 	if len(m.failedJobs) >= quarantineThreshold && now >= m.quarantinedUntil {
 		m.quarantinedUntil = now + c.cfg.Tuning.Quarantine
-		c.log("quarantine: several jobs failed here", "machine", m.name)
+		c.log("machine quarantined: several jobs failed on it", "machine", m.name)
 		c.drain(m, now, 0)
 	}
 }
 
-// ranWell notes that a task of the job did: where others of it failed, the
-// machines are to blame.
+// markProven records that a task of the job has run well. The job's earlier failures are attributed
+// to the machines.
 func (c *Core) markProven(j *job, now Micros) {
 	if j.proven {
 		return
 	}
 	if j.suspect() {
-		c.log("job is not at fault: a task of it runs", "job", j.spec.ID, "machines_failed_on", len(j.failedOn))
+		c.log("job is not suspect any more: one of its tasks runs", "job", j.spec.ID, "machines_failed_on", len(j.failedOn))
 		j.notBefore = 0
 		c.needsPlacement = true
 	}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -2,65 +2,68 @@
 
 import "slices"
 
-// machine is a rented machine.
+// machine is the leader's view of one rented machine and of the worker on it.
 type machine struct {
 	name, address, zone string
-	typ                 *MachineType
+	typ                 *MachineType // nil if the catalog does not list typeName
 	typeName            string
 	spot                bool
-	session, seq        uint64
-	reportedToken       uint64 // highest it has reported
-
-	record             *machineGroup // the record that it is in, or will be
-	recorded           bool
-	retainedIn         *retainedGroup // nothing is placed while it is in such a record
-	reconciled         bool           // everything on it is known to this leader
-	lost               bool           // its lease has run out
+	session, seq        uint64 // of the newest report; session 0: none in this term
+	reportedToken       uint64 // highest fencing token that the worker has reported
+
+	record             *machineGroup  // the stored record that lists the machine, or will list it
+	recorded           bool           // the record that lists the machine is stored
+	retainedIn         *retainedGroup // the partition record that lists it; until that ends, no task is placed here
+	reconciled         bool           // this leader knows every task that may run on the machine
+	lost               bool           // its lease has expired, or the cloud lists it as failed
 	lostAt             Micros
-	booting            bool   // never heard of
-	bootOverdue        bool   // it did not come up in time
-	discoveredAt       Micros // when we learnt of it
-	rentedAt           Micros // when it was rented, by our clock
-	lastReport         Micros // last report
-	lastAcknowledged   Micros // last time a report of it was answered with 200
-	lastPeriodicReport Micros // last report that it sent by itself; what it answers to a command does not count
-	unverified         bool   // known from before this term, without a record: see report.go
-	idleSince          Micros // since when it is without tasks
+	booting            bool   // no report has ever arrived
+	bootOverdue        bool   // it did not report within the expected boot time
+	discoveredAt       Micros // when this leader first learnt of the machine
+	rentedAt           Micros // on this process's clock
+	lastReport         Micros // when the last report of any kind arrived
+	lastAcknowledged   Micros // when a report was last acknowledged, which renews the lease
+	lastPeriodicReport Micros // when the last periodic report arrived; replies to direct commands don't count
+	unverified         bool   // it has no stored record and has not reported this term's token; see applyReport
+	idleSince          Micros // since when no task occupies it; 0: some does
 
 	placements          []*placement
-	used                Resources // by placements that hold
-	spareUsed           Resources // of that, by those that took spare room: see spareOn
-	commandInFlight     bool
-	directCommandFailed bool   // the last direct command could not be delivered: wait for a beat
-	probeQueued         bool   // in Core.probes
-	probeStarted        Micros // since when a probe is under way; 0: none is
-	commandFailures     int    // direct commands in a row that did not get through
-	unreachable         bool   // a probe of a suspect went unanswered
-
-	inboundLost       bool   // see deaf.go
-	lastAnswerToken   uint64 // the token that its last beat was answered with
-	ignoredAnswers    int    // answers in a row that it did not take
-	unexecutedAnswers int    // answers in a row that it did nothing of
-
-	commandsQueued   bool // in Core.touched
-	commandsDeferred bool // in Core.retouch
+	used                Resources // by the placements that occupy resources
+	spareUsed           Resources // the part of used that was placed on spare capacity; see spareSlots
+	commandInFlight     bool      // a direct command has no result yet
+	directCommandFailed bool      // the last direct command was not delivered; none is sent until the next periodic report
+	probeQueued         bool      // in Core.probeQueue
+	probeStarted        Micros    // when the probe in flight was sent; 0: none is in flight
+	commandFailures     int       // consecutive direct commands without a reply
+	unreachable         bool      // a probe went unanswered, or its zone is partitioned; cleared by the next report
+
+	// Detection of inbound loss; see inbound_loss.go.
+	inboundLost       bool
+	lastAnswerToken   uint64 // the leader's token when the last report was handled
+	ignoredAnswers    int    // consecutive answers whose token the worker did not adopt
+	unexecutedAnswers int    // consecutive answers whose commands the worker did not execute
+
+	commandsQueued   bool // in Core.commandQueue
+	commandsDeferred bool // in Core.commandRetryQueue
 
 	draining         bool
-	vacating         bool // being emptied to be returned: gets no more tasks
-	releasing        bool
+	vacating         bool // being emptied so that it can be released; it gets no more tasks
+	releasing        bool // queued for release, or the release request is in flight
 	releaseReason    string
-	blockedUntil     Micros // refused a start for want of room: not before this
-	quarantinedUntil Micros
-	failedJobs       map[string]bool // jobs that failed here since the last success
-	images           []cachedImage   // most recently used last
-	fetchingTasks    int
+	blockedUntil     Micros          // after a start was refused for lack of capacity
+	quarantinedUntil Micros          // after tasks of several jobs failed here
+	failedJobs       map[string]bool // jobs with a failed task here and no later successful start
+	images           []cachedImage   // the image cache, most recently used last
+	fetchingTasks    int             // tasks that are fetching their image
 }
 
+// cachedImage is an image in a machine's cache.
 type cachedImage struct {
-	id     int // of Core.images
+	id     int // as in Core.imageIDs
 	sizeMB int64
 }
 
+// free returns the unallocated resources, and none for a machine of unknown type.
 func (m *machine) free() Resources {
 	if m.typ == nil {
 		return Resources{}
@@ -68,14 +71,14 @@
 	return m.typ.Capacity.Sub(m.used)
 }
 
-// knows reports whether the machine has had an attempt of a task.
+// hasAttempt reports whether the machine has a placement of this attempt of a task.
 func (m *machine) hasAttempt(j *job, index int, attempt uint64) bool {
 	return slices.ContainsFunc(m.placements, func(p *placement) bool {
 		return p.jobID == j.spec.ID && p.index == index && p.attempt == attempt
 	})
 }
 
-// price is what the machine costs an hour.
+// hourlyPrice returns the machine's price per hour.
 func (m *machine) hourlyPrice() float64 {
 	if m.spot {
 		return m.typ.SpotPrice
@@ -83,11 +86,13 @@
 	return m.typ.Price
 }
 
-// hasLate reports whether a direct start to the machine went unanswered.
+// hasUnansweredStart reports whether a direct start command to the machine went unanswered
+// and may still arrive.
 func (m *machine) hasUnansweredStart() bool {
 	return slices.ContainsFunc(m.placements, func(p *placement) bool { return p.startUnanswered })
 }
 
+// hasImage reports whether the image is in the machine's cache.
 func (m *machine) hasImage(id int) bool {
 	for _, im := range m.images {
 		if im.id == id {
@@ -97,8 +102,8 @@
 	return false
 }
 
-// useImage notes an image as the most recently used and drops what no longer
-// fits into the cache.
+// markImageUsed makes an image the most recently used one, adding it if it is new, and
+// evicts the least recently used images that exceed the cache size.
 func (m *machine) markImageUsed(id int, mb int64) {
 	for i, im := range m.images {
 		if im.id == id {
@@ -121,8 +126,8 @@
 	}
 }
 
-// dropImage forgets an image that a task waited for and that no other does: a
-// machine then gives its fetch up.
+// dropImage removes an image from the cache unless another task on the machine uses it. It is
+// called when a task that waited for the image ends: the worker then aborts the fetch.
 func (m *machine) dropImage(id int) {
 	for _, p := range m.placements {
 		if p.job != nil && p.job.imageID == id && p.occupies() {
@@ -132,19 +137,19 @@
 	m.images = slices.DeleteFunc(m.images, func(im cachedImage) bool { return im.id == id })
 }
 
-// heardWithin reports whether the machine has been heard by this leader lately.
+// reportedWithin reports whether the machine has reported to this leader within the last d.
 func (m *machine) reportedWithin(now, d Micros) bool { return m.session > 0 && now-m.lastReport <= d }
 
-// usable reports whether tasks may be given to the machine now.
+// schedulable reports whether tasks may be placed on the machine now.
 func (c *Core) schedulable(m *machine, now Micros) bool {
 	return m.typ != nil && m.reconciled && !m.unverified && m.retainedIn == nil && !m.lost && !m.inboundLost && !m.booting && !m.draining && !m.releasing &&
 		now >= m.quarantinedUntil && now >= m.blockedUntil && m.reportedWithin(now, c.reportTimeout()) &&
-		// It answers direct commands, but its reports do not get through (a one-way
-		// partition): its lease runs out soon, with what it is given, and again in
-		// each session after that.
+		// With outbound loss (a one-way partition) a machine replies to direct commands, but
+		// its periodic reports do not arrive. Its lease expires soon, in this session and in
+		// each later one, and the tasks placed on it are lost.
 		now-m.lastPeriodicReport < c.cfg.WorkerLease/2
 }
 
-// silence is how long a machine may go unheard before it is given no more
-// tasks: a report and its greatest spread, and one lost packet.
+// reportTimeout returns how long after its last report a machine still gets tasks: one report
+// interval with its maximum jitter of a quarter, and one second for a lost packet.
 func (c *Core) reportTimeout() Micros { return c.cfg.ReportInterval*5/4 + Second }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -1,6 +1,7 @@
 package core
 
-// probe has an empty command sent to the machine, to learn whether it is there.
+// queueProbe queues a probe of the machine: a direct command, empty if nothing is to be sent,
+// whose reply shows that the machine is reachable.
 func (c *Core) queueProbe(m *machine) {
 	if !m.probeQueued {
 		m.probeQueued = true
@@ -8,12 +9,12 @@
 	}
 }
 
-// probesMost is how many probes may be under way: after a takeover every
-// machine is to be asked, but most report by themselves before their turn
-// comes, and each connection costs processor time.
+// maxProbesInFlight limits concurrent probes. After a takeover every machine is queued for a
+// probe, but most report by themselves before their turn comes, and each connection costs
+// processor time.
 const maxProbesInFlight = 32
 
-// probeOver notes that a probe has its result, or will not be waited for.
+// finishProbe ends the probe in flight: it has a result, or its machine is gone.
 func (c *Core) finishProbe(m *machine) {
 	if m.probeStarted > 0 {
 		m.probeStarted = 0
@@ -21,16 +22,17 @@
 	}
 }
 
-// isSilent reports whether a machine that a direct command did not reach is to be
-// taken as silent. What nearly all others of a takeover do not wait for any more
-// need not be waited for as long: everything that was opened does.
+// isUnreachable reports whether a machine that did not reply to a direct command counts as
+// unreachable. The timeout is halved for the last 5% of the machines that a takeover has to
+// reconcile: all unaccounted tasks of started jobs wait for them.
 func (c *Core) isUnreachable(m *machine, now Micros) bool {
-	last := !m.reconciled && m.commandFailures >= 2 && c.unreconciled*20 <= len(c.sortedMachines)
-	return now-m.lastReport >= c.cfg.Tuning.SuspectAfter || last && now-m.lastReport >= c.cfg.Tuning.SuspectAfter/2
+	amongLast := !m.reconciled && m.commandFailures >= 2 && c.unreconciled*20 <= len(c.sortedMachines)
+	return now-m.lastReport >= c.cfg.Tuning.SuspectAfter || amongLast && now-m.lastReport >= c.cfg.Tuning.SuspectAfter/2
 }
 
-// expire ends what only time can end: the leases of machines that are no
-// longer answered.
+// expireLeases marks the machines as lost whose lease has expired, and queues probes of those
+// that are late with their report. It also retries deferred commands. It runs every half
+// second.
 func (c *Core) expireLeases(now Micros) {
 	if now < c.nextLeaseCheckAt {
 		return
@@ -51,13 +53,13 @@
 			m.lost, m.lostAt = true, now
 			c.clearMachine(m, now)
 			c.markReconciled(m)
-			c.nextFleetReviewAt = now // it goes back, or is waited for
+			c.nextFleetReviewAt = now // the review releases the machine or waits for it
 			continue
 		}
 		if m.releasing {
 			continue
 		}
-		// A worker that is up reports within the gap and its spread.
+		// A live worker reports within the interval and its jitter of a quarter.
 		if now-m.lastReport >= c.cfg.ReportInterval*5/4+Second/10 || !m.reconciled || m.inboundLost {
 			c.queueProbe(m)
 		}
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -1,7 +1,7 @@
 package core
 
-// Beat takes a worker's report and returns the commands for the answer. ok is
-// false if this node may not answer it.
+// HandleReport applies a worker's periodic report and returns the commands and the token for
+// the answer. ok is false if the report must not be answered.
 func (c *Core) HandleReport(now Micros, r *Report) (cmds []Command, token uint64, ok bool) {
 	if !c.leading {
 		return nil, 0, false
@@ -11,8 +11,8 @@
 		if c.deletedMachines[r.Machine] {
 			return nil, c.token, true
 		}
-		// Rented late, or by a leader that died before it could say so: it was
-		// never recorded, so it was never given a task.
+		// The rental completed late, or its leader ended before it stored the result. The
+		// machine was never recorded, so no task was ever started on it.
 		m = &machine{name: r.Machine, typeName: r.Type, zone: r.Zone, spot: r.Spot, discoveredAt: now, booting: true, reconciled: true, unverified: true}
 		c.addMachine(m)
 		c.log("unexpected machine reports", "machine", m.name, "type", m.typeName, "zone", m.zone)
@@ -33,21 +33,23 @@
 		m.typ = c.machineTypes[m.typeName]
 	}
 	if !c.shouldAnswer(m, r) {
-		// It has nothing to lose: what it does not get renews nothing. Once a probe
-		// gets through it is answered again.
+		// Withholding the answer costs nothing: an answer that does not arrive renews no
+		// lease. Reports are answered again once a probe gets through.
 		c.applyReport(m, r, true, now)
 		return nil, 0, false
 	}
 	c.applyReport(m, r, true, now)
-	// A former leader may answer it until it has seen this token.
+	// Until the worker has seen this token a former leader may still answer it, so
+	// lastAcknowledged may lie in the future. It is not lowered.
 	m.lastAcknowledged = max(m.lastAcknowledged, now)
 	return c.commands(m, now, true), c.token, true
 }
 
-// startsCancelled reports whether a direct start of a job's task may still be under way
-// to the machine although the job was cancelled so long ago that it must not begin any
-// more. Only a raised token or a new session makes it void: where the token can't be
-// raised, since the state service refuses, the machine's lease has to end.
+// mayStartCancelled reports whether an unanswered direct start may still arrive at the machine
+// although the task's job was cancelled so long ago that the task must not start any more. Only
+// a higher token or a new session invalidates such a start. If the token can't be raised
+// because the state service refuses writes, the machine's lease has to expire, so its reports
+// are not answered.
 func (c *Core) mayStartCancelled(m *machine, r *Report, now Micros) bool {
 	for _, p := range m.placements {
 		if p.startUnanswered && p.job != nil && p.job.cancelled && now-p.job.cancelledAt >= c.cfg.MaxCancelStaleness &&
@@ -58,9 +60,9 @@
 	return false
 }
 
-// BeatInGrace takes a report while the leader's lease is not certain to be
-// alive: the worker's lease is renewed and it is told nothing. ok is false if
-// the worker has seen a higher token, so that there is another leader.
+// HandleReportInGrace applies a report while the leader's own lease may have expired: the
+// answer renews the worker's lease but carries no commands. ok is false if the report must not
+// be answered, for example because the worker has seen the higher token of another leader.
 func (c *Core) HandleReportInGrace(now Micros, r *Report) (token uint64, ok bool) {
 	m := c.machines[r.Machine]
 	if !c.leading || m == nil || r.Token > c.token || c.isDelayedDuplicate(m, r) {
@@ -78,40 +80,44 @@
 	return c.token, true
 }
 
-// isCopy reports whether a report can only be a copy of an old one: see absorb.
+// isDelayedDuplicate reports whether a report can only be a delayed duplicate of an old one; see
+// applyReport.
 func (c *Core) isDelayedDuplicate(m *machine, r *Report) bool {
 	return m.unverified && len(r.Tasks) > 0 && r.Token < c.termToken
 }
 
-// newer reports whether a report is newer than all before it.
+// isNewer reports whether a report is newer than all earlier ones of the machine.
 func (m *machine) isNewer(r *Report) bool {
 	return r.Session > m.session || r.Session == m.session && r.Seq > m.seq
 }
 
-// answerOld notes that a report is answered that is older than what is known: it changes
-// nothing. A worker that still waits for the answer counts its lease from before it made
-// the newer one; a copy, or one of an earlier session, renews nothing.
+// acknowledgeOldReport accounts for the answer to a report that is not the newest. A worker that
+// still waits for this answer counts its lease from a time before it sent the newest report, so
+// the lease is counted from the arrival of that one. A duplicate, or a report of an earlier
+// session, renews no lease.
 func (m *machine) acknowledgeOldReport(r *Report) {
 	if r.Session == m.session {
 		m.lastAcknowledged = max(m.lastAcknowledged, m.lastReport)
 	}
 }
 
-// absorb takes over a report that is newer than all before it.
+// applyReport applies a report that is newer than all earlier ones. periodic is false for the
+// reply to a direct command.
 //
-// A machine that a former leader recorded is settled by a report that shows this term's
-// token: older ones, copies among them, say what was on it once. One without a record was
-// never given a task, so there is nothing to settle; but a former leader may have returned
-// it, and dropped its record, and then a copy of what it once said is all that comes of it.
-// It is unproven: it is given nothing before it shows the token, which takes one more
-// report, and a report of tasks without it is such a copy.
-func (c *Core) applyReport(m *machine, r *Report, beat bool, now Micros) {
+// A machine that a former leader recorded becomes reconciled by a report that shows this term's
+// token. Reports with a lower token, delayed duplicates among them, may show an earlier state.
+//
+// A machine without a record was never given a task, so it needs no reconciliation. But a former
+// leader may have released it and deleted its record, and then only a delayed duplicate of an
+// old report arrives. Such a machine is unverified: it gets no task until it reports the token,
+// which takes one more report, and a report of tasks without the token is such a duplicate.
+func (c *Core) applyReport(m *machine, r *Report, periodic bool, now Micros) {
 	if r.Session > m.session && m.session > 0 {
-		// Its lease ran out: the worker has killed and forgotten its tasks, and
-		// direct commands that are still under way name a session that is over.
+		// The worker's lease expired: it has killed and forgotten its tasks. Direct commands
+		// that are still in flight name the previous session and are refused.
 		c.clearMachine(m, now)
 		if ago := now - m.lastAcknowledged; ago >= 0 && ago < c.cfg.WorkerLease/2 {
-			c.markInboundLost(m, "its lease ran out although it was answered")
+			c.markInboundLost(m, "its lease expired although its reports were answered")
 		}
 	}
 	newSession := r.Session != m.session
@@ -119,7 +125,7 @@
 	m.reportedToken = max(m.reportedToken, r.Token)
 	m.lastReport, m.commandFailures = now, 0
 	if m.retainedIn != nil {
-		c.nextFleetReviewAt = now // its record ends
+		c.nextFleetReviewAt = now // the review ends the partition record
 	}
 	if m.unreachable {
 		m.unreachable = false
@@ -139,12 +145,13 @@
 		m.idleSince = now
 		c.needsPlacement = true
 	}
-	if beat {
+	if periodic {
 		m.directCommandFailed = false
 		m.lastPeriodicReport = now
 	}
 	if newSession {
-		// Its lease runs from when it began, whatever was answered before.
+		// The lease of a new session counts from the start of the session, whenever the last
+		// answer was.
 		m.lastAcknowledged = max(m.lastAcknowledged, now)
 		c.queueCommands(m)
 	}
@@ -159,9 +166,9 @@
 	for i := range r.Tasks {
 		c.applyTaskReport(m, &r.Tasks[i], now)
 	}
-	c.handleUnreportedTasks(m, r, beat, now)
+	c.handleUnreportedTasks(m, r, periodic, now)
 	if m.used == (Resources{}) && m.idleSince == 0 {
-		m.idleSince = now // taken over empty from a former leader
+		m.idleSince = now // adopted from a former leader without tasks
 	}
 	if r.Token >= c.termToken && r.Token > 0 {
 		c.tokenAcknowledged = true
@@ -169,11 +176,14 @@
 			m.unverified = false
 			c.needsPlacement = true
 		}
-		m.lastAcknowledged = min(m.lastAcknowledged, now) // a former leader's answers it drops
+		// The worker rejects answers of former leaders from now on.
+		m.lastAcknowledged = min(m.lastAcknowledged, now)
 		c.markReconciled(m)
 	}
 }
 
+// applyTaskReport updates the placement of one reported task, or adopts the task if it is
+// unknown.
 func (c *Core) applyTaskReport(m *machine, t *TaskReport, now Micros) {
 	var p *placement
 	for _, o := range m.placements {
@@ -195,10 +205,11 @@
 	}
 	p.inCurrentReport, p.fromPartitionRecord = true, false
 	if t.State != Exited || t.Cause != CauseStopped {
-		p.fetching = t.State == Fetching // other ends come after it has its image
+		// A task that ended in any other way had its image.
+		p.fetching = t.State == Fetching
 	}
 	if p.retryPending && !p.stopRequested && t.State == Exited && t.Cause == CausePeersMissing {
-		return // it has not been told yet
+		return // the worker has not received the new start yet
 	}
 	p.retryPending = false
 	wasExited := p.reported && p.state == Exited
@@ -238,10 +249,10 @@
 	if wasExited {
 		return
 	}
-	held := p.occupies()
+	wasOccupying := p.occupies()
 	p.reported, p.startSent = true, true
 	p.state, p.cause = Exited, t.Cause
-	if held {
+	if wasOccupying {
 		c.deallocate(p, now)
 		if c.retryWait(p) {
 			return
@@ -251,7 +262,9 @@
 	c.queueCommands(m)
 }
 
-// adopt makes a placement for a task that a former leader started.
+// adopt returns a new placement for a reported or recorded task that this leader did not start.
+// It marks the task to be stopped if its job is finished or cancelled, or if a later attempt is
+// known.
 func (c *Core) adopt(m *machine, t *TaskReport, now Micros) *placement {
 	p := &placement{jobID: t.Job, index: t.Index, attempt: t.Attempt, machine: m, startSent: true, placedAt: now}
 	j := c.jobs[t.Job]
@@ -269,13 +282,14 @@
 		switch q := j.live[t.Index]; {
 		case q == nil:
 		case t.Attempt <= q.attempt:
-			// One of the reports is a copy of an old one, and this attempt the earlier: it
-			// was known to be gone before the other was started. Until its machine shows
-			// that, it counts, and keeps the task from starting elsewhere (release).
+			// One of the two reports is a delayed duplicate. This attempt is not the later
+			// one: a later attempt is started only once the earlier is known to be gone.
+			// Until its machine reports that, the placement occupies resources and keeps the
+			// task from being started elsewhere (see deallocate).
 			p.stopRequested = true
 			c.log("task reported on two machines", "job", t.Job, "task", t.Index, "machine", m.name, "other", q.machine.name)
 		case q.fromPartitionRecord:
-			c.dropRecordedPlacement(q, now) // it was replaced after it was recorded
+			c.dropRecordedPlacement(q, now) // the task was restarted after the record was written
 		default:
 			c.log("task reported on two machines", "job", t.Job, "task", t.Index, "machine", q.machine.name, "other", m.name)
 			delete(j.live, t.Index)
@@ -292,9 +306,11 @@
 	return p
 }
 
-// absorbMissing looks at placements that a newer report does not show.
-func (c *Core) handleUnreportedTasks(m *machine, r *Report, beat bool, now Micros) {
-	missed := false
+// handleUnreportedTasks updates the placements that a new report does not list. A task that was
+// reported before is gone. A start that can no longer arrive is sent again, or removed if the
+// task is to be stopped.
+func (c *Core) handleUnreportedTasks(m *machine, r *Report, periodic bool, now Micros) {
+	unexecuted := false
 	for i := len(m.placements) - 1; i >= 0; i-- {
 		if i >= len(m.placements) {
 			continue
@@ -307,31 +323,31 @@
 		case p.reported:
 			c.removePlacement(p, now)
 		case p.inDirectCommand:
-			// The direct command may be executed after this report was made.
+			// The worker may execute the direct command after it made this report.
 		case p.startUnanswered && m.reportedToken <= p.startUnansweredToken:
-			// An unanswered direct command can still arrive while the machine
-			// accepts its token.
+			// An unanswered direct command can still arrive as long as the worker accepts its
+			// token.
 			if p.stopRequested {
 				c.tokenRaiseWanted = true
 			} else {
-				p.resendStart = beat
-				missed = missed || beat && p.startReportSeq > 0 && r.Seq > p.startReportSeq
+				p.resendStart = periodic
+				unexecuted = unexecuted || periodic && p.startReportSeq > 0 && r.Seq > p.startReportSeq
 			}
-		case beat && r.Seq > p.startReportSeq:
-			// The answer that carried the start was lost or dropped: a worker
-			// has one report in flight, so it will not be executed any more.
+		case periodic && r.Seq > p.startReportSeq:
+			// The answer with the start was lost or rejected. A worker has one report in
+			// flight at a time, so that answer is not executed any more.
 			p.startUnanswered = false
 			if p.stopRequested {
 				c.removePlacement(p, now)
 			} else {
-				p.startSent, missed = false, true
+				p.startSent, unexecuted = false, true
 				c.queueCommands(m)
 			}
 		}
 	}
-	if missed {
+	if unexecuted {
 		c.noteUnexecutedAnswer(m)
-	} else if beat {
+	} else if periodic {
 		m.unexecutedAnswers = 0
 	}
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -1,8 +1,8 @@
 package core
 
-// Begin starts a term: jobs are all jobs that are unfinished, and the
-// cancelled ones; snap is the bookkeeping, read after the leader's key was
-// written. wall is the time of day at now.
+// BeginTerm starts a term with the given fencing token. jobs are all unfinished and all cancelled
+// jobs. snap holds the former leader's records, read after the leader key was written. wall is the
+// wall clock time at now.
 func (c *Core) BeginTerm(now, wall Micros, token uint64, jobs []JobRecord, snap Snapshot) {
 	c.leading, c.token, c.termToken, c.attemptCount = true, token, token, 0
 	c.jobs = map[string]*job{}
@@ -37,50 +37,52 @@
 		}
 	}
 	for _, r := range snap.MachineGroups {
-		ch := &machineGroup{key: r.Key}
-		c.machineGroups = append(c.machineGroups, ch)
+		group := &machineGroup{key: r.Key}
+		c.machineGroups = append(c.machineGroups, group)
 		for _, rec := range r.Machines {
 			if c.machines[rec.Name] != nil {
-				ch.scheduleWrite(now) // it is in another record too
+				group.scheduleWrite(now) // the machine is in another record, too
 				continue
 			}
 			m := &machine{
 				name: rec.Name, address: rec.Address, typeName: rec.Type, zone: rec.Zone, spot: rec.Spot,
-				record: ch, recorded: true, discoveredAt: now, lastReport: now,
-				// As if it had reported so lately that it is due again: what a probe finds is
-				// of use until then.
+				record: group, recorded: true, discoveredAt: now, lastReport: now,
+				// The machine counts as having reported so recently that a successful probe
+				// makes it schedulable for one report timeout. It must report by itself within
+				// that time.
 				lastPeriodicReport: now + c.reportTimeout() - c.cfg.WorkerLease/2,
-				// The former leader may have answered it for as long as it might.
+				// The former leader or its delegates may answer the worker for up to
+				// AnswerGrace.
 				lastAcknowledged: now + c.cfg.AnswerGrace,
 			}
-			ch.machines = append(ch.machines, m)
+			group.machines = append(group.machines, m)
 			c.addMachine(m)
 			c.queueProbe(m)
 			c.unreconciled++
 		}
-		if len(ch.machines) == 0 {
-			ch.scheduleWrite(now)
+		if len(group.machines) == 0 {
+			group.scheduleWrite(now)
 		}
 	}
-	open := map[string]bool{}
+	started := map[string]bool{}
 	for _, id := range snap.Started {
-		open[id] = true
+		started[id] = true
 	}
 	for _, rec := range jobs {
-		if rec.Phase == Pending || rec.Phase == Cancelled && open[rec.Spec.ID] {
-			c.addJob(now, wall, rec, open[rec.Spec.ID])
+		if rec.Phase == Pending || rec.Phase == Cancelled && started[rec.Spec.ID] {
+			c.addJob(now, wall, rec, started[rec.Spec.ID])
 		}
 	}
-	stray := Write{}
+	cleanup := Write{}
 	for _, id := range snap.Started {
 		if c.jobs[id] == nil {
-			stray.Deletes = append(stray.Deletes, StartedPrefix+id)
+			cleanup.Deletes = append(cleanup.Deletes, StartedPrefix+id)
 		}
 	}
 	for _, r := range snap.Completions {
 		j := c.jobs[r.Job]
 		if j == nil {
-			stray.Deletes = append(stray.Deletes, r.Key)
+			cleanup.Deletes = append(cleanup.Deletes, r.Key)
 			continue
 		}
 		j.completionKeys[r.Key] = true
@@ -93,21 +95,21 @@
 		}
 	}
 	for _, r := range snap.Rentals {
-		rt := &rental{RentalRecord: r, granted: true, decidedAt: now - max(wall-r.RentedAt, 0)}
-		c.rentals[r.Request] = rt
-		if c.awaitMachines(rt, false); rt.awaited == 0 {
-			c.deleteRental(rt)
+		restored := &rental{RentalRecord: r, granted: true, decidedAt: now - max(wall-r.RentedAt, 0)}
+		c.rentals[r.Request] = restored
+		if c.awaitMachines(restored, false); restored.awaited == 0 {
+			c.deleteRental(restored)
 		}
 	}
 	for _, r := range snap.Partitions {
 		if r.Zone != "" {
 			c.adoptPartitionRecord(r, now, wall)
 		} else {
-			stray.Deletes = append(stray.Deletes, r.Key)
+			cleanup.Deletes = append(cleanup.Deletes, r.Key)
 		}
 	}
-	if len(stray.Deletes) > 0 {
-		c.write(stray, nil) // of jobs and cuts that are over
+	if len(cleanup.Deletes) > 0 {
+		c.write(cleanup, nil) // records of jobs and partitions that are over
 	}
 	c.needsPlacement = true
 	if c.unreconciled == 0 {
@@ -121,13 +123,14 @@
 	c.log("term begins", "token", token, "jobs", len(c.jobs), "machines", len(c.machines), "unsettled", c.unreconciled)
 }
 
-// End ends the term; nothing of it is kept.
+// EndTerm ends the term and drops its state.
 func (c *Core) EndTerm() {
 	c.leading = false
 	c.jobs, c.queue, c.machines, c.sortedMachines, c.rentals, c.pendingWrites, c.actions = nil, nil, nil, nil, nil, nil, nil
 }
 
-// settle notes that all that can run on the machine is known.
+// markReconciled records that every task that may run on the machine is known. Once that is so for
+// all machines, tasks that were not reported run nowhere and may be started.
 func (c *Core) markReconciled(m *machine) {
 	if m.reconciled {
 		return
@@ -138,13 +141,15 @@
 	if c.unreconciled > 0 {
 		return
 	}
-	// Every place has been heard of or is over: what was not seen runs nowhere.
+	// Every machine has reported or its lease has expired.
 	c.log("takeover settled")
 	for _, j := range c.jobs {
 		c.clearUnaccounted(j)
 	}
 }
 
+// clearUnaccounted records that the tasks of a started job that no machine has reported run
+// nowhere.
 func (c *Core) clearUnaccounted(j *job) {
 	if !j.unaccounted {
 		return
@@ -154,7 +159,7 @@
 	c.cleanUpCancelled(j)
 }
 
-// Raised says that the leader's key was written again and what the token is now.
+// TokenRaised is the result of RaiseToken: the leader key was written again, with a new token.
 func (c *Core) TokenRaised(now Micros, token uint64) {
 	c.nextTokenRaiseAt = 0
 	if token > c.token {
@@ -162,7 +167,8 @@
 		c.token, c.attemptCount = token, 0
 		c.tokenRaiseWanted = false
 		for _, m := range c.sortedMachines {
-			// Others see the token with their next beat, which is soon enough.
+			// Other machines see the token in the answer to their next report, which is soon
+			// enough.
 			if m.hasUnansweredStart() {
 				c.queueProbe(m)
 			}
@@ -170,8 +176,9 @@
 	}
 }
 
+// nextAttempt returns an attempt number that no leader has used or will use.
 func (c *Core) nextAttempt() uint64 {
 	c.attemptCount++
-	// A token is never given twice, so neither is an attempt, by any leader.
+	// Tokens are unique across leaders, and so are attempts that contain them.
 	return c.token<<24 | c.attemptCount
 }
--- a/internal/core/term.go
+++ b/internal/core/term.go
@@ -1,35 +1,35 @@
 package core
 
-// The steady clocks of two machines drift apart by at most 0.05%; twice that
-// covers a duration measured on one and compared on the other.
+// clockDriftDivisor is the divisor of a duration that gives the allowance for clock drift, 0.1%. The
+// monotonic clocks of two machines drift apart by at most 0.05%; twice that covers a duration
+// measured on one machine and compared on the other.
 const clockDriftDivisor = 1000
 
-// LeaseUntil says until when a lease in the state service is certainly alive
-// by the holder's own clock: counted from when the last successful renewal was
-// sent, less the drift and a margin for what happens between the check and the
-// packet leaving.
-func LeaseValidUntil(sent, ttl Micros) Micros {
-	return sent + ttl - ttl/clockDriftDivisor - 50*Millisecond
+// LeaseValidUntil returns until when a lease in the state service is certainly valid on the holder's
+// own clock. It counts from the sending of the last successful renewal, less the clock drift and
+// 50 ms for the time between a check of the lease and the departure of a packet.
+func LeaseValidUntil(sentAt, ttl Micros) Micros {
+	return sentAt + ttl - ttl/clockDriftDivisor - 50*Millisecond
 }
 
-// leaseOver says when a worker's lease has certainly run out, given when it
-// was last answered: the worker counts from when it sent the report, which is
-// earlier, so this is safe by the network's delay as well.
-func (c *Core) leaseExpiry(answered Micros) Micros {
-	return answered + c.cfg.WorkerLease + c.cfg.WorkerLease/clockDriftDivisor + 300*Millisecond
+// leaseExpiry returns when a worker's lease has certainly expired, given when its report was last
+// acknowledged. The worker counts from the earlier time when it sent the report, so the network
+// delay is on the safe side.
+func (c *Core) leaseExpiry(acknowledgedAt Micros) Micros {
+	return acknowledgedAt + c.cfg.WorkerLease + c.cfg.WorkerLease/clockDriftDivisor + 300*Millisecond
 }
 
-// resignAfter is for how long no worker can have been silent by chance.
-func resignTimeout(reportGap Micros) Micros { return 2*reportGap + Second }
+// resignTimeout returns a time without any report that is too long to occur by chance.
+func resignTimeout(reportInterval Micros) Micros { return 2*reportInterval + Second }
 
-// ShouldResign reports whether a leader should give the term up: no worker has
-// reached it for longer than all of them can have been silent by chance, while
-// a peer hears some. Its workers' leases would run out one after the other.
-// Where workers reached it in this term and none took what it answered, they are deaf
-// and go from node to node: no other leader would be better off.
-func ShouldResign(now, begun, lastBeat, reportGap Micros, peerHears, taken bool) bool {
-	return peerHears && now-max(begun, lastBeat) > resignTimeout(reportGap) && (taken || lastBeat <= begun)
+// ShouldResign reports whether a leader should resign: no worker has reached it for longer than
+// resignTimeout, while a peer receives reports. If it kept leading, the workers' leases would
+// expire one after the other. If workers reached it in this term but none adopted its token, they
+// have inbound loss and try one node after the other, and no other leader would do better.
+func ShouldResign(now, termBeganAt, lastReport, reportInterval Micros, peerReceivesReports, tokenAcknowledged bool) bool {
+	return peerReceivesReports && now-max(termBeganAt, lastReport) > resignTimeout(reportInterval) && (tokenAcknowledged || lastReport <= termBeganAt)
 }
 
-// Taken reports whether any machine took an answer of this term.
+// TokenAcknowledged reports whether any machine has reported the token of this term, and so has
+// received an answer or a command of this leader.
 func (c *Core) TokenAcknowledged() bool { return c.tokenAcknowledged }
--- a/internal/core/zone.go
+++ b/internal/core/zone.go
@@ -2,53 +2,53 @@
 
 import "sort"
 
-// A cut falls on a whole zone at one moment; machines that die or hang do so by
-// themselves, and others of their zone go on reporting. What is cut off goes on
-// working, and its leases go on as long as a controller in there answers
-// (deputy.go), so it is not given up like what is dead.
+// A network partition affects all machines of a zone at once. Machines that fail or hang do so
+// individually, while others of their zone keep reporting. Machines in a partitioned zone keep
+// working, and their leases are renewed as long as a delegate in the zone answers them (see
+// delegate.go). So they are not given up like failed machines.
 
-// zone is what is heard of the machines of one zone.
+// zone is the state of reports from the machines of one zone.
 type zone struct {
-	up              int    // machines that came up
-	reporting       int    // those of them that were heard within the moment
-	reportedInTerm  bool   // one was heard in this term
-	window          Micros // in which cutHeard of them are to be heard, as a rule
-	partitionStart  Micros // about when the last cut did
-	lastPartitioned Micros // when it was last found cut off
-	partitionUntil  Micros // found so again before this, the same cut goes on
-	recordFrom      Micros // not recorded before this
+	up              int    // machines that are neither booting nor lost
+	reporting       int    // those of them that have reported within the window
+	reportedInTerm  bool   // at least one has reported in this term
+	window          Micros // the time in which about reportsPerWindow of them report
+	partitionStart  Micros // about when the latest partition began
+	lastPartitioned Micros // when it was last found partitioned; 0: never
+	partitionUntil  Micros // if found partitioned again before this, it is the same partition
+	recordFrom      Micros // no partition record is written before this, after a refused write
 }
 
 const (
-	// cutLeast is how many machines must have come up in a zone for their
-	// silence to say anything about the zone.
+	// minPartitionMachines is the minimum number of machines up in a zone from whose missing
+	// reports a partition is inferred.
 	minPartitionMachines = 8
-	// cutHeard is how many of a zone's machines, as a rule, report in the moment
-	// by which it is judged, and cutMoment how long that is at the least.
+	// reportsPerWindow is the average number of a zone's machines that report within the window
+	// by which the zone is judged, and minReportWindow the minimum length of that window.
 	reportsPerWindow = 12
 	minReportWindow  = Second
-	// firstLook is how long a new leader needs to have asked every machine.
+	// initialProbeTime is the time that a new leader needs to probe every machine.
 	initialProbeTime = 2 * Second
-	// cutShare: a zone is cut off when less than one in so many is heard of
-	// those that are to be, and others are heard as a rule.
+	// partitionRatio is the divisor for the reports of a partitioned zone: less than 1 in 8 of
+	// the expected ones arrive, while at least half of those expected from other zones do.
 	partitionRatio = 8
-	// cutStray is how many of a zone that is cut off may be heard all the same:
-	// what was under way.
+	// maxStrayReports is how many machines of a partitioned zone may still have reported within
+	// the window: their reports were in flight.
 	maxStrayReports = 1
-	// deafShare: when less than one in so many is heard of all that are to be, the
-	// fault is more likely on this side.
+	// fewReportsRatio is the divisor for the reports of the whole fleet: if less than 1 in 3 of
+	// the expected ones arrive, the fault is more likely on the leader's side.
 	fewReportsRatio = 3
-	// mendTime is how long probes may need to find the machines of a zone that
-	// was cut off.
+	// partitionRecoveryTime is the time that probes may need to reach the machines of a zone
+	// after its partition has healed.
 	partitionRecoveryTime = 5 * Second
-	// deputySpoke is how lately a controller of the zone must have spoken when
-	// the zone fell silent, for it to be taken as answering the workers.
+	// delegateTimeout is the maximum age of the last message from a controller of the zone, when
+	// the zone stops reporting, for that controller to be assumed to answer the workers.
 	delegateTimeout = 15 * Second
 )
 
-// judgeZones counts what is heard of each zone and finds those that are cut off:
-// nothing is heard of them from one moment on, while others are heard. If hardly
-// anything is heard of any, or of most, it is this leader that is.
+// detectPartitions counts the reports from each zone and detects partitioned zones: their machines
+// stop reporting all at once, while those of other zones report. If hardly any machine reports,
+// or if zones with most of the fleet stop reporting, this leader itself is assumed to be cut off.
 func (c *Core) detectPartitions(now Micros) {
 	c.fleetUnreachable = true
 	if now-c.termBeganAt < initialProbeTime {
@@ -56,7 +56,8 @@
 	}
 	for _, z := range c.zoneByName {
 		z.window = c.cfg.ReportInterval
-		// After a takeover reports come bunched, with pauses that are no cut.
+		// After a takeover reports arrive in bursts. The pauses between them are no partition, so
+		// the window is a whole report interval at first.
 		if z.up > 0 && (!z.reportedInTerm || now-c.termBeganAt > 2*c.cfg.ReportInterval) {
 			z.window = min(max(z.window*reportsPerWindow/Micros(z.up), minReportWindow), z.window)
 		}
@@ -77,28 +78,29 @@
 			z.reporting++
 		}
 	}
-	var heard, due Micros
+	var totalReporting, totalExpected Micros
 	for _, z := range c.zoneByName {
-		heard += Micros(z.reporting)
-		due += z.expectedReports(c.cfg.ReportInterval)
+		totalReporting += Micros(z.reporting)
+		totalExpected += z.expectedReports(c.cfg.ReportInterval)
 	}
-	var silent []string
-	var lacks Micros // that are due in silent zones
+	var silentZones []string
+	var missing Micros // reports expected from the silent zones
 	for name, z := range c.zoneByName {
-		mine := z.expectedReports(c.cfg.ReportInterval)
-		if z.up >= minPartitionMachines && z.reporting <= maxStrayReports && Micros(z.reporting)*partitionRatio < mine && (heard-Micros(z.reporting))*2 >= due-mine && due > mine {
-			silent = append(silent, name)
-			lacks += mine
+		zoneExpected := z.expectedReports(c.cfg.ReportInterval)
+		if z.up >= minPartitionMachines && z.reporting <= maxStrayReports && Micros(z.reporting)*partitionRatio < zoneExpected && (totalReporting-Micros(z.reporting))*2 >= totalExpected-zoneExpected && totalExpected > zoneExpected {
+			silentZones = append(silentZones, name)
+			missing += zoneExpected
 		}
 	}
-	// Who is cut off from everything does not lead for much longer.
-	if lacks*2 <= due {
+	// A leader that is cut off from everything loses its leadership soon. One that still leads
+	// after that is not isolated.
+	if missing*2 <= totalExpected {
 		c.isolatedSince = 0
 	} else if c.isolatedSince == 0 {
 		c.isolatedSince = now
 	}
 	c.isolated = c.isolatedSince > 0 && now-c.isolatedSince <= c.cfg.LeaderLease+2*Second
-	c.fleetUnreachable = heard*fewReportsRatio < due || c.isolated
+	c.fleetUnreachable = totalReporting*fewReportsRatio < totalExpected || c.isolated
 	if !c.fleetUnreachable {
 		c.fleetUnreachableSince = 0
 	} else if c.fleetUnreachableSince == 0 {
@@ -107,8 +109,8 @@
 	if c.isolated {
 		return
 	}
-	sort.Strings(silent)
-	for _, name := range silent {
+	sort.Strings(silentZones)
+	for _, name := range silentZones {
 		z := c.zoneByName[name]
 		if now >= z.partitionUntil && !c.hasDelegate(name, now) {
 			continue
@@ -116,7 +118,9 @@
 		if now >= z.partitionUntil {
 			z.partitionStart = now - z.window
 			if !z.reportedInTerm {
-				z.partitionStart = c.termBeganAt - c.cfg.LeaderLease // the former leader was cut off with it
+				// No machine has reported since the term began: the former leader was cut off together
+				// with the zone.
+				z.partitionStart = c.termBeganAt - c.cfg.LeaderLease
 			}
 			c.log("zone cut off", "zone", name, "machines", z.up, "heard", z.reporting, "in_ms", z.window/Millisecond)
 		}
@@ -124,21 +128,25 @@
 	}
 }
 
-// lonely reports whether workers lately stopped reaching this leader. If they reach a
-// peer it resigns soon (ShouldResign): what it has rented until then is for nothing.
-// If they reach nobody, their machines are to be replaced.
+// mayResignSoon reports whether workers stopped reaching this leader a short time ago. If they
+// reach a peer, the leader resigns soon (see ShouldResign), and machines that it rents until then
+// are of no use. If they reach no controller, their machines have to be replaced.
 func (c *Core) mayResignSoon(now Micros) bool {
 	return c.fleetUnreachableSince > 0 && now-c.fleetUnreachableSince <= resignTimeout(c.cfg.ReportInterval)+Second
 }
 
-// cutLasts is how long a cut is taken as the same one without being found again.
+// partitionMergeTime returns the maximum time between two detections of a zone's partition for them
+// to count as one partition.
 func (c *Core) partitionMergeTime() Micros { return 2*c.cfg.ReportInterval + 5*Second }
 
-// due says how many machines are to be heard within the moment, as a rule.
-func (z *zone) expectedReports(gap Micros) Micros { return Micros(z.up) * z.window / max(gap, 1) }
+// expectedReports returns how many machines report within the window on average.
+func (z *zone) expectedReports(reportInterval Micros) Micros {
+	return Micros(z.up) * z.window / max(reportInterval, 1)
+}
 
-// hasDeputy reports whether a controller of the zone is there to answer its
-// workers, as far as is known: a new leader has not heard of all of them yet.
+// hasDelegate reports whether a controller of the zone is assumed to answer its workers. A new
+// leader may not have received messages from all controllers yet, and assumes so of each of them
+// for delegateTimeout.
 func (c *Core) hasDelegate(zone string, now Micros) bool {
 	for _, d := range c.delegates[zone] {
 		if now-max(d.lastMessage, c.termBeganAt) <= delegateTimeout {
@@ -148,17 +156,17 @@
 	return false
 }
 
-// cutOff reports whether a zone is taken as cut off, or as mended so lately that
-// probes may not have found yet what is there. What they do not find then is
-// dead, and must not hold up a takeover.
+// partitioned reports whether a zone counts as partitioned. It does for partitionRecoveryTime after
+// the last detection, since probes may not have reached all of its machines before that.
+// Machines that they don't reach by then have failed, and must not delay a takeover.
 func (c *Core) partitioned(name string, now Micros) bool {
 	z := c.zoneByName[name]
 	return z != nil && z.lastPartitioned > 0 && now-z.lastPartitioned <= partitionRecoveryTime
 }
 
-// keepsServices reports whether a machine of a zone that is cut off is kept for
-// the services on it. Arrays and gangs rather run again elsewhere: what becomes
-// of them in there is not heard before the cut ends.
+// shouldRetain reports whether a machine of a partitioned zone is retained for the services on it,
+// or for those that may be on it. Tasks of arrays and gangs are restarted elsewhere instead: their
+// results in the partitioned zone don't arrive before the partition ends.
 func (c *Core) shouldRetain(m *machine) bool {
 	for _, p := range m.placements {
 		if p.job != nil && p.occupies() && p.job.spec.Kind == Service {
