--- a/internal/core/duplicate_task_test.go
+++ b/internal/core/duplicate_task_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// TestTaskOnTwoMachines: a copy of an old report shows a new leader a task on a machine that it
-// has left, before or after the machine that has it now reports. The later attempt is the one
-// that is there: an earlier one was known to be gone before it was started. And a task starts
-// nowhere while any machine that showed it may have it. The one that had it was told to stop
-// it, and as soon as the other had shown that it was empty, it was started a second time
-// beside it.
+// TestTaskOnTwoMachines covers a delayed duplicate of a report that shows a new leader a task on a
+// machine that does not run it any more, before or after the machine that runs it reports. The
+// later attempt is the one that runs: it was started only once the earlier one was known to be
+// gone. The task must not be started while any machine that reported it may run it. The fault was:
+// the machine with the task was told to stop it, the other machine reported that it had no task,
+// and the task was started a second time while it still ran.
 func TestTaskOnTwoMachines(t *testing.T) {
 	spec := JobSpec{ID: "job-1", Tasks: 1, Team: "blue", Request: Resources{2000, 0, 2000}, Image: "im"}
 	const earlier, later = 90<<24 | 1, 95<<24 | 1
 	for _, c := range []struct {
-		what      string
-		copyFirst bool
-		copied    uint64 // the attempt in the copy; the machine that has the task has the later one
-		goesOn    bool
+		what           string
+		duplicateFirst bool
+		duplicate      uint64 // the attempt in the duplicate; the machine that runs the task has the later one
+		continues      bool
 	}{
-		{"a copy of an earlier attempt first", true, earlier, true},
-		{"a copy of an earlier attempt after it", false, earlier, true},
-		{"a copy of the same attempt first", true, later, false},
-		{"a copy of the same attempt after it", false, later, true},
+		{"duplicate with an earlier attempt, before the report", true, earlier, true},
+		{"duplicate with an earlier attempt, after the report", false, earlier, true},
+		{"duplicate with the same attempt, before the report", true, later, false},
+		{"duplicate with the same attempt, after the report", false, later, true},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
@@ -32,28 +32,28 @@
 			for _, f := range []*fakeWorker{left, has, third} {
 				f.status.Token = 99
 			}
-			w.sent = nil // probes are under way
+			w.sent = nil // drops the probes
 			old := left.status
-			old.Seq, old.Tasks = 5, []TaskReport{{Job: "job-1", Index: 0, Attempt: c.copied, State: Running}}
-			copied := func() { w.c.HandleReport(w.now, &old); w.step() }
+			old.Seq, old.Tasks = 5, []TaskReport{{Job: "job-1", Index: 0, Attempt: c.duplicate, State: Running}}
+			duplicate := func() { w.c.HandleReport(w.now, &old); w.step() }
 			has.status.Tasks = []TaskReport{{Job: "job-1", Index: 0, Attempt: later, State: Running}}
-			has.losesCommands = true // what it is told is held up
-			show := func() {
+			has.losesCommands = true // commands to it are delayed
+			reportRunning := func() {
 				has.status.Seq++
 				r := has.status
 				r.Tasks = append([]TaskReport(nil), has.status.Tasks...)
 				w.c.HandleReport(w.now, &r)
 				w.step()
 			}
-			if c.copyFirst {
-				copied()
+			if c.duplicateFirst {
+				duplicate()
 			}
-			show()
-			if !c.copyFirst {
-				copied()
+			reportRunning()
+			if !c.duplicateFirst {
+				duplicate()
 			}
 			has.status.Token = 100
-			show()
+			reportRunning()
 			left.status.Seq, left.status.Token = 9, 100
 			left.report()
 			third.status.Token = 100
@@ -62,16 +62,16 @@
 				w.advance(Second / 2)
 				third.executeDirect()
 				left.executeDirect()
-				show()
+				reportRunning()
 			}
 			w.want("settled", w.c.unreconciled, 0)
-			w.want("on other machines", left.liveTasks()+third.liveTasks(), "")
+			w.want("tasks on other machines", left.liveTasks()+third.liveTasks(), "")
 			w.want("counted", w.c.team("blue").used, Resources{2000, 0, 2000})
 			p := w.c.jobs["job-1"].live[0]
-			w.want("goes on", p != nil && p.machine.name == "n-2" && !p.stopRequested, c.goesOn)
-			if !c.goesOn { // it was told to stop, and does: now it may start
+			w.want("keeps running", p != nil && p.machine.name == "n-2" && !p.stopRequested, c.continues)
+			if !c.continues { // it has stopped as told, so it may be started again
 				has.exitTask(0, CauseStopped)
-				show()
+				reportRunning()
 				w.advance(Second)
 				third.executeDirect()
 				left.executeDirect()
--- a/internal/core/failure_attribution_test.go
+++ b/internal/core/failure_attribution_test.go
@@ -6,22 +6,23 @@
 	"testing"
 )
 
-// TestBlame: a failure is laid to the machine or to the job, also when both are at
-// fault on the same day. In a recorded day, thirteen jobs with a mistake took 256
-// good machines out of use, and their tasks were started 4,130 times.
+// TestFailureAttribution checks that failures are attributed to the machine or to the job, also
+// when there are faulty machines and jobs with mistakes at the same time. In a recorded scenario
+// thirteen jobs with mistakes quarantined 256 healthy machines, and their tasks were started 4,130
+// times.
 func TestFailureAttribution(t *testing.T) {
 	const machines = 8
 	for _, c := range []struct {
-		name   string
-		broken int // jobs with a mistake, of twelve tasks each
-		good   int // jobs without, of six tasks each
-		sick   int // machines that fail every task
-		found  int // of which so many at the least are taken out of use
-		starts int // most starts of jobs with a mistake within five minutes, a job
+		name        string
+		broken      int // jobs with a mistake, of twelve tasks each
+		good        int // jobs without a mistake, of six tasks each
+		faulty      int // machines that fail every task
+		quarantined int // minimum number of faulty machines that are quarantined
+		starts      int // maximum number of starts within five minutes for each job with a mistake
 	}{
 		{"jobs with a mistake", 3, 1, 0, 0, 30},
-		{"machines at fault", 0, 4, 2, 2, 0},
-		{"a job's first tasks meet machines at fault", 0, 2, 4, 4, 0},
+		{"faulty machines", 0, 4, 2, 2, 0},
+		{"faulty machines run a job's first tasks", 0, 2, 4, 4, 0},
 		{"both", 3, 3, 2, 1, 30},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,7 +48,7 @@
 						if task.State == Exited {
 							continue
 						}
-						if bad := strings.HasPrefix(task.Job, "bad"); bad || i < c.sick {
+						if bad := strings.HasPrefix(task.Job, "bad"); bad || i < c.faulty {
 							f.exitTask(k, CauseError)
 							if bad {
 								starts++
@@ -63,18 +64,18 @@
 					}
 				}
 			}
-			found := 0
+			quarantined := 0
 			for i, f := range fs {
 				m := w.c.machines[f.status.Machine]
 				if m != nil && m.quarantinedUntil == 0 {
 					continue
 				}
-				if found++; i >= c.sick {
-					t.Errorf("machine %d is taken out of use", i)
+				if quarantined++; i >= c.faulty {
+					t.Errorf("healthy machine %d is quarantined", i)
 				}
 			}
-			if found < c.found {
-				t.Errorf("%d of %d machines at fault are found", found, c.sick)
+			if quarantined < c.quarantined {
+				t.Errorf("%d of %d faulty machines are quarantined", quarantined, c.faulty)
 			}
 			for i := range c.good {
 				j := w.c.jobs[fmt.Sprintf("good-%d", i)]
--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// refused reports in the fake's name and says whether the beat is refused.
+// reportRefused sends a periodic report and reports whether it is refused. The worker ignores the
+// answer.
 func (f *fakeWorker) reportRefused() bool {
 	f.status.Seq++
 	r := f.status
@@ -15,10 +16,10 @@
 	return !ok
 }
 
-// TestLateStartOfCancelled: where a direct start may still arrive and the token can't be
-// raised, since the state service refuses the leader and then everybody, the machine's
-// lease has to end in time for the job's cancellation: the start would be carried out
-// after it.
+// TestLateStartOfCancelledJob covers an unanswered direct start of a cancelled job's task while the
+// token can't be raised, because the state service refuses writes. The machine's lease has to
+// expire before the cancellation's time limit; otherwise the start could be executed after the
+// limit.
 func TestLateStartOfCancelledJob(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
@@ -35,10 +36,10 @@
 	w.advance(3 * Second)
 	w.want("refused", f.reportRefused(), true)
 	if _, ok := w.c.HandleReportInGrace(w.now, &Report{Machine: "n-1", Type: "m", Zone: "a", Session: 1, Seq: f.status.Seq + 1, Token: 100, SpotNotice: -1}); ok {
-		t.Error("answered in grace")
+		t.Error("report in grace is answered")
 	}
 	f.status.Seq++
-	// The next session is free of it.
+	// The start is void in the next session.
 	next := f.status
 	next.Session, next.Seq = 2, 1
 	w.now += w.c.cfg.WorkerLease
@@ -46,7 +47,7 @@
 		t.Error("refused in the next session")
 	}
 	w.want("counted", w.c.team("blue").used, Resources{})
-	// And so is the machine once the token is raised after all.
+	// It is also void once the token is raised.
 	f.status = next
 	w.submit(JobSpec{ID: "job-2", Tasks: 1})
 	f.executeDirect()
@@ -58,13 +59,13 @@
 	w.advance(3 * Second)
 	w.want("refused again", f.reportRefused(), true)
 	w.c.TokenRaised(w.now, 200)
-	w.want("refused under a new token", f.reportRefused(), false)
+	w.want("refused with a new token", f.reportRefused(), false)
 }
 
-// TestLateStartOnHungMachine: a machine that hangs until a direct start of a cancelled job may
-// not begin any more is not answered, and the token is raised at once: under it the machine is
-// answered again, and its other tasks go on. They ended with its lease, since only a report
-// that was taken asked for a new token.
+// TestLateStartOnHungMachine covers a machine that hangs until an unanswered direct start of a
+// cancelled job's task must not be executed any more. Its report is not answered, and the token is
+// raised at once; with the new token it is answered again, and its other tasks keep running. They
+// were lost with the lease when only an accepted report caused the token to be raised.
 func TestLateStartOnHungMachine(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
@@ -78,18 +79,18 @@
 	w.cancel("job-2")
 	m := w.c.machines["n-1"]
 	w.now += w.c.cfg.MaxCancelStaleness
-	m.lastAcknowledged, m.lastReport = w.now, w.now // whatever else keeps its lease alive
+	m.lastAcknowledged, m.lastReport = w.now, w.now // its lease must not expire in this test
 	raised := w.tokenRaises
 	w.want("refused", f.reportRefused(), true)
-	w.want("a new token is asked for", w.tokenRaises, raised+1)
+	w.want("requests for a new token", w.tokenRaises, raised+1)
 	w.c.TokenRaised(w.now, 200)
-	w.want("refused under it", f.reportRefused(), false)
-	w.want("runs on", f.liveTasks(), "job-1/0 ")
+	w.want("refused with the new token", f.reportRefused(), false)
+	w.want("tasks that keep running", f.liveTasks(), "job-1/0 ")
 }
 
-// TestOldReport: a copy of an earlier report, also of an earlier session, neither frees
-// nor finishes nor starts anything, and lengthens no lease: a machine that is silent
-// would be waited for as long as copies of what it once said arrive.
+// TestOldReport checks that a delayed duplicate of a report, also of an earlier session, changes no
+// task and extends no lease. Otherwise a failed machine would be waited for as long as duplicates
+// of its reports arrive.
 func TestOldReport(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
@@ -106,7 +107,7 @@
 	heard := w.now
 	for name, r := range map[string]Report{
 		"without the task":       empty,
-		"with another end of it": done,
+		"with the task finished": done,
 		"of an earlier session":  {Machine: "n-1", Type: "m", Zone: "a", Session: 0, Seq: 99, Token: 100, SpotNotice: -1},
 	} {
 		w.now += 4 * Second
@@ -114,57 +115,59 @@
 		w.want(name+": commands", len(cmds), 0)
 		w.want(name+": counted", w.c.team("blue").used, Resources{2000, 0, 2000})
 		w.want(name+": finished", w.c.jobs["job-1"].done, 0)
-		w.want(name+": its lease counts from", m.lastAcknowledged, heard)
+		w.want(name+": start of its lease", m.lastAcknowledged, heard)
 	}
-	// In a later session that was begun meanwhile, an old one brings nothing back.
+	// A duplicate from the earlier session has no effect on a later session.
 	f.status.Session, f.status.Seq, f.status.Tasks = 2, 0, nil
 	f.report()
 	answered := m.lastAcknowledged
 	w.now += Second
 	w.c.HandleReport(w.now, &done)
-	w.want("its lease counts from", m.lastAcknowledged, answered)
+	w.want("start of its lease", m.lastAcknowledged, answered)
 	w.want("session", m.session, uint64(2))
 }
 
-// TestDeafTakeover: a machine whose reports reach a new leader, and that goes on under
-// the former one's token, is not answered again and again: only the end of its lease
-// tells what is on it, and all tasks of opened jobs would wait for that without end.
-// What the former leader may have answered it counts meanwhile.
+// TestInboundLossTakeover covers a takeover with a machine whose reports reach the new leader, but
+// that keeps the former leader's token because no answer arrives. Its reports must not be answered
+// for ever: only the end of its lease makes known what runs on it, and until then all unaccounted
+// tasks of started jobs wait. The lease includes the time in which the former leader may have
+// answered.
 func TestInboundLossTakeover(t *testing.T) {
 	w := newWorld(t, blue)
 	w.c.cfg.AnswerGrace = 20 * Second
 	spec := JobSpec{ID: "job-1", Tasks: 2, Team: "blue", Request: Resources{2000, 0, 2000}, Image: "im"}
 	w.beginTerm(200, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{MachineGroups: recordedMachines("n-1", "n-2"), Started: []string{"job-1"}})
 	began := w.now
-	hears := w.newWorker("n-2", "a")
-	deaf := w.newWorker("n-1", "a")
-	deaf.status.Token, deaf.losesCommands = 100, true
-	deaf.status.Tasks = []TaskReport{{Job: "job-1", Index: 0, Attempt: 100<<24 | 1, State: Running}}
+	healthy := w.newWorker("n-2", "a")
+	lossy := w.newWorker("n-1", "a")
+	lossy.status.Token, lossy.losesCommands = 100, true
+	lossy.status.Tasks = []TaskReport{{Job: "job-1", Index: 0, Attempt: 100<<24 | 1, State: Running}}
 	m := w.c.machines["n-1"]
 	refused := 0
 	for w.c.unreconciled > 0 && w.now-began < 200*Second {
 		w.advance(3 * Second)
-		hears.report()
-		if deaf.reportRefused() {
+		healthy.report()
+		if lossy.reportRefused() {
 			refused++
 		}
-		deaf.executeDirect()
+		lossy.executeDirect()
 		if !m.reconciled && m.lastAcknowledged < began+20*Second {
-			t.Fatal("what a former leader may answer is not counted")
+			t.Fatal("the former leader's grace is not part of the lease")
 		}
 	}
 	w.want("not answered", refused > 0, true)
 	if took := w.now - began; took < 36*Second || took > 45*Second {
-		t.Errorf("settled after %d s", took/Second)
+		t.Errorf("reconciled after %d s", took/Second)
 	}
 	w.advance(3 * Second)
-	hears.executeDirect()
-	w.want("both tasks run where it is heard", hears.liveTasks(), "job-1/0 job-1/1 ")
+	healthy.executeDirect()
+	w.want("both tasks run on the healthy machine", healthy.liveTasks(), "job-1/0 job-1/1 ")
 }
 
-// TestDeafMachine: a machine that does not do what it is told gets no more tasks, and
-// what never reached it goes elsewhere; once it answers a direct command it is given
-// tasks again. It was given them over and over, and lost them with each of its leases.
+// TestInboundLoss checks that a machine that executes no commands gets no more tasks, that tasks
+// whose start never reached it are started elsewhere, and that it gets tasks again once it replies
+// to a direct command. Without detection it got tasks again and again, and lost them with each of
+// its leases.
 func TestInboundLoss(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
@@ -172,7 +175,7 @@
 	m := w.c.machines["n-1"]
 	f.losesCommands = true
 	w.submit(JobSpec{ID: "job-1", Tasks: 1})
-	for range 4 { // answered, and it does not hear
+	for range 4 { // its reports are answered, but no answer arrives
 		f.executeDirect()
 		w.advance(3 * Second)
 		f.reportRefused()
@@ -181,32 +184,32 @@
 	w.submit(JobSpec{ID: "job-2", Tasks: 1})
 	g := w.newWorker("n-2", "a").report()
 	g.executeDirect()
-	w.want("what comes runs elsewhere", g.liveTasks(), "job-2/0 ")
-	f.status.Session, f.status.Seq = 2, 0 // its lease is over
+	w.want("new tasks run elsewhere", g.liveTasks(), "job-2/0 ")
+	f.status.Session, f.status.Seq = 2, 0 // its lease has expired
 	w.advance(3 * Second)
 	f.reportRefused()
 	w.advance(Second)
 	g.executeDirect()
-	w.want("what never reached it runs elsewhere", g.liveTasks(), "job-2/0 job-1/0 ")
+	w.want("tasks never started there run elsewhere", g.liveTasks(), "job-2/0 job-1/0 ")
 	f.losesCommands = false
 	f.executeDirect() // a probe gets through
 	w.want("deaf", m.inboundLost, false)
 	f.report()
 	w.want("usable", w.c.schedulable(m, w.now), true)
 
-	// A lease that runs out although the machine was answered shows it, too.
+	// A lease that expires although the reports were answered is a sign of inbound loss, too.
 	w.advance(3 * Second)
 	f.report()
 	f.status.Session, f.status.Seq, f.losesCommands = 3, 0, true
 	w.advance(Second)
 	f.reportRefused()
-	w.want("deaf in a new session", m.inboundLost, true)
+	w.want("inbound loss in a new session", m.inboundLost, true)
 }
 
-// TestLateRanges: a write of finished tasks that got no answer may be carried out after
-// the next one. It had the next one's key, and took from the record what that had added:
-// tasks whose completion was recorded, and whose workers had forgotten them, ran again
-// after a change of leader.
+// TestLateRangeWrite guards against the loss of completions by a late write. A write of a
+// completion record without an answer may be executed after the next one. When both used the same
+// key, the late one overwrote what the other had added, and after a change of leader tasks ran
+// again whose completion had been recorded and which their workers had forgotten.
 func TestLateRangeWrite(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
 	w.beginTerm(100, nil, Snapshot{})
@@ -214,7 +217,7 @@
 	w.submit(JobSpec{ID: "job-1", Tasks: 3})
 	f.executeDirect()
 	f.report()
-	ranges := func() (out []CompletionRecord) {
+	completions := func() (out []CompletionRecord) {
 		for _, v := range w.puts {
 			if r, ok := v.(CompletionRecord); ok {
 				out = append(out, r)
@@ -226,31 +229,31 @@
 	f.exitTask(0, CauseDone)
 	w.failPrefix, w.failOutcome = CompletionPrefix, WriteUnknown
 	f.report()
-	w.advance(11 * Second) // it goes out and gets no answer
+	w.advance(11 * Second) // the write gets no answer
 	late := CompletionRecord{CompletionKey("job-1", 0, 0), "job-1", 0, []int{first, first}}
 	f.exitTask(1, CauseDone)
 	f.report()
 	w.failPrefix = ""
 	w.advance(11 * Second)
 	f.report()
-	if got := ranges(); len(got) != 1 || got[0].Key == late.Key || fmt.Sprint(got[0].Ranges) == fmt.Sprint(late.Ranges) {
-		t.Fatalf("the next write of ranges is %v", got)
+	if got := completions(); len(got) != 1 || got[0].Key == late.Key || fmt.Sprint(got[0].Ranges) == fmt.Sprint(late.Ranges) {
+		t.Fatalf("the next completion record is %v", got)
 	}
 	w.want("forgotten", len(f.status.Tasks), 1)
-	// Now the first is carried out, and another leader reads both.
+	// The late write is executed, and another leader reads both records.
 	w2 := newWorld(t, Team{Name: "blue"})
 	spec := w.c.jobs["job-1"].spec
-	w2.beginTerm(200, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{Completions: append(ranges(), late), Started: []string{"job-1"}})
+	w2.beginTerm(200, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{Completions: append(completions(), late), Started: []string{"job-1"}})
 	w2.want("finished", w2.c.jobs["job-1"].done, 2)
-	// Whoever finishes the job drops both records.
+	// The final record of the job deletes both completion records.
 	f.exitTask(0, CauseDone)
 	f.report()
 	w.want("dropped", w.deletes[late.Key] && w.deletes[CompletionKey("job-1", 0, 1)], true)
 }
 
-// TestEndsKept: an idle machine stays until its finished tasks are recorded: if the leader
-// ended before that, the next one would learn of them from the machine's reports alone, and
-// run them again.
+// TestIdleMachineKeptUntilCompletionsStored checks that an idle machine is not released before its
+// completed tasks are recorded. If the leader failed before that, the machine's reports would be
+// the only source for the next leader, which would run the tasks again without them.
 func TestIdleMachineKeptUntilCompletionsStored(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
 	w.beginTerm(100, nil, Snapshot{})
@@ -260,7 +263,7 @@
 	f.report()
 	f.exitTask(0, CauseDone)
 	f.exitTask(1, CauseStopped)
-	w.c.jobs["job-1"].notBefore = MaxMicros // the other is not started again
+	w.c.jobs["job-1"].notBefore = MaxMicros // the stopped task is not started again
 	w.failWrites = true
 	for range 90 {
 		w.advance(Second)
@@ -272,5 +275,5 @@
 		w.advance(Second)
 		f.report()
 	}
-	w.want("returned once recorded", len(w.releases), 1)
+	w.want("released once recorded", len(w.releases), 1)
 }
--- a/internal/core/partition_record.go
+++ b/internal/core/partition_record.go
@@ -152,8 +152,8 @@
 	for _, retained := range rec.Machines {
 		m := c.machines[retained.Name]
 		if m == nil || m.reconciled || slices.ContainsFunc(retained.Tasks, func(t RetainedTask) bool { return c.liveAttempt(t) == t.Attempt }) {
-			// The machine is gone, or another machine has the same attempt of a gang's task that was
-			// replaced. Which of the two really has it is not known.
+			// The machine is gone, or another machine has the same attempt of a gang's task that
+			// was replaced. Which of the two really has it is not known.
 			continue
 		}
 		m.reconciled, m.retainedIn = true, g
--- a/internal/core/partition_record_test.go
+++ b/internal/core/partition_record_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// cutWorld is a world of twelve machines in each of the zones a and b, of which b
-// has a deputy; a service of twelve tasks fills those of b, and those of a are free.
+// setupServicesInZoneB returns a world with twelve machines in each of the zones a and b. Zone b
+// has a delegate. A service of twelve tasks fills the machines of b, and those of a are free.
 func setupServicesInZoneB(t *testing.T) (w *world, a, b []*fakeWorker) {
 	w = newWorld(t, Team{Name: "blue"})
 	w.c.cfg.Tuning.SuspectAfter, w.c.cfg.Tuning.IdleTimeout, w.c.cfg.MaxRecordBytes = 2*Second, MaxMicros, 200
@@ -30,6 +30,7 @@
 	return w, a, b
 }
 
+// tasksIn returns the number of placements on machines of a zone.
 func (w *world) tasksIn(zone string) (n int) {
 	for _, m := range w.c.sortedMachines {
 		if m.zone == zone {
@@ -39,7 +40,8 @@
 	return n
 }
 
-// kept lists the records of cuts that stand, as a new leader reads them.
+// partitionRecords returns the stored partition records, as a new leader reads them, and the number
+// of tasks in them.
 func (w *world) partitionRecords() (out []PartitionRecord, tasks int) {
 	for _, key := range slices.Sorted(maps.Keys(w.puts)) {
 		if r, ok := w.puts[key].(PartitionRecord); ok && r.Zone != "" {
@@ -52,11 +54,12 @@
 	return out, tasks
 }
 
-// next is a later leader of the same state service, which is told of the jobs.
+// nextLeader returns a world with a new leader that has taken over from w's: it has read the
+// records of the machines, the partitions and the given jobs.
 func (w *world) nextLeader(jobs ...JobSpec) *world {
-	o := newWorld(w.t, Team{Name: "blue"})
-	o.now, o.c.cfg = w.now, w.c.cfg
-	o.c.delegates = w.c.delegates
+	next := newWorld(w.t, Team{Name: "blue"})
+	next.now, next.c.cfg = w.now, w.c.cfg
+	next.c.delegates = w.c.delegates
 	snap := Snapshot{Started: []string{"job-1"}}
 	snap.Partitions, _ = w.partitionRecords()
 	rec := MachineGroupRecord{Key: MachinePrefix + "x"}
@@ -66,12 +69,13 @@
 	snap.MachineGroups = append(snap.MachineGroups, rec)
 	var recs []JobRecord
 	for _, s := range jobs {
-		recs = append(recs, JobRecord{Spec: s, SubmittedAt: o.now, Revision: 5})
+		recs = append(recs, JobRecord{Spec: s, SubmittedAt: next.now, Revision: 5})
 	}
-	o.beginTerm(200, recs, snap)
-	return o
+	next.beginTerm(200, recs, snap)
+	return next
 }
 
+// transferWorkers returns copies of the workers that report to w's leader.
 func (w *world) transferWorkers(fs ...*fakeWorker) []*fakeWorker {
 	var out []*fakeWorker
 	for _, f := range fs {
@@ -82,97 +86,99 @@
 	return out
 }
 
-// TestMovesOut: what serves in a zone that is cut off moves shortly before its
-// leases may end, as far as there is room, and not before. It all fell at once.
+// TestEvacuateBeforeLeasesEnd checks that services in a partitioned zone are moved shortly before
+// their leases may expire, as far as there is capacity elsewhere, and not earlier. Without that all
+// of them fail at once when the leases expire.
 func TestEvacuateBeforeLeasesEnd(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		after int // seconds of the cut; its leases end 9.25 s after it began, at the earliest
-		room  int // machines
-		back  int
+		name     string
+		after    int // length of the partition, in s; its leases end 9.25 s after its start, at the earliest
+		capacity int // free machines in zone a
+		released int
 	}{
-		{"early in the cut", 8, 12, 0},
-		{"before its leases end", 13, 12, 12},
-		{"as far as there is room", 13, 5, 5},
-		{"without room", 13, 0, 0},
+		{"early in the partition", 8, 12, 0},
+		{"before the leases end", 13, 12, 12},
+		{"limited capacity elsewhere", 13, 5, 5},
+		{"no capacity elsewhere", 13, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, a, b := setupServicesInZoneB(t)
-			if c.room < 12 {
-				w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: 12 - c.room, Request: Resources{8000, 0, 2000}})
+			if c.capacity < 12 {
+				w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: 12 - c.capacity, Request: Resources{8000, 0, 2000}})
 				w.reportRounds(4, append(a[:12:12], b...))
 			}
 			w.rentals, w.c.rentals = nil, map[string]*rental{}
 			w.runWithSilentWorkers(c.after, b, a)
-			w.want("given back", w.releasedMachines(), c.back)
-			if c.room == 0 {
-				w.want("room is rented ahead", len(w.rentals) > 0, true)
+			w.want("released machines", w.releasedMachines(), c.released)
+			if c.capacity == 0 {
+				w.want("machines are rented in advance", len(w.rentals) > 0, true)
 			}
 		})
 	}
 }
 
-// TestKeptRecord: what is kept in a cut is recorded, and a leader that begins in
-// it waits for nothing there. All that was opened waited for the leases' end, 23 s
-// on a day of rila fleet.
+// TestPartitionRecord checks that the tasks retained in a partitioned zone are recorded, and that a
+// new leader does not wait for the machines of that zone. Without the record all unaccounted tasks
+// of started jobs waited until the leases had expired: 23 s in a recorded scenario.
 func TestPartitionRecord(t *testing.T) {
 	w, a, b := setupServicesInZoneB(t)
 	w.runWithSilentWorkers(6, b, a)
 	recs, tasks := w.partitionRecords()
 	w.want("records", len(recs) > 1, true)
-	w.want("all that were written", w.c.partitionRecordID, len(recs)) // they ended while their machines had been heard lately
-	w.want("tasks in them", tasks, 12)
+	w.want("records written", w.c.partitionRecordID, len(recs)) // a record must not end because its machines reported shortly before it was written
+	w.want("tasks in the records", tasks, 12)
 
-	o := w.nextLeader(w.c.jobs["job-1"].spec)
-	w.want("machines to be heard", o.c.unreconciled, 12)
-	fs := o.transferWorkers(a...)
-	o.runWithSilentWorkers(1, o.transferWorkers(b...), fs)
-	w.want("machines to be heard then", o.c.unreconciled, 0)
-	w.want("tasks that are taken to be there", o.tasksIn("b"), 12)
-	w.want("tasks that start elsewhere", o.tasksIn("a"), 0)
-	w.want("the cut began as recorded", o.c.zoneByName["b"].partitionStart, w.c.zoneByName["b"].partitionStart)
-	w.want("given back early", o.releasedMachines(), 0)
+	next := w.nextLeader(w.c.jobs["job-1"].spec)
+	w.want("unreconciled machines", next.c.unreconciled, 12)
+	fs := next.transferWorkers(a...)
+	next.runWithSilentWorkers(1, next.transferWorkers(b...), fs)
+	w.want("unreconciled machines after the reports from a", next.c.unreconciled, 0)
+	w.want("tasks assumed in b", next.tasksIn("b"), 12)
+	w.want("tasks started elsewhere", next.tasksIn("a"), 0)
+	w.want("start of the partition as recorded", next.c.zoneByName["b"].partitionStart, w.c.zoneByName["b"].partitionStart)
+	w.want("machines released early", next.releasedMachines(), 0)
 
-	// Mended: the first report ends the record, and not before is anything placed.
-	o.failPrefix = PartitionPrefix
-	m := o.c.machines["b-00"]
-	bs := o.transferWorkers(b...)
-	bs[0].status.Tasks = nil // its lease ran out
-	bs[0].status.Session = 2
-	bs[0].report().report()
-	o.advance(Second)
-	w.want("usable while the record stands", o.c.schedulable(m, o.now), false)
-	o.failPrefix = ""
-	o.advance(Second)
-	bs[0].report()
-	w.want("usable once it has ended", o.c.schedulable(m, o.now), true)
-	other := o.c.machines["b-01"]
-	w.want("usable before it is heard, but for that", other.retainedIn == nil && o.now-other.lastReport < o.c.reportTimeout(), true)
-	w.want("usable before it is heard", o.c.schedulable(other, o.now), false)
-	w.want("the task is free to start", o.tasksIn("b")+o.tasksIn("a"), 12)
+	// The partition heals. The first report ends the record; no task is placed before that.
+	next.failPrefix = PartitionPrefix
+	m := next.c.machines["b-00"]
+	workersB := next.transferWorkers(b...)
+	workersB[0].status.Tasks = nil // its lease expired
+	workersB[0].status.Session = 2
+	workersB[0].report().report()
+	next.advance(Second)
+	w.want("schedulable while the record exists", next.c.schedulable(m, next.now), false)
+	next.failPrefix = ""
+	next.advance(Second)
+	workersB[0].report()
+	w.want("schedulable once the record has ended", next.c.schedulable(m, next.now), true)
+	other := next.c.machines["b-01"]
+	w.want("no other reason against scheduling before the first report", other.retainedIn == nil && next.now-other.lastReport < next.c.reportTimeout(), true)
+	w.want("schedulable before the first report", next.c.schedulable(other, next.now), false)
+	w.want("the task is started again", next.tasksIn("b")+next.tasksIn("a"), 12)
 }
 
-// TestKeptStands: a record whose write got no answer may stand, or come to, so
-// nothing is placed on its machines before it is ended under its own key; and its
-// write is on the condition that there is nothing under that.
+// TestPartitionRecordWriteWithoutAnswer guards against a partition record that is written late. A
+// write without an answer may have been executed, or may be later. So no task is placed on the
+// record's machines before the record has been ended under its own key, and the write is
+// conditional on the key being absent.
 func TestPartitionRecordWriteWithoutAnswer(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		as     WriteOutcome
-		usable bool
+		name            string
+		outcome         WriteOutcome
+		wantSchedulable bool
 	}{{"refused", WriteRefused, true}, {"no answer", WriteUnknown, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			w, a, b := setupServicesInZoneB(t)
-			w.failPrefix, w.failOutcome = PartitionPrefix, c.as
+			w.failPrefix, w.failOutcome = PartitionPrefix, c.outcome
 			w.runWithSilentWorkers(6, b, a)
 			for _, f := range b {
 				f.losesCommands = false
 				f.report()
 			}
-			w.want("usable", w.c.schedulable(w.c.machines["b-00"], w.now), c.usable)
+			w.want("usable", w.c.schedulable(w.c.machines["b-00"], w.now), c.wantSchedulable)
 			w.failPrefix = ""
 			w.reportRounds(2, append(a[:12:12], b...))
-			w.want("usable once it has ended", w.c.schedulable(w.c.machines["b-00"], w.now), true)
+			w.want("schedulable once the record has ended", w.c.schedulable(w.c.machines["b-00"], w.now), true)
 		})
 	}
 	w, a, b := setupServicesInZoneB(t)
@@ -194,108 +200,111 @@
 		for _, act := range w.c.Step(w.now) {
 			if wr, ok := act.(Write); ok && len(wr.Puts) > 0 {
 				if r, ok := wr.Puts[0].Value.(PartitionRecord); ok && r.Zone != "" && wr.IfAbsent != wr.Puts[0].Key {
-					t.Errorf("written on the condition %q", wr.IfAbsent)
+					t.Errorf("record written with the condition %q, want its own key", wr.IfAbsent)
 				}
 			}
 		}
 	}
 }
 
-// TestListedTasks: what a machine reports goes before what a record says of
-// another one, and of two records the later start counts.
+// TestReportOverridesPartitionRecord checks that a machine's report of a task takes precedence over
+// a partition record that lists the task on another machine, and that the later attempt counts if
+// two records list the task.
 func TestReportOverridesPartitionRecord(t *testing.T) {
 	w, a, b := setupServicesInZoneB(t)
 	w.runWithSilentWorkers(6, b, a)
 	spec := w.c.jobs["job-1"].spec
-	o := w.nextLeader(spec)
+	next := w.nextLeader(spec)
 	attempt := b[3].status.Tasks[0].Attempt
-	moved := o.transferWorkers(a[0])[0] // the former leader started it there, after b-03 was surely gone
+	moved := next.transferWorkers(a[0])[0] // the former leader restarted the task there, once b-03 was certainly gone
 	moved.status.Tasks = []TaskReport{{Job: "job-1", Index: b[3].status.Tasks[0].Index, Attempt: attempt + 1, State: Running}}
 	moved.report()
-	w.want("it runs on", moved.liveTasks() != "", true)
-	w.want("it is not stopped", len(moved.replyCommands), 0)
-	w.want("tasks in b", o.tasksIn("b"), 11)
+	w.want("the task keeps running", moved.liveTasks() != "", true)
+	w.want("commands to stop it", len(moved.replyCommands), 0)
+	w.want("tasks in b", next.tasksIn("b"), 11)
 
 	w.puts[PartitionPrefix+"0"] = PartitionRecord{Key: PartitionPrefix + "0", Zone: "a", Machines: []RetainedMachine{{"a-00", []RetainedTask{{"job-1", b[3].status.Tasks[0].Index, attempt + 1}}}}}
-	o = w.nextLeader(spec)
-	w.want("tasks in all", o.tasksIn("a")+o.tasksIn("b"), 12)
-	w.want("where the later one is", o.tasksIn("a"), 1)
+	next = w.nextLeader(spec)
+	w.want("tasks in both zones", next.tasksIn("a")+next.tasksIn("b"), 12)
+	w.want("tasks in a, the zone of the later attempt", next.tasksIn("a"), 1)
 
-	// A gang's task is replaced with the same attempt: which of two records is
-	// right is not known, and one of the machines is waited for.
+	// A gang's task is replaced under the same attempt. Which of the two records is right is not
+	// known, so one of the machines must not count as reconciled.
 	w.puts[PartitionPrefix+"0"] = PartitionRecord{Key: PartitionPrefix + "0", Zone: "a", Machines: []RetainedMachine{{"a-00", []RetainedTask{{"job-1", b[3].status.Tasks[0].Index, attempt}}}}}
-	o = w.nextLeader(spec)
-	w.want("machines to be heard", o.c.unreconciled, 12)
-	w.want("both are waited for", o.c.machines["a-00"].reconciled && o.c.machines["b-03"].reconciled, false)
+	next = w.nextLeader(spec)
+	w.want("unreconciled machines", next.c.unreconciled, 12)
+	w.want("both machines are reconciled", next.c.machines["a-00"].reconciled && next.c.machines["b-03"].reconciled, false)
 }
 
-// TestLateStartOfKept: a start of the former leader's may still arrive until the
-// machine has seen the new token: until then the task counts as there.
+// TestLateStartOnRetainedMachine guards against a start of the former leader that arrives late. It
+// may arrive until the worker has seen the new token, and until then the task counts as running
+// there.
 func TestLateStartOnRetainedMachine(t *testing.T) {
 	w, a, b := setupServicesInZoneB(t)
 	w.runWithSilentWorkers(6, b, a)
-	o := w.nextLeader(w.c.jobs["job-1"].spec)
-	f := o.transferWorkers(b[0])[0]
+	next := w.nextLeader(w.c.jobs["job-1"].spec)
+	f := next.transferWorkers(b[0])[0]
 	f.status.Tasks, f.status.Token = nil, 100
 	f.status.Seq++
 	r := f.status
-	cmds, _, _ := o.c.HandleReport(o.now, &r)
-	w.want("tasks there when it shows the old token", len(o.c.machines["b-00"].placements), 1)
-	w.want("it is started there again", len(cmds) == 1 && cmds[0].Op == Start, true)
-	o.c.stopPlacement(o.c.machines["b-00"].placements[0], o.now, 0)
-	f.status.Seq++ // the answer was lost
+	cmds, _, _ := next.c.HandleReport(next.now, &r)
+	w.want("tasks there while it reports the old token", len(next.c.machines["b-00"].placements), 1)
+	w.want("the start is sent again", len(cmds) == 1 && cmds[0].Op == Start, true)
+	next.c.stopPlacement(next.c.machines["b-00"].placements[0], next.now, 0)
+	f.status.Seq++ // the answer with the start is lost
 	r = f.status
-	o.c.HandleReport(o.now, &r)
-	w.want("tasks there while it may arrive", len(o.c.machines["b-00"].placements), 1)
+	next.c.HandleReport(next.now, &r)
+	w.want("tasks there while the start may arrive", len(next.c.machines["b-00"].placements), 1)
 	f.status.Seq, f.status.Token = f.status.Seq+1, 200
 	r = f.status
-	o.c.HandleReport(o.now, &r)
-	w.want("tasks there when it can't any more", len(o.c.machines["b-00"].placements), 0)
+	next.c.HandleReport(next.now, &r)
+	w.want("tasks there when the start can't arrive any more", len(next.c.machines["b-00"].placements), 0)
 }
 
-// TestUnknownInCut: where nobody knows what runs in a zone that is cut off, all
-// that was opened waits; its machines go once every service that was not heard of
-// has room, and when the leases may end at the latest.
+// TestUnreconciledMachinesInPartition covers a partitioned zone whose tasks no record lists: all
+// unaccounted tasks of started jobs wait. Its machines are released once there is capacity
+// elsewhere for every unaccounted service task, and when the leases may expire at the latest.
 func TestUnreconciledMachinesInPartition(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		more int // tasks of another service that was not heard of
-		back [2]int
+		name     string
+		more     int // tasks of another unaccounted service
+		released [2]int
 	}{
-		{"room for all that may be there", 0, [2]int{12, 12}},
-		{"not enough room", 6, [2]int{0, 12}},
+		{"capacity for all that may run there", 0, [2]int{12, 12}},
+		{"not enough capacity", 6, [2]int{0, 12}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, a, b := setupServicesInZoneB(t)
 			for k := range w.puts {
-				delete(w.puts, k) // the leader was cut off with them: nothing is recorded
+				delete(w.puts, k) // the former leader was partitioned with the zone: it stored no record
 			}
 			specs := []JobSpec{w.c.jobs["job-1"].spec}
 			if c.more > 0 {
 				specs = append(specs, JobSpec{ID: "job-2", Kind: Service, Tasks: c.more, Request: Resources{8000, 0, 2000}, Image: "im", Team: "blue"})
 			}
-			o := w.nextLeader(specs...)
+			next := w.nextLeader(specs...)
 			for _, s := range specs {
-				o.c.jobs[s.ID].unaccounted = true
+				next.c.jobs[s.ID].unaccounted = true
 			}
-			as, bs := o.transferWorkers(a...), o.transferWorkers(b...)
-			o.runWithSilentWorkers(6, bs, as)
-			w.want("given back", o.releasedMachines(), c.back[0])
-			o.runWithSilentWorkers(6, bs, as)
-			w.want("given back in the end", o.releasedMachines(), c.back[1])
+			workersA, workersB := next.transferWorkers(a...), next.transferWorkers(b...)
+			next.runWithSilentWorkers(6, workersB, workersA)
+			w.want("released machines", next.releasedMachines(), c.released[0])
+			next.runWithSilentWorkers(6, workersB, workersA)
+			w.want("machines released in the end", next.releasedMachines(), c.released[1])
 		})
 	}
 }
 
-// TestAlone: a leader to which most of the fleet is silent is cut off itself: the
-// other zones are not, and what it asks for is rented minutes later. 97 machines
-// were, at rila fleet. If it leads on, they are.
+// TestIsolatedLeader guards against a leader that takes its own partition from most of the fleet
+// for a partition of the other zones. Its requests for machines are executed minutes later: in a
+// recorded scenario 97 machines were rented for nothing. If it still leads after its lease would
+// have expired, the zones are partitioned.
 func TestIsolatedLeader(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lease Micros
-		cuts  int
-	}{{"its lease may be over", 20 * Second, 0}, {"it leads on", Second, 2}} {
+		name       string
+		lease      Micros
+		partitions int
+	}{{"its lease may have expired", 20 * Second, 0}, {"it still leads", Second, 2}} {
 		t.Run(c.name, func(t *testing.T) {
 			w, a, b := setupServicesInZoneB(t)
 			w.c.cfg.LeaderLease = c.lease
@@ -317,32 +326,32 @@
 			for _, r := range recs {
 				zones[r.Zone] = true
 			}
-			w.want("cuts", len(zones), c.cuts)
-			w.want("given back", w.releasedMachines() > 0, c.cuts > 0)
-			if c.cuts == 0 {
+			w.want("cuts", len(zones), c.partitions)
+			w.want("released machines", w.releasedMachines() > 0, c.partitions > 0)
+			if c.partitions == 0 {
 				w.want("rented", len(w.rentals)-before, 0)
 			}
 		})
 	}
 }
 
-// TestBunched: after a takeover all machines report at once, and then not for
-// seconds; a zone that pauses is not cut off. 80 good machines were given back on a
-// day of storm bureau.
+// TestBurstOfReportsAfterTakeover guards against a pause in a zone's reports that is taken for a
+// partition. After a takeover all machines report at once, and then none for seconds. In a recorded
+// scenario 80 healthy machines were released.
 func TestBurstOfReportsAfterTakeover(t *testing.T) {
 	w, a, b := setupServicesInZoneB(t)
-	o := w.nextLeader(w.c.jobs["job-1"].spec)
-	o.c.cfg.ReportInterval = 8 * Second
-	o.c.SetDelegates("b", []*Delegate{{lastMessage: o.now}})
-	as, bs := o.transferWorkers(a...), o.transferWorkers(b...)
+	next := w.nextLeader(w.c.jobs["job-1"].spec)
+	next.c.cfg.ReportInterval = 8 * Second
+	next.c.SetDelegates("b", []*Delegate{{lastMessage: next.now}})
+	workersA, workersB := next.transferWorkers(a...), next.transferWorkers(b...)
 	for i := range 36 {
-		as = append(as, o.newWorker(fmt.Sprintf("a-%d", 20+i), "a"))
-		bs = append(bs, o.newWorker(fmt.Sprintf("b-%d", 20+i), "b"))
+		workersA = append(workersA, next.newWorker(fmt.Sprintf("a-%d", 20+i), "a"))
+		workersB = append(workersB, next.newWorker(fmt.Sprintf("b-%d", 20+i), "b"))
 	}
-	o.reportRounds(1, append(as[:48:48], bs...))
+	next.reportRounds(1, append(workersA[:48:48], workersB...))
 	for range 7 {
-		o.reportRounds(1, as)
-		w.want("cut off", o.c.partitioned("b", o.now), false)
+		next.reportRounds(1, workersA)
+		w.want("counts as partitioned", next.c.partitioned("b", next.now), false)
 	}
-	w.want("given back", o.releasedMachines(), 0)
+	w.want("released machines", next.releasedMachines(), 0)
 }
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// TestTakeover: a new leader starts nothing that may still run somewhere, and
-// counts it, until every recorded machine has answered under the new token or
-// its lease is over.
+// TestTakeover checks that a new leader starts no task that may still run on a machine before every
+// recorded machine has reported the new token or its lease has expired.
 func TestTakeover(t *testing.T) {
 	rec := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 2, Request: Resources{2000, 0, 1000}, Image: "im"}, Revision: 5}
 	fresh := rec
@@ -15,22 +14,22 @@
 	for _, c := range []struct {
 		name  string
 		event func(w *world, old, n2 *fakeWorker)
-		want  int // tasks of the opened job on the new machine
+		want  int // tasks of the started job on the new machine
 	}{
-		{"not heard", func(w *world, old, n2 *fakeWorker) { w.advance(10 * Second) }, 0},
-		{"report from before the new token", func(w *world, old, n2 *fakeWorker) {
+		{"no report", func(w *world, old, n2 *fakeWorker) { w.advance(10 * Second) }, 0},
+		{"report with the old token", func(w *world, old, n2 *fakeWorker) {
 			old.status.Seq++
 			old.status.Token = 99
 			r := old.status
 			w.c.HandleReport(w.now, &r)
 			w.step()
 		}, 0},
-		{"answered under the new token, empty", func(w *world, old, n2 *fakeWorker) { old.executeDirect() }, 2},
-		{"answered, one task runs there", func(w *world, old, n2 *fakeWorker) {
+		{"reply with the new token, no tasks", func(w *world, old, n2 *fakeWorker) { old.executeDirect() }, 2},
+		{"reply with the new token, one task runs", func(w *world, old, n2 *fakeWorker) {
 			old.status.Tasks = []TaskReport{{Job: "job-1", Index: 1, Attempt: 7, State: Running}}
 			old.executeDirect()
 		}, 1},
-		{"lease over", func(w *world, old, n2 *fakeWorker) {
+		{"lease expired", func(w *world, old, n2 *fakeWorker) {
 			for range 6 {
 				w.advance(3 * Second)
 				n2.report()
@@ -55,7 +54,7 @@
 			for _, task := range n2.status.Tasks {
 				counts[task.Job]++
 			}
-			// The machine n-1 takes its share once it is settled.
+			// Machine n-1 gets tasks, too, once it is reconciled.
 			for _, m := range w.c.sortedMachines {
 				for _, p := range m.placements {
 					if p.job != nil && m.name == "n-1" && !p.reported {
@@ -63,15 +62,15 @@
 					}
 				}
 			}
-			w.want("opened job", counts["job-1"], c.want)
-			w.want("job never opened", counts["job-2"], 2)
+			w.want("started job", counts["job-1"], c.want)
+			w.want("job never started", counts["job-2"], 2)
 		})
 	}
 }
 
-// TestAnswerGrace: a leader whose lease is over renews workers' leases and tells
-// them nothing, unless they know a higher token; and the next leader waits as
-// much longer for machines that it does not hear.
+// TestAnswerGrace checks that a leader whose own lease has expired renews the leases of workers
+// without sending commands, but not of workers with a higher token. The next leader waits as much
+// longer for machines that do not report.
 func TestAnswerGrace(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
@@ -80,24 +79,24 @@
 	r.Seq++
 	w.now += 12 * Second
 	token, ok := w.c.HandleReportInGrace(w.now, &r)
-	w.want("answered under the token", ok && token == 100, true)
+	w.want("answered with the token", ok && token == 100, true)
 	w.advance(12 * Second)
-	w.want("its lease is over", w.c.machines["n-1"].lost, false)
+	w.want("counts as lost", w.c.machines["n-1"].lost, false)
 	r.Seq, r.Token = r.Seq+1, 101
 	_, ok = w.c.HandleReportInGrace(w.now, &r)
-	w.want("answered though there is another leader", ok, false)
+	w.want("answered although there is another leader", ok, false)
 
 	w = newWorld(t, blue)
 	w.c.cfg.AnswerGrace = 60 * Second
 	rec := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 1, Request: Resources{2000, 0, 1000}, Image: "im"}, Revision: 5}
 	w.beginTerm(100, []JobRecord{rec}, Snapshot{MachineGroups: recordedMachines("n-1"), Started: []string{"job-1"}})
 	w.advance(70 * Second)
-	w.want("held while it may be answered", w.c.jobs["job-1"].unaccounted, true)
+	w.want("unaccounted while the former leader may answer", w.c.jobs["job-1"].unaccounted, true)
 	w.advance(10 * Second)
 	w.want("held", w.c.jobs["job-1"].unaccounted, false)
 }
 
-// TestAttempts: no attempt is given twice, by any leader.
+// TestAttemptsAreUnique checks that no attempt number is used twice, within a term or across terms.
 func TestAttemptsAreUnique(t *testing.T) {
 	seen := map[uint64]bool{}
 	w := newWorld(t)
@@ -106,7 +105,7 @@
 		for range 1000 {
 			a := w.c.nextAttempt()
 			if seen[a] {
-				t.Fatalf("attempt %d is given twice", a)
+				t.Fatalf("attempt %d is used twice", a)
 			}
 			seen[a] = true
 		}
--- a/internal/core/term.go
+++ b/internal/core/term.go
@@ -1,13 +1,13 @@
 package core
 
-// clockDriftDivisor is the divisor of a duration that gives the allowance for clock drift, 0.1%. The
-// monotonic clocks of two machines drift apart by at most 0.05%; twice that covers a duration
+// clockDriftDivisor is the divisor of a duration that gives the allowance for clock drift, 0.1%.
+// The monotonic clocks of two machines drift apart by at most 0.05%; twice that covers a duration
 // measured on one machine and compared on the other.
 const clockDriftDivisor = 1000
 
-// LeaseValidUntil returns until when a lease in the state service is certainly valid on the holder's
-// own clock. It counts from the sending of the last successful renewal, less the clock drift and
-// 50 ms for the time between a check of the lease and the departure of a packet.
+// LeaseValidUntil returns until when a lease in the state service is certainly valid on the
+// holder's own clock. It counts from the sending of the last successful renewal, less the clock
+// drift and 50 ms for the time between a check of the lease and the departure of a packet.
 func LeaseValidUntil(sentAt, ttl Micros) Micros {
 	return sentAt + ttl - ttl/clockDriftDivisor - 50*Millisecond
 }
--- a/internal/core/term_test.go
+++ b/internal/core/term_test.go
@@ -2,48 +2,49 @@
 
 import "testing"
 
-// TestLeaseUntil: a leader stops before its lease can be over by another clock.
+// TestLeaseValidUntil checks that a leader stops acting before its lease can have expired on
+// another clock.
 func TestLeaseValidUntil(t *testing.T) {
 	if got := LeaseValidUntil(10*Second, 3*Second); got >= 13*Second || got < 12*Second {
-		t.Errorf("acts until %d", got)
+		t.Errorf("lease is valid until %d", got)
 	}
 }
 
-// TestShouldResign guards against a leader that is cut off from the workers
-// alone and keeps its lease while theirs run out.
+// TestShouldResign guards against a leader that is partitioned from the workers only, and keeps its
+// own lease while theirs expire.
 func TestShouldResign(t *testing.T) {
 	const gap = 3 * Second
 	for _, c := range []struct {
-		name            string
-		begun, lastBeat Micros
-		peer, taken     bool
-		want            bool
+		name                    string
+		termBeganAt, lastReport Micros
+		peer, acknowledged      bool
+		want                    bool
 	}{
-		{"hears workers", 0, 99 * Second, true, true, false},
-		{"a short silence", 0, 94 * Second, true, true, false},
-		{"silence, a peer hears them", 0, 92 * Second, true, true, true},
-		{"silence for all", 0, 50 * Second, false, true, false},
+		{"recent report", 0, 99 * Second, true, true, false},
+		{"short time without reports", 0, 94 * Second, true, true, false},
+		{"no reports, a peer receives some", 0, 92 * Second, true, true, true},
+		{"no reports at any controller", 0, 50 * Second, false, true, false},
 		{"new term", 95 * Second, 50 * Second, true, true, false},
-		{"heard in this term, and none took an answer", 60 * Second, 92 * Second, true, false, false},
-		{"none heard in this term", 60 * Second, 50 * Second, true, false, true},
+		{"reports in this term, no answer accepted", 60 * Second, 92 * Second, true, false, false},
+		{"no reports in this term", 60 * Second, 50 * Second, true, false, true},
 	} {
-		if got := ShouldResign(100*Second, c.begun, c.lastBeat, gap, c.peer, c.taken); got != c.want {
+		if got := ShouldResign(100*Second, c.termBeganAt, c.lastReport, gap, c.peer, c.acknowledged); got != c.want {
 			t.Errorf("%s: got %v", c.name, got)
 		}
 	}
 }
 
-// TestLostMachine: tasks of a machine start elsewhere only when its lease is
-// over, counted from the last answer, when it shows a new session, or when a
-// return of it was answered.
+// TestLostMachine checks that the tasks of a machine are started elsewhere only when its lease has
+// expired, counted from the last answer, when it reports a new session, when its release has
+// succeeded, or when the cloud lists it as failed.
 func TestLostMachine(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		event func(w *world, f *fakeWorker)
 		moved bool
 	}{
-		{"silent for less than the lease", func(w *world, f *fakeWorker) { w.advance(15 * Second) }, false},
-		{"lease over", func(w *world, f *fakeWorker) { w.advance(17 * Second) }, true},
+		{"no report for less than the lease", func(w *world, f *fakeWorker) { w.advance(15 * Second) }, false},
+		{"lease expired", func(w *world, f *fakeWorker) { w.advance(17 * Second) }, true},
 		{"new session", func(w *world, f *fakeWorker) {
 			f.status.Session, f.status.Tasks = 2, nil
 			f.status.Seq++
@@ -57,13 +58,13 @@
 			w.c.HandleReport(w.now, &r)
 			w.step()
 		}, false},
-		{"return not answered", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, false); w.step() }, false},
-		{"return answered", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, true); w.step() }, true},
+		{"release failed", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, false); w.step() }, false},
+		{"release succeeded", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, true); w.step() }, true},
 		{"listed as failed", func(w *world, f *fakeWorker) {
 			w.c.HandleMachineList(w.now, []ListedMachine{{Name: "n-1", Failed: true}})
 			w.step()
 		}, true},
-		{"missing from the late list", func(w *world, f *fakeWorker) { w.c.HandleMachineList(w.now, nil); w.step() }, false},
+		{"missing from the lagging list", func(w *world, f *fakeWorker) { w.c.HandleMachineList(w.now, nil); w.step() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, blue)
@@ -81,16 +82,16 @@
 	}
 }
 
-// TestSessionLease: a new session's lease counts from when it began, not from
-// the last answer, which belongs to the session before: a machine whose beats did
-// not get through was counted as lost in the midst of its session. It is given
-// nothing before it reports again (TestMuteMachine).
+// TestSessionLease checks that the lease of a new session counts from its start, and not from the
+// last answer, which belongs to the previous session. Otherwise a machine whose reports did not
+// arrive was marked as lost in the middle of its session. It gets no task before it reports again;
+// see TestOutboundLoss.
 func TestSessionLease(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
 	f := w.newWorker("n-1", "a").report()
 	w.advance(15 * Second)
-	// A direct command is refused: the worker has begun its next session.
+	// The worker refuses a direct command: it is in its next session.
 	r := f.status
 	r.Session, r.Seq = 2, 1
 	w.c.CommandResult(w.now, "n-1", 100, Refused, &r)
@@ -98,12 +99,12 @@
 	w.submit(JobSpec{ID: "job-1", Tasks: 1})
 	f.executeDirect()
 	w.want("started directly", f.liveTasks(), "")
-	w.want("its lease counts from", w.c.machines["n-1"].lastAcknowledged, w.now)
+	w.want("start of its lease", w.c.machines["n-1"].lastAcknowledged, w.now)
 	for range 5 {
 		w.advance(3 * Second)
 		f.executeDirect()
 		w.want("lost", w.c.machines["n-1"].lost, false)
 	}
 	w.advance(3 * Second)
-	w.want("lost, its lease is over", w.c.machines["n-1"].lost, true)
+	w.want("lost after its lease", w.c.machines["n-1"].lost, true)
 }
--- a/internal/core/zone.go
+++ b/internal/core/zone.go
@@ -118,8 +118,8 @@
 		if now >= z.partitionUntil {
 			z.partitionStart = now - z.window
 			if !z.reportedInTerm {
-				// No machine has reported since the term began: the former leader was cut off together
-				// with the zone.
+				// No machine has reported since the term began: the former leader was cut off
+				// together with the zone.
 				z.partitionStart = c.termBeganAt - c.cfg.LeaderLease
 			}
 			c.log("zone cut off", "zone", name, "machines", z.up, "heard", z.reporting, "in_ms", z.window/Millisecond)
--- a/internal/core/zone_test.go
+++ b/internal/core/zone_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// zoned is a world of twelve machines in each of the zones a and b, of which b
-// has a deputy. One service task or one task of an array runs on each.
+// setupTasksInBothZones returns a world with twelve machines in each of the zones a and b. Zone b
+// has a delegate. One task of a job of the given kind runs on each machine.
 func setupTasksInBothZones(t *testing.T, kind Kind) (w *world, d *Delegate, a, b []*fakeWorker) {
 	w = newWorld(t, Team{Name: "blue"})
 	w.c.cfg.Tuning.SuspectAfter = 2 * Second
@@ -23,7 +23,8 @@
 	return w, d, a, b
 }
 
-// silence lets these machines answer nothing for a while, the others report.
+// runWithSilentWorkers advances the world by n seconds in which the silent workers neither report
+// nor reply, and the others report once per second.
 func (w *world) runWithSilentWorkers(n int, silent, others []*fakeWorker) {
 	for range n {
 		w.advance(Second)
@@ -38,6 +39,7 @@
 	}
 }
 
+// releasedMachines returns the number of machines that are queued for release or were in a request.
 func (w *world) releasedMachines() int {
 	n := len(w.c.releaseQueue)
 	for _, r := range w.releases {
@@ -46,68 +48,70 @@
 	return n
 }
 
-// TestZoneCut: machines that die one by one are given back; a zone that falls
-// silent as a whole is cut off, and what serves there is kept. It was all given
-// back within ten seconds, a third of the fleet.
+// TestZonePartition checks that machines that fail one by one are released, and that a zone whose
+// machines all stop reporting at once counts as partitioned and keeps its services. Without the
+// distinction a whole zone, a third of the fleet, was released within ten seconds.
 func TestZonePartition(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		kind   Kind
-		silent int // machines of zone b
-		spoke  bool
-		back   int
+		name            string
+		kind            Kind
+		silent          int // number of silent machines in zone b
+		delegatePresent bool
+		released        int
 	}{
-		{"some die", Service, 4, true, 4},
-		{"a zone that serves", Service, 12, true, 0},
-		{"a zone of arrays", Array, 12, true, 12},
-		{"a zone without anybody to answer in it", Service, 12, false, 12},
+		{"some machines fail", Service, 4, true, 4},
+		{"a zone with services", Service, 12, true, 0},
+		{"a zone with arrays", Array, 12, true, 12},
+		{"a zone without a delegate", Service, 12, false, 12},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, d, a, b := setupTasksInBothZones(t, c.kind)
-			w.runWithSilentWorkers(20, nil, append(a[:12:12], b...)) // the term is not new any more
-			if c.spoke {
+			w.runWithSilentWorkers(20, nil, append(a[:12:12], b...)) // beyond the start of the term
+			if c.delegatePresent {
 				d.HandleReply(w.now, w.now, 1, -1)
 			}
 			w.runWithSilentWorkers(8, b[:c.silent], append(a[:12:12], b[c.silent:]...))
-			w.want("given back", w.releasedMachines(), c.back)
-			cut := c.silent == 12 && c.spoke
-			w.want("cut off", w.c.partitioned("b", w.now), cut)
+			w.want("released machines", w.releasedMachines(), c.released)
+			wantPartitioned := c.silent == 12 && c.delegatePresent
+			w.want("counts as partitioned", w.c.partitioned("b", w.now), wantPartitioned)
 			d2 := demand{c: w.c, now: w.now, requested: map[offer]bool{}, counts: map[offer]int{}}
-			w.want("rented there", d2.mayRequest(offer{"g", "b", false}), !cut)
+			w.want("rentals allowed there", d2.mayRequest(offer{"g", "b", false}), !wantPartitioned)
 		})
 	}
 }
 
-// TestMended: once a zone that was cut off is heard again, a machine there that
-// is not is dead. It was spared for two report gaps more, and a takeover with it.
+// TestPartitionHealed checks that a machine that does not report after its zone's partition has
+// healed is released. Such a machine was spared for two more report intervals, which also delayed a
+// takeover.
 func TestPartitionHealed(t *testing.T) {
 	w, d, a, b := setupTasksInBothZones(t, Service)
 	w.runWithSilentWorkers(20, nil, append(a[:12:12], b...))
 	d.HandleReply(w.now, w.now, 1, -1)
 	w.runWithSilentWorkers(6, b, a)
-	w.want("given back in the cut", w.releasedMachines(), 0)
+	w.want("machines released during the partition", w.releasedMachines(), 0)
 	for _, f := range b[1:] {
 		f.losesCommands = false
 	}
 	w.runWithSilentWorkers(8, b[:1], append(a[:12:12], b[1:]...))
-	w.want("given back after it", w.releasedMachines(), 1)
+	w.want("machines released afterwards", w.releasedMachines(), 1)
 }
 
-// TestDeputyLeases: the lease of a machine that a deputy may have answered is
-// not counted down before what that did is known, or can do nothing more.
+// TestDelegateLeases checks that the lease of a machine that a delegate may have answered counts as
+// expired only once the delegate's answers are known, or once the delegation and the leases renewed
+// under it have expired.
 func TestDelegateLeases(t *testing.T) {
 	const s = Second
 	for _, c := range []struct {
-		name string
-		do   func(d *Delegate) // the machine was answered last at 0; its lease is 16 s
-		over Micros
+		name   string
+		setup  func(d *Delegate) // the leader acknowledged a report of the machine last at 0; its lease is 16 s
+		expiry Micros
 	}{
-		{"nothing was permitted", func(d *Delegate) {}, 17 * s},
-		{"permitted, and nothing heard since", func(d *Delegate) { d.Grant(2*s, 20*s) }, 39 * s},
-		{"it says in time that it answered nothing", func(d *Delegate) { d.Grant(2*s, 20*s); d.HandleReply(17*s, 17*s+s/2, 1, -1) }, 17 * s},
-		{"it said so too early", func(d *Delegate) { d.Grant(2*s, 20*s); d.HandleReply(15*s, 15*s, 1, -1) }, 39 * s},
-		{"it says that it answered", func(d *Delegate) { d.Grant(2*s, 20*s); d.HandleReply(35*s, 36*s, 1, 26*s) }, 27 * s},
-		{"its former process may have answered", func(d *Delegate) {
+		{"no delegation", func(d *Delegate) {}, 17 * s},
+		{"delegation without a reply", func(d *Delegate) { d.Grant(2*s, 20*s) }, 39 * s},
+		{"reply in time: no answers", func(d *Delegate) { d.Grant(2*s, 20*s); d.HandleReply(17*s, 17*s+s/2, 1, -1) }, 17 * s},
+		{"reply too early: no answers", func(d *Delegate) { d.Grant(2*s, 20*s); d.HandleReply(15*s, 15*s, 1, -1) }, 39 * s},
+		{"reply with an answer", func(d *Delegate) { d.Grant(2*s, 20*s); d.HandleReply(35*s, 36*s, 1, 26*s) }, 27 * s},
+		{"restart of the delegate's process", func(d *Delegate) {
 			d.Grant(2*s, 20*s)
 			d.HandleReply(3*s, 3*s, 1, -1)
 			d.HandleReply(8*s, 8*s, 2, -1)
@@ -118,46 +122,46 @@
 			w := newWorld(t)
 			d := &Delegate{}
 			w.c.SetDelegates("a", []*Delegate{d})
-			c.do(d)
+			c.setup(d)
 			m := &machine{zone: "a"}
-			w.want("a second before", w.c.leaseExpired(m, c.over-s), false)
-			w.want("then", w.c.leaseExpired(m, c.over), true)
+			w.want("a second before", w.c.leaseExpired(m, c.expiry-s), false)
+			w.want("then", w.c.leaseExpired(m, c.expiry), true)
 		})
 	}
 }
 
-// TestPermission: a permission counts from the deputy's own reply, so one that
-// was held up on its way is not longer, and it ends with the leader.
+// TestDelegation checks that a delegation counts from the delegate's own reply, so that a delayed
+// grant is not longer, and that it ends when another leader is known.
 func TestDelegation(t *testing.T) {
 	const s = Second
 	for _, c := range []struct {
 		name                string
 		echo, token         uint64
-		at, ask             Micros
+		at, answerAt        Micros
 		leader, worker, got uint64
 	}{
 		{"in time", 7, 100, 11 * s, 25 * s, 100, 100, 100},
 		{"over", 7, 100, 11 * s, 30 * s, 100, 100, 0},
-		{"came late", 7, 100, 29 * s, 30 * s, 100, 100, 0},
-		{"of an earlier reply", 6, 100, 11 * s, 12 * s, 100, 100, 0},
-		{"of no reply", 0, 100, 11 * s, 12 * s, 100, 100, 0},
-		{"another leads by now", 7, 100, 11 * s, 12 * s, 101, 100, 0},
-		{"the worker knows of another", 7, 100, 11 * s, 12 * s, 100, 101, 0},
-		{"the worker has not seen this one", 7, 100, 11 * s, 12 * s, 100, 90, 100},
+		{"delayed grant", 7, 100, 29 * s, 30 * s, 100, 100, 0},
+		{"grant for an earlier reply", 6, 100, 11 * s, 12 * s, 100, 100, 0},
+		{"grant for no reply", 0, 100, 11 * s, 12 * s, 100, 100, 0},
+		{"another leader is known", 7, 100, 11 * s, 12 * s, 101, 100, 0},
+		{"the worker has a higher token", 7, 100, 11 * s, 12 * s, 100, 101, 0},
+		{"the worker has a lower token", 7, 100, 11 * s, 12 * s, 100, 90, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var p Delegation
 			p.NoteReply(10*s, 7)
 			p.Accept(c.token, c.echo, 20*s)
-			if got := p.Token(c.ask, c.leader, c.worker); got != c.got {
-				t.Errorf("answers under %d, want %d", got, c.got)
+			if got := p.Token(c.answerAt, c.leader, c.worker); got != c.got {
+				t.Errorf("answers with token %d, want %d", got, c.got)
 			}
 		})
 	}
 }
 
-// TestBlind: what is answered at the last moment without knowledge of a
-// cancellation is over before the tasks have to be.
+// TestMaxCancelStaleness checks that a lease renewed at the last moment without knowledge of a
+// cancellation expires before the tasks of the cancelled job must be gone.
 func TestMaxCancelStaleness(t *testing.T) {
 	for _, c := range []struct{ lease, cancel, want Micros }{
 		{22 * Second, 42 * Second, 20*Second - Second - 64*Millisecond},
@@ -170,26 +174,25 @@
 	}
 }
 
-// TestProbesOfDeleted: probes that are under way to machines that are deleted
-// are over. They counted for ever, and after a wave no machine was probed any
-// more: a hundred that hung were found when their leases ran out.
+// TestProbesOfDeletedMachines guards against probes of deleted machines that count as in flight for
+// ever. After many machines had been deleted at once, no machine was probed any more, and a hundred
+// machines that hung were found only when their leases expired.
 func TestProbesOfDeletedMachines(t *testing.T) {
 	w, _, a, b := setupTasksInBothZones(t, Service)
 	for _, f := range append(a, b...) {
 		w.c.queueProbe(w.c.machines[f.status.Machine])
 	}
-	w.advance(5 * Second) // nobody answers
+	w.advance(5 * Second) // no machine replies
 	if w.c.probesInFlight == 0 {
-		t.Fatal("nothing was probed")
+		t.Fatal("no machine was probed")
 	}
 	for _, f := range append(a, b...) {
 		w.c.removeMachine(w.c.machines[f.status.Machine], w.now)
 	}
-	w.want("probes under way", w.c.probesInFlight, 0)
+	w.want("probes in flight", w.c.probesInFlight, 0)
 }
 
-// TestStopCancelled: whoever answers a worker stops what is known as cancelled,
-// and nothing else.
+// TestStopCancelled checks that only the running tasks of cancelled jobs are stopped.
 func TestStopCancelled(t *testing.T) {
 	got := StopCancelled([]TaskReport{
 		{Job: "job-1", Index: 2, Attempt: 9, State: Running}, {Job: "job-1", Index: 3, Attempt: 9, State: Exited}, {Job: "job-2", State: Running},
@@ -199,20 +202,21 @@
 	}
 }
 
-// TestDeaf: a leader that loses all workers at one moment gives none of them
-// back. It looked at who had been heard within a report's gap, which for most of
-// that time are nearly all: 230 machines were given back at tolling fleet.
+// TestAllWorkersUnreachable checks that a leader that loses contact with all workers at once
+// releases none of their machines. The count of reports within a whole report interval did not show
+// the loss soon enough, as most machines had reported within it: 230 machines were released in a
+// recorded scenario.
 func TestAllWorkersUnreachable(t *testing.T) {
 	w, _, a, b := setupTasksInBothZones(t, Service)
 	all := append(a[:12:12], b...)
 	w.runWithSilentWorkers(12, all, nil)
-	w.want("given back", w.releasedMachines(), 0)
+	w.want("released machines", w.releasedMachines(), 0)
 	for _, f := range all {
 		f.losesCommands = false
 	}
 	w.runWithSilentWorkers(3, nil, all)
 	w.runWithSilentWorkers(8, a[:2], all[2:])
-	w.want("given back when two are silent", w.releasedMachines(), 2)
+	w.want("machines released when two are silent", w.releasedMachines(), 2)
 
 	w = newWorld(t, blue)
 	w.c.cfg.Tuning.SuspectAfter = Second
@@ -221,13 +225,13 @@
 		all = append(all, &fakeWorker{w: w, status: Report{Machine: n, Session: 1, SpotNotice: -1}})
 	}
 	w.runWithSilentWorkers(4, all, nil)
-	w.want("given back by a new leader that hears nobody", w.releasedMachines(), 0)
+	w.want("machines released by a new leader without reports", w.releasedMachines(), 0)
 }
 
-// TestLastOfTakeover: the last machine that a takeover waits for is waited for
-// half as long as others: all that was opened before waits with it.
+// TestLastUnreconciledMachine checks that the timeout for the last machine that a takeover waits
+// for is halved: all unaccounted tasks of started jobs wait for it.
 func TestLastUnreconciledMachine(t *testing.T) {
-	for _, c := range []struct{ silent, back int }{{1, 1}, {4, 0}} {
+	for _, c := range []struct{ silent, released int }{{1, 1}, {4, 0}} {
 		w := newWorld(t, blue)
 		var names []string
 		var fs []*fakeWorker
@@ -236,21 +240,22 @@
 			fs = append(fs, w.newWorker(names[i], "a"))
 		}
 		w.beginTerm(100, nil, Snapshot{MachineGroups: recordedMachines(names...)})
-		w.runWithSilentWorkers(5, fs[:c.silent], fs[c.silent:]) // suspects are given up after 7 s
-		w.want(fmt.Sprintf("given back of %d", c.silent), w.releasedMachines(), c.back)
+		w.runWithSilentWorkers(5, fs[:c.silent], fs[c.silent:]) // unreachable machines are given up after 7 s
+		w.want(fmt.Sprintf("machines released of %d", c.silent), w.releasedMachines(), c.released)
 	}
 }
 
-// TestLonely: a leader that all workers stop reaching rents nothing for what it misses
-// before it is clear that no peer hears them: on a recorded day one rented 392 machines
-// in the twelve seconds until it resigned. If they are dead it replaces them then.
+// TestNoRentalsBeforeResigning checks that a leader that no worker reaches rents no replacements
+// while a peer may still receive the workers' reports. In a recorded scenario a leader rented 392
+// machines in the twelve seconds before it resigned. If no peer receives reports, the machines are
+// replaced after that.
 func TestNoRentalsBeforeResigning(t *testing.T) {
 	w, _, a, b := setupTasksInBothZones(t, Array)
 	w.runWithSilentWorkers(4, append(a[:12:12], b...), nil)
 	w.rentals = nil
 	w.submit(JobSpec{ID: "job-2", Kind: Array, Tasks: 24, Request: Resources{8000, 0, 2000}})
 	w.runWithSilentWorkers(4, append(a[:12:12], b...), nil)
-	w.want("requests for machines while a peer may hear them", len(w.rentals), 0)
+	w.want("rental requests while a peer may receive reports", len(w.rentals), 0)
 	w.runWithSilentWorkers(8, append(a[:12:12], b...), nil)
-	w.want("machines are rented then", len(w.rentals) > 0, true)
+	w.want("machines are rented afterwards", len(w.rentals) > 0, true)
 }
