--- a/internal/core/duplicate_task_test.go
+++ b/internal/core/duplicate_task_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		what           string
 		duplicateFirst bool
-		duplicate      uint64 // the attempt in the duplicate; the machine that runs the task has the later one
+		duplicate      uint64 // the attempt in the duplicate; the later one runs
 		continues      bool
 	}{
 		{"duplicate with an earlier attempt, before the report", true, earlier, true},
--- a/internal/core/evacuation.go
+++ b/internal/core/evacuation.go
@@ -98,8 +98,8 @@
 
 // evacuateServices releases the machines in partitioned zones whose leases are about to expire, if
 // there is capacity elsewhere for their services. Machines that are not reconciled hold up every
-// unaccounted task of started jobs. They are released as soon as there is capacity for all
-// services that may be on them, and when the leases are about to expire at the latest.
+// unaccounted task of started jobs. Such machines are released as soon as there is capacity for
+// all services that may be on them, and when the leases are about to expire at the latest.
 func (c *Core) evacuateServices(now Micros) {
 	zones := c.partitionedZones(now)
 	if c.fleetUnreachable || len(zones) == 0 {
@@ -178,8 +178,8 @@
 	return n
 }
 
-// unaccountedServices returns a placement, on no real machine, for each service task that may run
-// on a machine that is not reconciled.
+// unaccountedServices returns a placement for each service task that may run on a machine that is
+// not reconciled. The placements refer to an empty machine.
 func (c *Core) unaccountedServices() []*placement {
 	var out []*placement
 	noMachine := &machine{}
--- a/internal/core/failure_attribution.go
+++ b/internal/core/failure_attribution.go
@@ -11,11 +11,11 @@
 // of one job fail on as many machines at the same time.
 
 const (
-	// suspectThreshold is the number of machines on which an unproven job has failed from which
-	// on it is suspect.
+	// suspectThreshold is the number of machines on which an unproven job must have failed to be
+	// suspect.
 	suspectThreshold = 3
-	// quarantineThreshold is the number of jobs, not suspect, that have failed on a machine from
-	// which on the machine is quarantined.
+	// quarantineThreshold is the number of jobs, not suspect, that must have failed on a machine
+	// for it to be quarantined.
 	quarantineThreshold = 2
 	// provenRunTime is the run time after which a task counts as having run well: a task with a
 	// mistake fails when it has fetched its image, or soon after.
--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -104,7 +104,7 @@
 	w.advance(3 * Second)
 	f.report()
 	m := w.c.machines["n-1"]
-	heard := w.now
+	reportedAt := w.now
 	for name, r := range map[string]Report{
 		"without the task":       empty,
 		"with the task finished": done,
@@ -115,15 +115,15 @@
 		w.want(name+": commands", len(cmds), 0)
 		w.want(name+": counted", w.c.team("blue").used, Resources{2000, 0, 2000})
 		w.want(name+": finished", w.c.jobs["job-1"].done, 0)
-		w.want(name+": start of its lease", m.lastAcknowledged, heard)
+		w.want(name+": start of its lease", m.lastAcknowledged, reportedAt)
 	}
 	// A duplicate from the earlier session has no effect on a later session.
 	f.status.Session, f.status.Seq, f.status.Tasks = 2, 0, nil
 	f.report()
-	answered := m.lastAcknowledged
+	acknowledged := m.lastAcknowledged
 	w.now += Second
 	w.c.HandleReport(w.now, &done)
-	w.want("start of its lease", m.lastAcknowledged, answered)
+	w.want("start of its lease", m.lastAcknowledged, acknowledged)
 	w.want("session", m.session, uint64(2))
 }
 
--- a/internal/core/inbound_loss.go
+++ b/internal/core/inbound_loss.go
@@ -9,7 +9,7 @@
 // although its reports were answered. A reply to a direct command shows that commands arrive
 // again.
 
-// inboundLossThreshold is the number of consecutive answers without effect from which on inbound
+// inboundLossThreshold is the number of consecutive answers without effect after which inbound
 // loss is assumed. A single answer may be lost or late.
 const inboundLossThreshold = 2
 
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -13,29 +13,29 @@
 
 	record             *machineGroup  // the stored record that lists the machine, or will list it
 	recorded           bool           // the record that lists the machine is stored
-	retainedIn         *retainedGroup // the partition record that lists it; until that ends, no task is placed here
+	retainedIn         *retainedGroup // its partition record; no task is placed here until the record ends
 	reconciled         bool           // this leader knows every task that may run on the machine
 	lost               bool           // its lease has expired, or the cloud lists it as failed
 	lostAt             Micros
-	booting            bool   // no report has ever arrived
+	booting            bool   // no leader has received a report yet
 	bootOverdue        bool   // it did not report within the expected boot time
 	discoveredAt       Micros // when this leader first learnt of the machine
 	rentedAt           Micros // on this process's clock
 	lastReport         Micros // when the last report of any kind arrived
 	lastAcknowledged   Micros // when a report was last acknowledged, which renews the lease
-	lastPeriodicReport Micros // when the last periodic report arrived; replies to direct commands don't count
-	unverified         bool   // it has no stored record and has not reported this term's token; see applyReport
+	lastPeriodicReport Micros // last report that is not a reply to a direct command
+	unverified         bool   // no stored record, no report with this term's token; see applyReport
 	idleSince          Micros // since when no task occupies it; 0: some does
 
 	placements          []*placement
 	used                Resources // by the placements that occupy resources
 	spareUsed           Resources // the part of used that was placed on spare capacity; see spareSlots
 	commandInFlight     bool      // a direct command has no result yet
-	directCommandFailed bool      // the last direct command was not delivered; none is sent until the next periodic report
+	directCommandFailed bool      // the last one; none is sent before the next periodic report
 	probeQueued         bool      // in Core.probeQueue
 	probeStarted        Micros    // when the probe in flight was sent; 0: none is in flight
 	commandFailures     int       // consecutive direct commands without a reply
-	unreachable         bool      // a probe went unanswered, or its zone is partitioned; cleared by the next report
+	unreachable         bool      // a probe failed, or its zone is partitioned; a report clears it
 
 	// Detection of inbound loss; see inbound_loss.go.
 	inboundLost       bool
--- a/internal/core/partition_record_test.go
+++ b/internal/core/partition_record_test.go
@@ -125,7 +125,8 @@
 	w.runWithSilentWorkers(6, b, a)
 	recs, tasks := w.partitionRecords()
 	w.want("records", len(recs) > 1, true)
-	w.want("records written", w.c.partitionRecordID, len(recs)) // a record must not end because its machines reported shortly before it was written
+	// A record must not end because its machines reported shortly before it was written.
+	w.want("records written", w.c.partitionRecordID, len(recs))
 	w.want("tasks in the records", tasks, 12)
 
 	next := w.nextLeader(w.c.jobs["job-1"].spec)
@@ -216,7 +217,8 @@
 	spec := w.c.jobs["job-1"].spec
 	next := w.nextLeader(spec)
 	attempt := b[3].status.Tasks[0].Attempt
-	moved := next.transferWorkers(a[0])[0] // the former leader restarted the task there, once b-03 was certainly gone
+	// The former leader restarted the task on a-00 once b-03 was certainly gone.
+	moved := next.transferWorkers(a[0])[0]
 	moved.status.Tasks = []TaskReport{{Job: "job-1", Index: b[3].status.Tasks[0].Index, Attempt: attempt + 1, State: Running}}
 	moved.report()
 	w.want("the task keeps running", moved.liveTasks() != "", true)
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -263,8 +263,8 @@
 }
 
 // adopt returns a new placement for a reported or recorded task that this leader did not start.
-// It marks the task to be stopped if its job is finished or cancelled, or if a later attempt is
-// known.
+// It marks the task to be stopped if its job is finished or cancelled, or if the same or a later
+// attempt is known on another machine.
 func (c *Core) adopt(m *machine, t *TaskReport, now Micros) *placement {
 	p := &placement{jobID: t.Job, index: t.Index, attempt: t.Attempt, machine: m, startSent: true, placedAt: now}
 	j := c.jobs[t.Job]
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -159,7 +159,8 @@
 	c.cleanUpCancelled(j)
 }
 
-// TokenRaised is the result of RaiseToken: the leader key was written again, with a new token.
+// HandleTokenRaised applies the result of RaiseToken: the leader key was written again, and token
+// is the new token.
 func (c *Core) TokenRaised(now Micros, token uint64) {
 	c.nextTokenRaiseAt = 0
 	if token > c.token {
--- a/internal/core/term.go
+++ b/internal/core/term.go
@@ -1,7 +1,7 @@
 package core
 
-// clockDriftDivisor is the divisor of a duration that gives the allowance for clock drift, 0.1%.
-// The monotonic clocks of two machines drift apart by at most 0.05%; twice that covers a duration
+// clockDriftDivisor gives the allowance for clock drift: a duration divided by it, or 0.1%. The
+// monotonic clocks of two machines drift apart by at most 0.05%; twice that covers a duration
 // measured on one machine and compared on the other.
 const clockDriftDivisor = 1000
 
@@ -19,7 +19,7 @@
 	return acknowledgedAt + c.cfg.WorkerLease + c.cfg.WorkerLease/clockDriftDivisor + 300*Millisecond
 }
 
-// resignTimeout returns a time without any report that is too long to occur by chance.
+// resignTimeout returns a time without any report that is too long to be due to chance.
 func resignTimeout(reportInterval Micros) Micros { return 2*reportInterval + Second }
 
 // ShouldResign reports whether a leader should resign: no worker has reached it for longer than
--- a/internal/core/zone.go
+++ b/internal/core/zone.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	// minPartitionMachines is the minimum number of machines up in a zone from whose missing
-	// reports a partition is inferred.
+	// minPartitionMachines is the minimum number of machines that must be up in a zone for a
+	// partition to be inferred from missing reports.
 	minPartitionMachines = 8
 	// reportsPerWindow is the average number of a zone's machines that report within the window
 	// by which the zone is judged, and minReportWindow the minimum length of that window.
@@ -29,14 +29,15 @@
 	minReportWindow  = Second
 	// initialProbeTime is the time that a new leader needs to probe every machine.
 	initialProbeTime = 2 * Second
-	// partitionRatio is the divisor for the reports of a partitioned zone: less than 1 in 8 of
-	// the expected ones arrive, while at least half of those expected from other zones do.
+	// partitionRatio is the limit for a partition: a zone counts as partitioned if less than 1 in
+	// partitionRatio of its expected reports arrive, while at least half of those expected from
+	// other zones do.
 	partitionRatio = 8
 	// maxStrayReports is how many machines of a partitioned zone may still have reported within
 	// the window: their reports were in flight.
 	maxStrayReports = 1
-	// fewReportsRatio is the divisor for the reports of the whole fleet: if less than 1 in 3 of
-	// the expected ones arrive, the fault is more likely on the leader's side.
+	// fewReportsRatio is the limit for the whole fleet: if less than 1 in fewReportsRatio of the
+	// expected reports arrive, the fault is more likely on the leader's side.
 	fewReportsRatio = 3
 	// partitionRecoveryTime is the time that probes may need to reach the machines of a zone
 	// after its partition has healed.
--- a/internal/core/zone_test.go
+++ b/internal/core/zone_test.go
@@ -103,7 +103,7 @@
 	const s = Second
 	for _, c := range []struct {
 		name   string
-		setup  func(d *Delegate) // the leader acknowledged a report of the machine last at 0; its lease is 16 s
+		setup  func(d *Delegate) // the last acknowledgement was at 0; the lease is 16 s
 		expiry Micros
 	}{
 		{"no delegation", func(d *Delegate) {}, 17 * s},
