--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -107,15 +107,15 @@
 }
 
 func (h *handler) handleJob(w http.ResponseWriter, r *http.Request) {
-	id, end, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, wire.JobsPath+"/"), "/")
+	id, suffix, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, wire.JobsPath+"/"), "/")
 	switch {
 	case !wire.ValidID(id):
 		w.WriteHeader(http.StatusNotFound)
-	case end == "" && r.Method == http.MethodGet:
+	case suffix == "" && r.Method == http.MethodGet:
 		ctx, cancel := context.WithTimeout(r.Context(), pollDeadline)
 		defer cancel()
 		writeResponse(w, h.service.Poll(ctx, id))
-	case end == wire.CancelEnd && r.Method == http.MethodPost:
+	case suffix == wire.CancelEnd && r.Method == http.MethodPost:
 		ctx, cancel := context.WithTimeout(r.Context(), submitDeadline)
 		defer cancel()
 		writeResponse(w, h.service.Cancel(ctx, id))
@@ -129,38 +129,38 @@
 	if err != nil {
 		return
 	}
-	rep, err := wire.ParseReport(b)
+	report, err := wire.ParseReport(b)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), reportDeadline)
 	defer cancel()
-	writeResponse(w, h.service.Report(ctx, rep))
+	writeResponse(w, h.service.Report(ctx, report))
 }
 
-func writeResponse(w http.ResponseWriter, a Response) {
-	if a.Fresh != nil && !a.Fresh() {
+func writeResponse(w http.ResponseWriter, resp Response) {
+	if resp.Fresh != nil && !resp.Fresh() {
 		// The time between the decision and this line is the processor's to take, and
 		// a process may stand still here while others go on: a leader whose lease is
 		// over must not answer a worker, nor anybody tell a user what was so then.
-		a = Unavailable()
+		resp = Unavailable()
 	}
-	b := a.Raw
-	if b == nil && a.Body != nil {
+	b := resp.Raw
+	if b == nil && resp.Body != nil {
 		var err error
-		if b, err = wire.Marshal(a.Body); err != nil {
+		if b, err = wire.Marshal(resp.Body); err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
 	}
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int((a.RetryAfter+time.Second-1)/time.Second)))
+	if resp.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int((resp.RetryAfter+time.Second-1)/time.Second)))
 	}
 	if b != nil {
 		w.Header().Set("Content-Type", "application/msgpack")
 		w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	}
-	w.WriteHeader(a.Status)
+	w.WriteHeader(resp.Status)
 	_, _ = w.Write(b)
 }
--- a/internal/netdial/shed.go
+++ b/internal/netdial/shed.go
@@ -8,8 +8,8 @@
 
 // Shed returns a listener that closes connections at once while so many are open: whoever
 // dials goes elsewhere, and does not wait in a queue whose sockets count as well.
-func ShedListener(l net.Listener, most int) net.Listener {
-	return &shedListener{Listener: l, maxOpen: int64(most)}
+func ShedListener(l net.Listener, maxOpen int) net.Listener {
+	return &shedListener{Listener: l, maxOpen: int64(maxOpen)}
 }
 
 type shedListener struct {
--- a/internal/node/cancelled.go
+++ b/internal/node/cancelled.go
@@ -37,27 +37,27 @@
 	}
 	c.entries = slices.Insert(c.entries, i, k)
 	c.revisions[k.Job] = k.Revision
-	if over := len(c.entries) - maxCancellationsKept; over > maxCancellationsKept/4 {
-		c.completeAfter = c.entries[over-1].Revision
-		c.entries = slices.Clone(c.entries[over:])
-		maps.DeleteFunc(c.revisions, func(_ string, stamp uint64) bool { return stamp <= c.completeAfter })
+	if excess := len(c.entries) - maxCancellationsKept; excess > maxCancellationsKept/4 {
+		c.completeAfter = c.entries[excess-1].Revision
+		c.entries = slices.Clone(c.entries[excess:])
+		maps.DeleteFunc(c.revisions, func(_ string, revision uint64) bool { return revision <= c.completeAfter })
 	}
 }
 
 // since lists what has a higher stamp; false if that is not all there is.
-func (c *cancellationLog) since(stamp uint64) ([]peer.Cancellation, bool) {
+func (c *cancellationLog) since(revision uint64) ([]peer.Cancellation, bool) {
 	i := len(c.entries)
-	for i > 0 && c.entries[i-1].Revision > stamp {
+	for i > 0 && c.entries[i-1].Revision > revision {
 		i--
 	}
 	out := c.entries[i:]
-	return slices.Clone(out[:min(len(out), maxCancellationsPerReply)]), stamp >= c.completeAfter && len(out) <= maxCancellationsPerReply
+	return slices.Clone(out[:min(len(out), maxCancellationsPerReply)]), revision >= c.completeAfter && len(out) <= maxCancellationsPerReply
 }
 
 // learnCancelled takes a cancellation that a peer knows of. The view stays as it was
 // read: revisions in between are not known yet.
 func (n *Node) applyPeerCancellation(k peer.Cancellation) {
-	if _, told := n.cancellations.revisions[k.Job]; told {
+	if _, known := n.cancellations.revisions[k.Job]; known {
 		return
 	}
 	n.cancellations.add(k) // also of a job that this node has not heard of: a worker may have its tasks
@@ -69,6 +69,6 @@
 
 // isCancelled reports whether this node knows that a job is cancelled.
 func (n *Node) isCancelled(job string) bool {
-	_, told := n.cancellations.revisions[job]
-	return told || n.view.jobs[job].Phase == core.Cancelled
+	_, known := n.cancellations.revisions[job]
+	return known || n.view.jobs[job].Phase == core.Cancelled
 }
--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -67,10 +67,10 @@
 }
 
 // putConfig takes a record of the configuration, read at a revision.
-func (n *Node) putConfig(key string, value []byte, stamp uint64) {
+func (n *Node) putConfig(key string, value []byte, revision uint64) {
 	if key == clusterconfig.HeadKey {
 		h, err := wire.DecodeConfigHead(value)
-		n.clusterConfig.follower.Head(h, stamp, err)
+		n.clusterConfig.follower.Head(h, revision, err)
 		return
 	}
 	p, err := wire.DecodeConfigPage(value)
@@ -78,13 +78,13 @@
 		n.log.Error("configuration", "record", key, "err", err)
 		return // the head that names it is not acted by
 	}
-	n.clusterConfig.follower.Page(key, p, stamp)
+	n.clusterConfig.follower.Page(key, p, revision)
 }
 
 // dropConfig takes that a record of the configuration is gone since a revision.
-func (n *Node) dropConfig(key string, stamp uint64) {
+func (n *Node) dropConfig(key string, revision uint64) {
 	if key != clusterconfig.HeadKey { // which is never dropped
-		n.clusterConfig.follower.Drop(key, stamp)
+		n.clusterConfig.follower.Drop(key, revision)
 	}
 }
 
@@ -101,9 +101,9 @@
 	if changed {
 		c.setEffective(c.follower.Config().Over(&c.base))
 		n.core.Configure(config.CoreTeams(c.effective.Teams), c.effective.Tuning)
-		number, stamp := c.follower.Acted()
-		c.headRevision.Store(stamp)
-		n.log.Info("configuration", "version", number, "revision", stamp)
+		version, revision := c.follower.Acted()
+		c.headRevision.Store(revision)
+		n.log.Info("configuration", "version", version, "revision", revision)
 	}
 	c.freshUntil.Store(int64(c.follower.FreshUntil(n.currentAsOf)))
 }
@@ -129,15 +129,15 @@
 // configConds are the conditions of a write that accepts a job: that the configuration by
 // which it was judged is in force.
 func (n *Node) configConditions() []wire.Cond {
-	if _, stamp := n.clusterConfig.follower.Acted(); stamp > 0 {
-		return []wire.Cond{{Key: clusterconfig.HeadKey, Version: stamp}}
+	if _, revision := n.clusterConfig.follower.Acted(); revision > 0 {
+		return []wire.Cond{{Key: clusterconfig.HeadKey, Version: revision}}
 	}
 	return nil
 }
 
 // sameConfig reports whether the version acted by is still the one of a stamp.
-func (n *Node) configUnchanged(stamp uint64) bool {
-	return n.clusterConfig.headRevision.Load() == stamp
+func (n *Node) configUnchanged(revision uint64) bool {
+	return n.clusterConfig.headRevision.Load() == revision
 }
 
 // acknowledge says which version this node acts by, if that differs from what it has said:
@@ -147,14 +147,14 @@
 	if !c.follower.Enabled() || c.ackInFlight || n.now() < c.ackNotBefore {
 		return
 	}
-	number, stamp := c.follower.Acted()
-	a := clusterconfig.Ack{Format: clusterconfig.Format, Stamp: stamp, Number: number, Peers: c.peers, Earlier: n.olderVersionPeers()}
+	version, revision := c.follower.Acted()
+	ack := clusterconfig.Ack{Format: clusterconfig.Format, Stamp: revision, Number: version, Peers: c.peers, Earlier: n.olderVersionPeers()}
 	if !c.follower.Current() {
-		a.Error = "it can't act by the latest version"
+		ack.Error = "it can't act by the latest version"
 	}
 	switch {
-	case c.ackLease == 0 || !reflect.DeepEqual(a, c.lastAck):
-		n.writeAck(a)
+	case c.ackLease == 0 || !reflect.DeepEqual(ack, c.lastAck):
+		n.writeAck(ack)
 	case n.now() >= c.renewAckAt:
 		n.renewAck()
 	}
@@ -167,7 +167,7 @@
 func (n *Node) olderVersionPeers() []string {
 	var names []string
 	for _, p := range n.platform.Peers {
-		if k := n.peers[p.Member]; k.olderVersion && time.Since(k.lastStatus) < olderVersionTTL {
+		if state := n.peers[p.Member]; state.olderVersion && time.Since(state.lastStatus) < olderVersionTTL {
 			names = append(names, p.Member)
 		}
 	}
@@ -175,11 +175,11 @@
 }
 
 // writeAck writes an acknowledgement, within what users leave of the budget.
-func (n *Node) writeAck(a clusterconfig.Ack) {
+func (n *Node) writeAck(ack clusterconfig.Ack) {
 	if !n.stateClient.HasPriorityBudget(1) {
 		return
 	}
-	value, err := wire.EncodeConfigAck(&a)
+	value, err := wire.EncodeConfigAck(&ack)
 	if err != nil {
 		n.log.Error("configuration", "err", err)
 		return
@@ -210,7 +210,7 @@
 				}
 				return
 			}
-			c.ackLease, c.lastAck, c.knownWritten, c.ackNotBefore = lease, a, true, 0
+			c.ackLease, c.lastAck, c.knownWritten, c.ackNotBefore = lease, ack, true, 0
 			c.renewAckAt = n.now() + ackRenewInterval
 			n.acknowledgeConfig() // of what came meanwhile
 		})
@@ -235,12 +235,12 @@
 
 // noticeVersion says once of each process that it acts by its files alone: one of an earlier
 // version of the program that is back.
-func (n *Node) checkPeerVersion(k *peerState, s *peer.Status) {
-	k.olderVersion = s.ConfigFormat < clusterconfig.Format
-	if !k.olderVersion || !n.clusterConfig.follower.Enabled() || k.noConfigIncarnation == s.Incarnation {
+func (n *Node) checkPeerVersion(state *peerState, s *peer.Status) {
+	state.olderVersion = s.ConfigFormat < clusterconfig.Format
+	if !state.olderVersion || !n.clusterConfig.follower.Enabled() || state.noConfigIncarnation == s.Incarnation {
 		return
 	}
-	k.noConfigIncarnation = s.Incarnation
+	state.noConfigIncarnation = s.Incarnation
 	n.acknowledgeConfig()
 	n.log.Warn("a controller does not act by the configuration: what is in force there is its platform file", "peer", s.Node, "leads", s.Token != 0)
 }
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -44,35 +44,35 @@
 	maxTxnBytes           = 40 << 10 // encoded; the limit of 64 KiB is counted as JSON
 )
 
-func (it *writeRequest) computeSize() {
-	for i := range it.ops {
-		it.size += len(it.ops[i].Value)*3/2 + len(it.ops[i].Put) + len(it.ops[i].Delete) + 40
+func (req *writeRequest) computeSize() {
+	for i := range req.ops {
+		req.size += len(req.ops[i].Value)*3/2 + len(req.ops[i].Put) + len(req.ops[i].Delete) + 40
 	}
 }
 
 // addSoon queues an item of the leader's that tasks of a priority wait for; false if
 // the queue is full.
-func (c *committer) addTaskWrite(it *writeRequest, p core.Priority) bool {
+func (c *committer) addTaskWrite(req *writeRequest, p core.Priority) bool {
 	if len(c.taskQueues[p]) >= maxQueued {
 		return false
 	}
-	it.computeSize()
-	c.taskQueues[p] = append(c.taskQueues[p], it)
+	req.computeSize()
+	c.taskQueues[p] = append(c.taskQueues[p], req)
 	c.dispatch()
 	return true
 }
 
 // add queues an item; false if the queue is full.
-func (c *committer) add(it *writeRequest, urgent bool) bool {
-	it.computeSize()
-	if urgent {
+func (c *committer) add(req *writeRequest, forUser bool) bool {
+	req.computeSize()
+	if forUser {
 		if len(c.userQueue) >= maxQueued {
 			return false
 		}
-		c.userQueue = append(c.userQueue, it)
+		c.userQueue = append(c.userQueue, req)
 	} else {
-		it.background = true
-		c.backgroundQueue = append(c.backgroundQueue, it)
+		req.background = true
+		c.backgroundQueue = append(c.backgroundQueue, req)
 	}
 	c.dispatch()
 	return true
@@ -102,8 +102,8 @@
 // opsOf says how many changes the next transaction from a queue may have.
 func (c *committer) nextTxnOps(queue []*writeRequest) int {
 	ops := 0
-	for _, it := range queue {
-		if ops += len(it.ops); ops >= c.n.platform.Params.State.TxnOps {
+	for _, req := range queue {
+		if ops += len(req.ops); ops >= c.n.platform.Params.State.TxnOps {
 			return c.n.platform.Params.State.TxnOps
 		}
 	}
@@ -122,15 +122,15 @@
 	var out []*writeRequest
 	ops, conds, size := 0, 1, 0 // the leader's key
 	for len(*queue) > 0 {
-		it := (*queue)[0]
-		if len(out) > 0 && (it.unbatched || out[0].unbatched || ops+len(it.ops) > limit || conds+len(it.conds) > 4*limit || size+it.size > maxTxnBytes) {
+		req := (*queue)[0]
+		if len(out) > 0 && (req.unbatched || out[0].unbatched || ops+len(req.ops) > limit || conds+len(req.conds) > 4*limit || size+req.size > maxTxnBytes) {
 			break
 		}
-		out = append(out, it)
+		out = append(out, req)
 		*queue = (*queue)[1:]
-		ops += len(it.ops)
-		conds += len(it.conds)
-		size += it.size
+		ops += len(req.ops)
+		conds += len(req.conds)
+		size += req.size
 	}
 	if len(*queue) == 0 {
 		*queue = nil
@@ -138,45 +138,45 @@
 	return out
 }
 
-func (c *committer) send(items []*writeRequest, finished func()) {
+func (c *committer) send(reqs []*writeRequest, finished func()) {
 	txn := &wire.Txn{If: []wire.Cond{}}
-	seen := map[wire.Cond]bool{}
-	for _, it := range items {
-		conds := it.conds
-		if it.term != nil {
+	included := map[wire.Cond]bool{}
+	for _, req := range reqs {
+		conds := req.conds
+		if req.term != nil {
 			// Its key may have been written again since the item was queued.
-			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, Version: it.term.token})
+			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, Version: req.term.token})
 		}
 		for _, cond := range conds {
-			if !seen[cond] {
-				seen[cond] = true
+			if !included[cond] {
+				included[cond] = true
 				txn.If = append(txn.If, cond)
 			}
 		}
-		txn.Then = append(txn.Then, it.ops...)
+		txn.Then = append(txn.Then, req.ops...)
 	}
 	go func() {
 		rev, err := c.n.stateClient.Commit(c.n.ctx, txn)
 		c.n.post(func() {
 			finished()
-			if items[0].background && errors.Is(err, statestore.ErrNotExecuted) {
-				if items[0].term == c.n.term {
-					c.backgroundQueue = append(items, c.backgroundQueue...)
+			if reqs[0].background && errors.Is(err, statestore.ErrNotExecuted) {
+				if reqs[0].term == c.n.term {
+					c.backgroundQueue = append(reqs, c.backgroundQueue...)
 					c.backgroundNotBefore = c.n.now() + backgroundRetryPause
 				}
 				return
 			}
-			if len(items) > 1 && (errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid)) {
+			if len(reqs) > 1 && (errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid)) {
 				// One of them is at fault: its neighbours are not to suffer.
-				for _, it := range items {
-					it.unbatched = true
+				for _, req := range reqs {
+					req.unbatched = true
 				}
-				c.userQueue = append(append([]*writeRequest(nil), items...), c.userQueue...)
+				c.userQueue = append(append([]*writeRequest(nil), reqs...), c.userQueue...)
 				c.dispatch()
 				return
 			}
-			for _, it := range items {
-				it.done(rev, err)
+			for _, req := range reqs {
+				req.done(rev, err)
 			}
 			c.dispatch()
 		})
@@ -186,7 +186,7 @@
 // bookkeeping queues a write of the core's.
 func (c *committer) addCoreWrite(t *term, w core.Write) {
 	n := c.n
-	it := &writeRequest{term: t}
+	req := &writeRequest{term: t}
 	fail := func() {
 		n.post(func() { n.ifCurrentTerm(t, func() { n.core.WriteResult(n.now(), w.ID, core.WriteRefused) }) })
 	}
@@ -207,24 +207,24 @@
 			fail()
 			return
 		}
-		it.ops = append(it.ops, wire.Write{Put: key, Value: b})
+		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 	}
 	for _, k := range w.Deletes {
-		it.ops = append(it.ops, wire.Write{Delete: k})
+		req.ops = append(req.ops, wire.Write{Delete: k})
 	}
 	// A job with many chunks has more keys to drop than fit: what is left over is
 	// dropped by writes of its own, once it is stored that the job is over. Dropped
 	// before, what its finished tasks are would be lost with a leader that ends then.
 	limit := n.platform.Params.State.TxnOps
-	rest := it.ops[min(len(it.ops), limit):]
-	it.ops = it.ops[:len(it.ops)-len(rest)]
+	leftover := req.ops[min(len(req.ops), limit):]
+	req.ops = req.ops[:len(req.ops)-len(leftover)]
 	if w.IfJob != "" {
-		it.conds = append(it.conds, wire.Cond{Key: jobPrefix + w.IfJob, Version: w.IfRevision})
+		req.conds = append(req.conds, wire.Cond{Key: jobPrefix + w.IfJob, Version: w.IfRevision})
 	}
 	if w.IfAbsent != "" {
-		it.conds = append(it.conds, wire.Cond{Key: w.IfAbsent})
+		req.conds = append(req.conds, wire.Cond{Key: w.IfAbsent})
 	}
-	it.done = func(rev uint64, err error) {
+	req.done = func(rev uint64, err error) {
 		if err != nil {
 			n.log.Debug("write failed", "err", err, "job", w.IfJob)
 		}
@@ -232,17 +232,17 @@
 		if err == nil && w.IfJob != "" {
 			n.applyFinalRecords(w, rev)
 		}
-		for err == nil && n.term == t && len(rest) > 0 {
-			k := min(limit, len(rest))
-			c.add(&writeRequest{term: t, ops: rest[:k], done: func(uint64, error) {}}, false)
-			rest = rest[k:]
+		for err == nil && n.term == t && len(leftover) > 0 {
+			k := min(limit, len(leftover))
+			c.add(&writeRequest{term: t, ops: leftover[:k], done: func(uint64, error) {}}, false)
+			leftover = leftover[k:]
 		}
 	}
 	var ok bool
 	if w.Urgent {
-		ok = c.addTaskWrite(it, w.Priority)
+		ok = c.addTaskWrite(req, w.Priority)
 	} else {
-		ok = c.add(it, false)
+		ok = c.add(req, false)
 	}
 	if !ok {
 		fail()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -190,8 +190,8 @@
 	timer := time.NewTimer(step)
 	defer timer.Stop()
 	tick := n.now() + core.Micros(step/time.Microsecond)
-	wake := tick // what the timer is set to
-	served := time.Now()
+	timerAt := tick // what the timer is set to
+	lastStats := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -214,8 +214,8 @@
 			n.updateHealth()
 			n.resignIfUninformed()
 			n.acknowledgeConfig()
-			if time.Since(served) >= jobStatsInterval {
-				served = time.Now()
+			if time.Since(lastStats) >= jobStatsInterval {
+				lastStats = time.Now()
 				n.logJobStats()
 			}
 		}
@@ -228,9 +228,9 @@
 				next = min(next, n.notifier.outbox.Wake(n.now()))
 			}
 		}
-		if next != wake {
-			wake = next
-			timer.Reset(time.Duration(max(wake-n.now(), 0)) * time.Microsecond)
+		if next != timerAt {
+			timerAt = next
+			timer.Reset(time.Duration(max(timerAt-n.now(), 0)) * time.Microsecond)
 		}
 	}
 }
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -65,12 +65,12 @@
 // natives tells the registry of native jobs.
 type nativeJobs struct{ n *Node }
 
-func (v nativeJobs) Record(id string) (core.JobRecord, bool) {
-	rec, ok := v.n.view.jobs[id]
+func (j nativeJobs) Record(id string) (core.JobRecord, bool) {
+	rec, ok := j.n.view.jobs[id]
 	return rec, ok
 }
 
-func (v nativeJobs) Counts(id string) (done, running int) { return v.n.jobCounts(id) }
+func (j nativeJobs) Counts(id string) (done, running int) { return j.n.jobCounts(id) }
 
 // progressOf is how far an unfinished job has come, as far as this node knows.
 func (n *Node) jobCounts(id string) (done, running int) {
@@ -82,105 +82,105 @@
 }
 
 // put takes over a record that was read or written.
-func (v *nomadState) putRecord(n *Node, key string, value []byte, stamp uint64) {
-	if v == nil {
+func (s *nomadState) putRecord(n *Node, key string, value []byte, revision uint64) {
+	if s == nil {
 		return
 	}
-	name, changed, err := v.registry.Put(key, value, stamp)
+	name, changed, err := s.registry.Put(key, value, revision)
 	if err != nil {
 		n.log.Error("record of a job file", "err", err)
 	}
 	if !changed {
 		return
 	}
-	v.wakeWaiters(name)
-	if j := v.registry.Get(name); j != nil {
+	s.wakeWaiters(name)
+	if j := s.registry.Get(name); j != nil {
 		for _, g := range j.Groups {
-			v.watchCounts(n, g.Native)
+			s.watchCounts(n, g.Native)
 		}
 	}
 }
 
 // follow has the core say when counts of an unfinished native job change.
-func (v *nomadState) watchCounts(n *Node, id string) {
+func (s *nomadState) watchCounts(n *Node, id string) {
 	rec, ok := n.view.jobs[id]
-	j, _ := v.registry.ByNative(id)
-	on := ok && j != nil && rec.Phase == core.Pending
-	n.core.Watch(id, on)
-	if !on {
-		delete(v.countsChangedAt, id)
+	j, _ := s.registry.ByNative(id)
+	needed := ok && j != nil && rec.Phase == core.Pending
+	n.core.Watch(id, needed)
+	if !needed {
+		delete(s.countsChangedAt, id)
 	}
 }
 
-func (v *nomadState) dropRecord(key string, stamp uint64) {
-	if v == nil {
+func (s *nomadState) dropRecord(key string, revision uint64) {
+	if s == nil {
 		return
 	}
-	if name, changed := v.registry.Drop(key, stamp); changed {
-		v.wakeWaiters(name)
+	if name, changed := s.registry.Drop(key, revision); changed {
+		s.wakeWaiters(name)
 	}
 }
 
 // missing drops what a whole list of the records no longer holds.
-func (v *nomadState) dropMissing(entries []wire.Entry, rev uint64) {
-	if v == nil {
+func (s *nomadState) dropMissing(entries []wire.Entry, rev uint64) {
+	if s == nil {
 		return
 	}
-	have := make(map[string]bool, len(entries))
+	listed := make(map[string]bool, len(entries))
 	for i := range entries {
-		have[entries[i].Key] = true
+		listed[entries[i].Key] = true
 	}
-	for _, name := range v.registry.Missing(have, rev) {
-		v.wakeWaiters(name)
+	for _, name := range s.registry.Missing(listed, rev) {
+		s.wakeWaiters(name)
 	}
 }
 
 // native notes that a native job's record changed.
-func (v *nomadState) nativeJobChanged(n *Node, rec *core.JobRecord) {
-	if v == nil {
+func (s *nomadState) nativeJobChanged(n *Node, rec *core.JobRecord) {
+	if s == nil {
 		return
 	}
-	v.watchCounts(n, rec.Spec.ID)
-	if name, ok := v.registry.NativeChanged(rec.Spec.ID, rec.Revision); ok {
-		v.wakeWaiters(name)
+	s.watchCounts(n, rec.Spec.ID)
+	if name, ok := s.registry.NativeChanged(rec.Spec.ID, rec.Revision); ok {
+		s.wakeWaiters(name)
 	}
 }
 
 // moved notes that a native job's counts changed.
-func (v *nomadState) countsChanged(n *Node, id string) {
-	if v == nil {
+func (s *nomadState) countsChanged(n *Node, id string) {
+	if s == nil {
 		return
 	}
-	if j, _ := v.registry.ByNative(id); j != nil && n.view.jobs[id].Phase == core.Pending {
-		v.countsChangedAt[id] = n.now()
+	if j, _ := s.registry.ByNative(id); j != nil && n.view.jobs[id].Phase == core.Pending {
+		s.countsChangedAt[id] = n.now()
 	}
-	for w := range v.progressWaiters[id] {
+	for w := range s.progressWaiters[id] {
 		w.wake()
 	}
 }
 
-func (v *nomadState) wakeWaiters(name registry.Name) {
-	for w := range v.waiters[name] {
+func (s *nomadState) wakeWaiters(name registry.Name) {
+	for w := range s.waiters[name] {
 		w.wake()
 	}
-	for w := range v.waiters[registry.Name{Team: name.Team}] {
+	for w := range s.waiters[registry.Name{Team: name.Team}] {
 		w.wake()
 	}
 }
 
-func (v *nomadState) addWaiter(w *waiter) {
-	v.waiterCount++
-	addTo(v.waiters, w.name, w)
+func (s *nomadState) addWaiter(w *waiter) {
+	s.waiterCount++
+	addTo(s.waiters, w.name, w)
 	for _, id := range w.nativeIDs {
-		addTo(v.progressWaiters, id, w)
+		addTo(s.progressWaiters, id, w)
 	}
 }
 
-func (v *nomadState) removeWaiter(w *waiter) {
-	v.waiterCount--
-	removeFrom(v.waiters, w.name, w)
+func (s *nomadState) removeWaiter(w *waiter) {
+	s.waiterCount--
+	removeFrom(s.waiters, w.name, w)
 	for _, id := range w.nativeIDs {
-		removeFrom(v.progressWaiters, id, w)
+		removeFrom(s.progressWaiters, id, w)
 	}
 }
 
@@ -202,28 +202,28 @@
 // index that it saw, which is never lower than After. Nothing is polled: a
 // query that waits is woken by the change, which comes by the watch that the
 // node keeps anyway.
-func (n *Node) Look(ctx context.Context, q httpapi.Query, see func(*registry.Registry)) (uint64, error) {
-	type seen struct {
+func (n *Node) Look(ctx context.Context, q httpapi.Query, read func(*registry.Registry)) (uint64, error) {
+	type outcome struct {
 		index uint64
 		err   error
 	}
-	out := make(chan seen, 1)
-	early := make(chan time.Duration, 1)
+	out := make(chan outcome, 1)
+	recheck := make(chan time.Duration, 1)
 	var w *waiter
-	v := n.nomad
+	s := n.nomad
 	indexNow := func() uint64 {
 		if q.Of.ID == "" {
-			return v.registry.TeamIndex(q.Of.Team)
+			return s.registry.TeamIndex(q.Of.Team)
 		}
-		return v.registry.Index(q.Of)
+		return s.registry.Index(q.Of)
 	}
 	finish := func() {
 		if w != nil {
-			v.removeWaiter(w)
+			s.removeWaiter(w)
 			w = nil
 		}
-		see(v.registry)
-		out <- seen{max(indexNow(), q.After, 1), nil}
+		read(s.registry)
+		out <- outcome{max(indexNow(), q.After, 1), nil}
 	}
 	post := func(f func()) bool {
 		select {
@@ -238,30 +238,30 @@
 		case q.After == 0:
 			n.readLinearizable(func(ok bool) {
 				if !ok {
-					out <- seen{err: httpapi.ErrUnavailable}
+					out <- outcome{err: httpapi.ErrUnavailable}
 					return
 				}
 				finish()
 			})
 		case !n.view.ready:
-			out <- seen{err: httpapi.ErrUnavailable}
+			out <- outcome{err: httpapi.ErrUnavailable}
 		case indexNow() > q.After:
 			finish()
-		case v.waiterCount >= v.maxWaiters:
-			out <- seen{err: httpapi.ErrBusy}
+		case s.waiterCount >= s.maxWaiters:
+			out <- outcome{err: httpapi.ErrBusy}
 		default:
 			w = &waiter{name: q.Of}
-			sooner := core.MaxMicros
-			if j := v.registry.Get(q.Of); j != nil && q.Progress {
+			recheckIn := core.MaxMicros
+			if j := s.registry.Get(q.Of); j != nil && q.Progress {
 				for _, g := range j.Groups {
 					w.nativeIDs = append(w.nativeIDs, g.Native)
-					if at, ok := v.countsChangedAt[g.Native]; ok && n.now()-at < recentCountsWindow {
-						sooner = min(sooner, at+recentCountsWindow-n.now())
+					if at, ok := s.countsChangedAt[g.Native]; ok && n.now()-at < recentCountsWindow {
+						recheckIn = min(recheckIn, at+recentCountsWindow-n.now())
 					}
 				}
 			}
-			if sooner < core.MaxMicros {
-				early <- time.Duration(sooner) * time.Microsecond
+			if recheckIn < core.MaxMicros {
+				recheck <- time.Duration(recheckIn) * time.Microsecond
 			}
 			woken := false
 			w.wake = func() {
@@ -276,28 +276,28 @@
 					}
 				})
 			}
-			v.addWaiter(w)
+			s.addWaiter(w)
 		}
 	}
 	if !post(begin) {
 		return 0, httpapi.ErrUnavailable
 	}
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	t := time.NewTimer(q.Wait)
 	defer t.Stop()
 	if q.After > 0 {
-		late = t.C
+		timeout = t.C
 	}
 	for {
 		select {
 		case s := <-out:
 			return s.index, s.err
-		case d := <-early:
+		case d := <-recheck:
 			if d < q.Wait {
 				t.Reset(d)
 			}
-		case <-late:
-			late = nil
+		case <-timeout:
+			timeout = nil
 			if !post(func() {
 				if w != nil {
 					finish()
@@ -312,7 +312,7 @@
 				defer cancel()
 				_, _ = call(ctx, n, func(reply func(struct{})) {
 					if w != nil {
-						v.removeWaiter(w)
+						s.removeWaiter(w)
 						w = nil
 					}
 					reply(struct{}{})
@@ -345,12 +345,12 @@
 
 // ask runs f on the owning goroutine and waits for what it replies; late is the
 // error if that does not come before ctx ends.
-func callWithError[T any](ctx context.Context, n *Node, late error, f func(reply func(T, error))) (T, error) {
+func callWithError[T any](ctx context.Context, n *Node, timeout error, f func(reply func(T, error))) (T, error) {
 	r, ok := call(ctx, n, func(reply func(valueOrError[T])) {
 		f(func(v T, err error) { reply(valueOrError[T]{v, err}) })
 	})
 	if !ok {
-		return r.value, late
+		return r.value, timeout
 	}
 	return r.value, r.err
 }
@@ -415,7 +415,7 @@
 }
 
 // changeJob works out a change of what is known now and writes it.
-func (n *Node) changeJob(tries int, reply func(httpapi.Registered, error), plan func() (*registry.Change, error), name registry.Name) {
+func (n *Node) changeJob(attempts int, reply func(httpapi.Registered, error), plan func() (*registry.Change, error), name registry.Name) {
 	n.readLinearizable(func(ok bool) {
 		if !ok {
 			reply(httpapi.Registered{}, httpapi.ErrUnavailable)
@@ -430,20 +430,20 @@
 			reply(n.registeredState(name, 0), nil)
 			return
 		}
-		it, learn, err := n.changeRequest(ch)
+		req, learn, err := n.changeRequest(ch)
 		if err != nil {
 			n.log.Error("encode job", "err", err)
 			reply(httpapi.Registered{}, err)
 			return
 		}
-		it.done = func(rev uint64, err error) {
+		req.done = func(rev uint64, err error) {
 			switch {
 			case err == nil:
 				learn(rev)
 				n.log.Info("job file", "team", name.Team, "job", name.ID, "started", len(ch.Start), "ended", len(ch.End), "kept", len(ch.Keep), "revision", rev)
 				reply(n.registeredState(name, rev), nil)
-			case errors.Is(err, statestore.ErrConflict) && tries > 1:
-				n.changeJob(tries-1, reply, plan, name)
+			case errors.Is(err, statestore.ErrConflict) && attempts > 1:
+				n.changeJob(attempts-1, reply, plan, name)
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("job file refused by the state service", "team", name.Team, "job", name.ID, "err", err)
 				reply(httpapi.Registered{}, &httpapi.RefusedError{Why: "the state service refuses the job's records"})
@@ -451,7 +451,7 @@
 				reply(httpapi.Registered{}, httpapi.ErrUnavailable)
 			}
 		}
-		if !n.committer.add(it, true) {
+		if !n.committer.add(req, true) {
 			reply(httpapi.Registered{}, httpapi.ErrUnavailable)
 		}
 	})
@@ -471,17 +471,17 @@
 }
 
 // itemOf makes a transaction of a change, and what to learn once it is written.
-func (n *Node) changeRequest(ch *registry.Change) (it *writeRequest, learn func(rev uint64), err error) {
-	it = &writeRequest{conds: ch.Conds, ops: ch.Puts}
+func (n *Node) changeRequest(ch *registry.Change) (req *writeRequest, learn func(rev uint64), err error) {
+	req = &writeRequest{conds: ch.Conds, ops: ch.Puts}
 	if len(ch.Start) > 0 {
-		it.conds = append(it.conds, n.configConditions()...)
+		req.conds = append(req.conds, n.configConditions()...)
 	}
 	var recs []core.JobRecord
 	put := func(rec core.JobRecord) error {
 		key := jobPrefix + rec.Spec.ID
 		b, err := wire.EncodeJob(&rec)
-		it.conds = append(it.conds, wire.Cond{Key: key, Version: rec.Revision})
-		it.ops = append(it.ops, wire.Write{Put: key, Value: b})
+		req.conds = append(req.conds, wire.Cond{Key: key, Version: rec.Revision})
+		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 		recs = append(recs, rec)
 		return err
 	}
@@ -495,7 +495,7 @@
 			return nil, nil, err
 		}
 	}
-	return it, func(rev uint64) {
+	return req, func(rev uint64) {
 		for _, rec := range recs {
 			rec.Revision = rev
 			n.applyJob(rec)
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -87,8 +87,8 @@
 		return errors.New("the view is not up to date")
 	}
 	// What is written after this reading is in the view by then.
-	type moment struct{ since, token uint64 }
-	at, ok := call(ctx, n, func(reply func(moment)) { reply(moment{n.view.revision, t.token}) })
+	type readPoint struct{ since, token uint64 }
+	start, ok := call(ctx, n, func(reply func(readPoint)) { reply(readPoint{n.view.revision, t.token}) })
 	if !ok {
 		return ctx.Err()
 	}
@@ -97,7 +97,7 @@
 		return err
 	}
 	box := notify.New(n.outboxConfig())
-	marks, stamp := map[string]uint64{}, uint64(0)
+	marks, marksRevision := map[string]uint64{}, uint64(0)
 	for _, e := range entries {
 		if e.Key != marksKey {
 			if err := loadOutboxRecord(box, e); err != nil {
@@ -105,25 +105,25 @@
 			}
 			continue
 		}
-		stamp = e.Version
+		marksRevision = e.Version
 		if err := wire.Unmarshal(e.Value, &marks); err != nil {
 			return fmt.Errorf("record %s: %w", e.Key, err)
 		}
 	}
-	fresh := false
+	added := false
 	for _, sub := range n.notifier.subscriptions {
 		if _, ok := marks[sub]; !ok {
-			marks[sub], fresh = at.since, true
+			marks[sub], added = start.since, true
 		}
 		box.LoadMark(notify.Mark{Sub: sub, To: marks[sub]})
 	}
-	if fresh {
+	if added {
 		v, err := wire.Marshal(marks)
 		if err != nil {
 			return err
 		}
 		_, err = n.stateClient.Commit(ctx, &wire.Txn{
-			If:   []wire.Cond{{Key: leaderKey, Version: at.token}, {Key: marksKey, Version: stamp}},
+			If:   []wire.Cond{{Key: leaderKey, Version: start.token}, {Key: marksKey, Version: marksRevision}},
 			Then: []wire.Write{{Put: marksKey, Value: v}},
 		})
 		if err != nil {
@@ -255,8 +255,8 @@
 	t, box := n.term, n.notifier.outbox
 	// The time of day at the start and the steady clock from there: a clock that is
 	// set forward must not end deadlines.
-	day := core.Micros(n.started.UnixMicro()) + n.now()
-	for _, a := range box.Step(n.now(), day) {
+	wallNow := core.Micros(n.started.UnixMicro()) + n.now()
+	for _, a := range box.Step(n.now(), wallNow) {
 		switch a := a.(type) {
 		case notify.Send:
 			go n.deliver(t.token, box, a)
@@ -282,13 +282,13 @@
 
 func (n *Node) deliver(token uint64, box *notify.Outbox, a notify.Send) {
 	out, after := notify.NotSent, core.Micros(0)
-	begun := time.Now()
+	started := time.Now()
 	if n.leaseValid() {
 		out, after = n.notifier.senders[a.Sub].Send(n.ctx, a, token)
 	}
-	words := [...]string{"delivered", "not taken", "in doubt", "refused"}
-	n.log.Info("notification "+words[out], "subscription", a.Sub, "job", a.Event.Job, "event", a.Event.Kind.String(), "key", a.Key,
-		"attempt", a.Attempt, "took_ms", time.Since(begun).Milliseconds())
+	outcomes := [...]string{"delivered", "not taken", "in doubt", "refused"}
+	n.log.Info("notification "+outcomes[out], "subscription", a.Sub, "job", a.Event.Job, "event", a.Event.Kind.String(), "key", a.Key,
+		"attempt", a.Attempt, "took_ms", time.Since(started).Milliseconds())
 	n.post(func() {
 		if n.notifier.outbox == box {
 			box.Sent(n.now(), a.ID, out, after)
@@ -299,13 +299,13 @@
 // saveOutbox writes what is settled, in one transaction, with what the leader
 // writes besides: behind what users and tasks wait for.
 func (n *Node) saveOutbox(t *term, box *notify.Outbox, a notify.Save) {
-	it := &writeRequest{term: t}
+	req := &writeRequest{term: t}
 	put := func(key string, v any) {
 		b, err := wire.Marshal(v)
 		if err != nil {
 			n.log.Error("encode record", "key", key, "err", err) // texts and numbers: it does not fail
 		}
-		it.ops = append(it.ops, wire.Write{Put: key, Value: b})
+		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 	}
 	if len(a.Marks) > 0 {
 		marks := map[string]uint64{}
@@ -322,17 +322,17 @@
 		put(deadLetterKey(&d), &deadLetterRecord{d.Sub, d.Event.Job, d.Event.Team, d.Event.Class, d.Event.Kind.String(), d.Event.Revision, int64(d.Event.At), d.Why})
 	}
 	for _, k := range a.Drop {
-		it.ops = append(it.ops, wire.Write{Delete: fmt.Sprintf("%s%s/%d", chunkPrefix, k.Sub, k.Chunk)})
+		req.ops = append(req.ops, wire.Write{Delete: fmt.Sprintf("%s%s/%d", chunkPrefix, k.Sub, k.Chunk)})
 	}
 	for _, d := range a.Alive {
-		it.ops = append(it.ops, wire.Write{Delete: deadLetterKey(&d)})
+		req.ops = append(req.ops, wire.Write{Delete: deadLetterKey(&d)})
 	}
 	saved := func(ok bool) {
 		if n.notifier.outbox == box {
 			box.Saved(n.now(), a.ID, ok)
 		}
 	}
-	it.done = func(_ uint64, err error) {
+	req.done = func(_ uint64, err error) {
 		if writeOutcome(err) == core.WriteUnknown {
 			// It may be carried out after the next one, whose marks and bitmaps it would
 			// replace: what was told would be told again.
@@ -341,7 +341,7 @@
 		}
 		saved(err == nil)
 	}
-	if !n.committer.add(it, false) {
+	if !n.committer.add(req, false) {
 		n.post(func() { saved(false) })
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -47,27 +47,27 @@
 	}
 	defer c.Close()
 	sent := map[string]peer.Counts{}
-	var term uint64
+	var sentToken uint64
 	for ctx.Err() == nil {
 		wait.For(ctx, statusInterval)
-		var asked core.Micros
+		var sentAt core.Micros
 		s, ok := call(ctx, n, func(reply func(*peer.Status)) {
 			s := n.status()
 			if s.Token == 0 && s.StateOK {
 				reply(nil) // nothing to say
 				return
 			}
-			if s.Token != term {
-				term = s.Token
+			if s.Token != sentToken {
+				sentToken = s.Token
 				clear(sent)
 			}
-			asked = n.now()
+			sentAt = n.now()
 			if s.Token != 0 {
 				s.Counts = n.changedCounts(sent)
-				k := n.peers[member]
-				s.EchoedNonce = k.replyNonce
+				state := n.peers[member]
+				s.EchoedNonce = state.replyNonce
 				if s.EchoedNonce != 0 {
-					k.delegate.Grant(k.lastReply, n.delegationTTL)
+					state.delegate.Grant(state.lastReply, n.delegationTTL)
 				}
 			}
 			reply(s)
@@ -75,35 +75,35 @@
 		if !ok || s == nil {
 			continue
 		}
-		answer, err := c.ExchangeStatus(ctx, s)
+		reply, err := c.ExchangeStatus(ctx, s)
 		if err != nil {
 			n.log.Debug("peer", "peer", member, "err", err)
 			clear(sent) // it may have missed these
 			continue
 		}
-		n.post(func() { n.handleStatusReply(member, s, answer, asked) })
+		n.post(func() { n.handleStatusReply(member, s, reply, sentAt) })
 	}
 }
 
 // replied takes a peer's reply to the status that it was told.
-func (n *Node) handleStatusReply(name string, told, answer *peer.Status, asked core.Micros) {
-	k := n.peers[name]
-	if t := n.term; t != nil && told.Token == t.token {
-		k.replyNonce, k.lastReply = answer.Nonce, n.now()
-		k.delegate.HandleReply(asked, n.now(), answer.Incarnation, core.Micros(answer.DelegatedAnswerAge))
+func (n *Node) handleStatusReply(member string, sent, reply *peer.Status, sentAt core.Micros) {
+	state := n.peers[member]
+	if t := n.term; t != nil && sent.Token == t.token {
+		state.replyNonce, state.lastReply = reply.Nonce, n.now()
+		state.delegate.HandleReply(sentAt, n.now(), reply.Incarnation, core.Micros(reply.DelegatedAnswerAge))
 	}
-	for _, c := range answer.Cancellations {
+	for _, c := range reply.Cancellations {
 		n.applyPeerCancellation(c)
 	}
-	if answer.CancellationsComplete && told.Revision > 0 {
-		k.cancellationsAsOf = asked
+	if reply.CancellationsComplete && sent.Revision > 0 {
+		state.cancellationsAsOf = sentAt
 	}
-	n.applyPeerStatus(answer)
+	n.applyPeerStatus(reply)
 }
 
 // changedCounts lists the jobs whose counts differ from what was sent.
 func (n *Node) changedCounts(sent map[string]peer.Counts) []peer.Counts {
-	const most = 500
+	const maxJobs = 500
 	var out []peer.Counts
 	for id := range sent {
 		if _, _, ok := n.core.TaskCounts(id); !ok {
@@ -113,7 +113,7 @@
 	for _, id := range n.core.UnfinishedJobs() {
 		done, running, ok := n.core.TaskCounts(id)
 		k := peer.Counts{Job: id, Done: done, Running: running}
-		if ok && sent[id] != k && len(out) < most {
+		if ok && sent[id] != k && len(out) < maxJobs {
 			sent[id] = k
 			out = append(out, k)
 		}
@@ -168,13 +168,13 @@
 }
 
 func (n *Node) applyPeerStatus(s *peer.Status) {
-	k := n.peers[s.Node]
-	if k == nil {
+	state := n.peers[s.Node]
+	if state == nil {
 		return // not one of ours
 	}
-	k.lastStatus, k.stateOK = time.Now(), s.StateOK
-	k.delegate.NoteMessage(n.now())
-	n.checkPeerVersion(k, s)
+	state.lastStatus, state.stateOK = time.Now(), s.StateOK
+	state.delegate.NoteMessage(n.now())
+	n.checkPeerVersion(state, s)
 	if n.term == nil {
 		for _, c := range s.Counts {
 			if _, known := n.view.jobs[c.Job]; known || len(n.leaderCounts) < 100_000 {
@@ -203,14 +203,14 @@
 func (n *Node) updateHealth() {
 	ok := n.view.ready
 	if ok && n.stateUnreachable() {
-		alone := len(n.peers) > 0 && time.Since(n.lastStateResponse) > 2*stateLostAfter
+		isolated := len(n.peers) > 0 && time.Since(n.lastStateResponse) > 2*stateLostAfter
 		for _, p := range n.peers {
 			if p.stateOK && p.lastStatus.After(n.lastStateResponse.Add(stateLostAfter)) {
 				ok = false
 			}
-			alone = alone && p.lastStatus.Before(n.lastStateResponse)
+			isolated = isolated && p.lastStatus.Before(n.lastStateResponse)
 		}
-		ok = ok && !alone
+		ok = ok && !isolated
 	}
 	if n.serving.Swap(ok) != ok {
 		n.log.Info("health", "serving", ok)
@@ -238,14 +238,14 @@
 // have been told of: it has read the state service since, or every peer, asked
 // then, told it all that it knew of.
 func (n *Node) informedUntil() core.Micros {
-	agreed := core.MaxMicros
+	confirmed := core.MaxMicros
 	for _, p := range n.peers {
-		agreed = min(agreed, p.cancellationsAsOf)
+		confirmed = min(confirmed, p.cancellationsAsOf)
 	}
 	if len(n.peers) == 0 {
-		agreed = n.now()
+		confirmed = n.now()
 	}
-	return max(n.currentAsOf, agreed)
+	return max(n.currentAsOf, confirmed)
 }
 
 // deputize gives the token under which this node may answer a worker in the
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -42,12 +42,12 @@
 // lookup answers with the job's record, or calls unknown if it is certain that
 // there is none. A final state is told from memory; anything else only once
 // the view is known to be current, since another node may have told more.
-func (n *Node) lookup(id string, reply func(httpapi.Response), unknown func()) {
+func (n *Node) lookup(id string, reply func(httpapi.Response), notFound func()) {
 	if rec, ok := n.view.jobs[id]; ok && rec.Phase != core.Pending {
 		reply(n.jobResponse(rec))
 		return
 	}
-	asked := n.now()
+	receivedAt := n.now()
 	n.readLinearizable(func(ok bool) {
 		rec, known := n.view.jobs[id]
 		switch {
@@ -57,10 +57,10 @@
 			reply(httpapi.Unavailable())
 		case known:
 			a := n.jobResponse(rec)
-			a.Fresh = n.freshSince(asked)
+			a.Fresh = n.freshSince(receivedAt)
 			reply(a)
 		default:
-			unknown()
+			notFound()
 		}
 	})
 }
@@ -70,8 +70,8 @@
 const maxResponseAge = 1500 * core.Millisecond
 
 // toldFrom reports whether what was asked for at a time may still be told.
-func (n *Node) freshSince(asked core.Micros) func() bool {
-	return func() bool { return n.now() < asked+maxResponseAge }
+func (n *Node) freshSince(receivedAt core.Micros) func() bool {
+	return func() bool { return n.now() < receivedAt+maxResponseAge }
 }
 
 // Submit takes a submission.
@@ -80,21 +80,21 @@
 }
 
 func (n *Node) submit(id string, spec *core.JobSpec, reply func(httpapi.Response)) {
-	asked := n.now()
-	refuse := func(status int) func() {
-		return func() { reply(n.unknownJobResponse(status, asked)) }
+	receivedAt := n.now()
+	refuseWith := func(status int) func() {
+		return func() { reply(n.unknownJobResponse(status, receivedAt)) }
 	}
 	switch _, known := n.view.jobs[id]; {
 	case known:
-		n.lookup(id, reply, refuse(http.StatusServiceUnavailable))
+		n.lookup(id, reply, refuseWith(http.StatusServiceUnavailable))
 	case spec == nil:
-		n.lookup(id, reply, refuse(http.StatusBadRequest))
+		n.lookup(id, reply, refuseWith(http.StatusBadRequest))
 	case !n.view.ready || len(n.catalog) == 0:
 		reply(httpapi.Unavailable())
 	case !n.clusterConfig.follower.Current():
-		n.lookup(id, reply, refuse(http.StatusServiceUnavailable))
+		n.lookup(id, reply, refuseWith(http.StatusServiceUnavailable))
 	case n.infeasibleReason(spec) != "":
-		n.lookup(id, reply, func() { n.refuseOrCreate(spec, asked, reply) })
+		n.lookup(id, reply, func() { n.refuseOrCreate(spec, receivedAt, reply) })
 	default:
 		n.create(spec, reply)
 	}
@@ -102,16 +102,16 @@
 
 // refuseOrCreate refuses a submission that can't run by what has been read since it came:
 // the configuration may have changed. Nor is it told once that changes before it is written.
-func (n *Node) refuseOrCreate(spec *core.JobSpec, asked core.Micros, reply func(httpapi.Response)) {
+func (n *Node) refuseOrCreate(spec *core.JobSpec, receivedAt core.Micros, reply func(httpapi.Response)) {
 	switch {
 	case !n.mayDecide():
 		reply(httpapi.Unavailable())
 	case n.infeasibleReason(spec) == "":
 		n.create(spec, reply)
 	default:
-		a := n.unknownJobResponse(http.StatusUnprocessableEntity, asked)
-		inTime, stamp := a.Fresh, n.clusterConfig.headRevision.Load()
-		a.Fresh = func() bool { return inTime() && n.configUnchanged(stamp) }
+		a := n.unknownJobResponse(http.StatusUnprocessableEntity, receivedAt)
+		recent, revision := a.Fresh, n.clusterConfig.headRevision.Load()
+		a.Fresh = func() bool { return recent() && n.configUnchanged(revision) }
 		reply(a)
 	}
 }
@@ -129,8 +129,8 @@
 		return
 	}
 	key := jobPrefix + spec.ID
-	judgedBy := n.clusterConfig.headRevision.Load()
-	it := &writeRequest{
+	configRevision := n.clusterConfig.headRevision.Load()
+	req := &writeRequest{
 		conds: append(n.configConditions(), wire.Cond{Key: key}),
 		ops:   []wire.Write{{Put: key, Value: b}},
 		done: func(rev uint64, err error) {
@@ -141,7 +141,7 @@
 				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.Accepted{ID: spec.ID, State: wire.StatePending},
 					Fresh: n.freshSince(n.now())}) // it may be cancelled by then, through another node
 			case errors.Is(err, statestore.ErrConflict):
-				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, judgedBy, reply) })
+				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, configRevision, reply) })
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("submission refused by the state service", "job", spec.ID, "err", err)
 				reply(httpapi.Response{Status: http.StatusBadRequest})
@@ -151,15 +151,15 @@
 			}
 		},
 	}
-	if !n.committer.add(it, true) {
+	if !n.committer.add(req, true) {
 		reply(httpapi.Unavailable())
 	}
 }
 
 // judgeAgain submits a job that nobody knows once more if the configuration has changed since
 // it was judged: its write was on condition that it had not.
-func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, judgedBy uint64, reply func(httpapi.Response)) {
-	if n.configUnchanged(judgedBy) {
+func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, configRevision uint64, reply func(httpapi.Response)) {
+	if n.configUnchanged(configRevision) {
 		reply(httpapi.Unavailable())
 		return
 	}
@@ -168,21 +168,21 @@
 
 // cannotRun says why a job could never run here, "" if it could.
 func (n *Node) infeasibleReason(s *core.JobSpec) string {
-	t, known := n.clusterConfig.effective.Teams[s.Team]
+	team, known := n.clusterConfig.effective.Teams[s.Team]
 	if !known {
 		return fmt.Sprintf("there is no team %q", s.Team)
 	}
-	if t.Draining {
+	if team.Draining {
 		return fmt.Sprintf("team %s takes no new jobs", s.Team)
 	}
-	if s.Priority > t.Cap {
-		return fmt.Sprintf("team %s may ask for %v priority at most, not %v", s.Team, t.Cap, s.Priority)
+	if s.Priority > team.Cap {
+		return fmt.Sprintf("team %s may ask for %v priority at most, not %v", s.Team, team.Cap, s.Priority)
 	}
-	all := s.Request
+	total := s.Request
 	if s.Kind != core.Array {
-		all = s.Request.Times(s.Tasks)
+		total = s.Request.Times(s.Tasks)
 	}
-	if t.Max.CPU > 0 && all.CPU > t.Max.CPU || t.Max.GPU > 0 && all.GPU > t.Max.GPU {
+	if team.Max.CPU > 0 && total.CPU > team.Max.CPU || team.Max.GPU > 0 && total.GPU > team.Max.GPU {
 		return fmt.Sprintf("it needs more than the limit of team %s", s.Team)
 	}
 	if zones := n.platform.Params.Zones; s.Zone != "" && len(zones) > 0 && !slices.Contains(zones, s.Zone) {
@@ -202,14 +202,14 @@
 }
 
 func (n *Node) poll(id string, reply func(httpapi.Response)) {
-	asked := n.now()
-	n.lookup(id, reply, func() { reply(n.unknownJobResponse(http.StatusNotFound, asked)) })
+	receivedAt := n.now()
+	n.lookup(id, reply, func() { reply(n.unknownJobResponse(http.StatusNotFound, receivedAt)) })
 }
 
 // unknownAs is the answer for a job that was not known when it was asked for: by the time
 // it is written, another node may have accepted the job.
-func (n *Node) unknownJobResponse(status int, asked core.Micros) httpapi.Response {
-	return httpapi.Response{Status: status, Fresh: n.freshSince(asked)}
+func (n *Node) unknownJobResponse(status int, receivedAt core.Micros) httpapi.Response {
+	return httpapi.Response{Status: status, Fresh: n.freshSince(receivedAt)}
 }
 
 // Cancel cancels a job unless it is done.
@@ -217,18 +217,18 @@
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.cancel(id, 3, reply) })
 }
 
-func (n *Node) cancel(id string, tries int, reply func(httpapi.Response)) {
+func (n *Node) cancel(id string, attempts int, reply func(httpapi.Response)) {
 	if _, known := n.view.jobs[id]; known {
-		n.cancelKnown(id, tries, reply)
+		n.cancelKnown(id, attempts, reply)
 		return
 	}
-	asked := n.now()
-	n.lookup(id, func(httpapi.Response) { n.cancelKnown(id, tries, reply) }, func() {
-		reply(n.unknownJobResponse(http.StatusNotFound, asked))
+	receivedAt := n.now()
+	n.lookup(id, func(httpapi.Response) { n.cancelKnown(id, attempts, reply) }, func() {
+		reply(n.unknownJobResponse(http.StatusNotFound, receivedAt))
 	})
 }
 
-func (n *Node) cancelKnown(id string, tries int, reply func(httpapi.Response)) {
+func (n *Node) cancelKnown(id string, attempts int, reply func(httpapi.Response)) {
 	rec, ok := n.view.jobs[id]
 	if !ok {
 		reply(httpapi.Unavailable())
@@ -242,7 +242,7 @@
 		reply(httpapi.Unavailable())
 		return
 	}
-	stamp := rec.Revision
+	revision := rec.Revision
 	rec = rec.Final(core.Cancelled, wallClock())
 	b, err := wire.EncodeJob(&rec)
 	if err != nil {
@@ -251,8 +251,8 @@
 		return
 	}
 	key := jobPrefix + id
-	it := &writeRequest{
-		conds: []wire.Cond{{Key: key, Version: stamp}},
+	req := &writeRequest{
+		conds: []wire.Cond{{Key: key, Version: revision}},
 		ops:   []wire.Write{{Put: key, Value: b}},
 		done: func(rev uint64, err error) {
 			switch {
@@ -260,21 +260,21 @@
 				rec.Revision = rev
 				n.applyJob(rec)
 				reply(n.jobResponse(rec))
-			case errors.Is(err, statestore.ErrConflict) && tries > 0:
+			case errors.Is(err, statestore.ErrConflict) && attempts > 0:
 				// Done, or cancelled through another node: read what it is now.
 				n.readLinearizable(func(ok bool) {
 					if !ok {
 						reply(httpapi.Unavailable())
 						return
 					}
-					n.cancel(id, tries-1, reply)
+					n.cancel(id, attempts-1, reply)
 				})
 			default:
 				reply(httpapi.Unavailable())
 			}
 		},
 	}
-	if !n.committer.add(it, true) {
+	if !n.committer.add(req, true) {
 		reply(httpapi.Unavailable())
 	}
 }
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -110,7 +110,7 @@
 
 // campaign tries to become leader and, if it succeeds, leads until the lease
 // is over.
-func (n *Node) campaign(ctx context.Context, seen uint64) error {
+func (n *Node) campaign(ctx context.Context, leaderRevision uint64) error {
 	ttl := time.Duration(n.settings.LeaderLeaseS * float64(time.Second))
 	sent := n.now()
 	lease, err := n.stateClient.Grant(ctx, ttl)
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	stamp, err := n.stateClient.Commit(ctx, &wire.Txn{
+	token, err := n.stateClient.Commit(ctx, &wire.Txn{
 		If:   []wire.Cond{{Key: leaderKey}},
 		Then: []wire.Write{{Put: leaderKey, Value: value, Lease: lease}},
 	})
@@ -134,13 +134,13 @@
 	if err != nil {
 		return fmt.Errorf("leader's key: %w", err)
 	}
-	n.log.Info("leadership won", "token", stamp, "lease", lease)
-	tctx, cancel := context.WithCancel(ctx)
+	n.log.Info("leadership won", "token", token, "lease", lease)
+	termCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	t := &term{n: n, leaseID: lease, token: stamp, cancel: cancel}
+	t := &term{n: n, leaseID: lease, token: token, cancel: cancel}
 	n.leaseValidUntil.Store(int64(until))
-	go n.beginTerm(tctx, t)
-	n.renewLease(tctx, t, ttl)
+	go n.beginTerm(termCtx, t)
+	n.renewLease(termCtx, t, ttl)
 	n.leaseValidUntil.Store(0)
 	n.log.Info("term ends", "token", t.token)
 	resigned, _ := call(ctx, n, func(reply func(bool)) {
@@ -166,7 +166,7 @@
 // hold renews the term's lease until it is over.
 func (n *Node) renewLease(ctx context.Context, t *term, ttl time.Duration) {
 	pause := ttl / 4
-	quiet := false // the failure has been logged
+	failureLogged := false // the failure has been logged
 	for ctx.Err() == nil {
 		wait.For(ctx, pause)
 		sent := n.now()
@@ -177,15 +177,15 @@
 				n.log.Info("lease renewed late: the term goes on", "token", t.token)
 			}
 			n.leaseValidUntil.Store(int64(core.LeaseValidUntil(sent, core.Micros(ttl/time.Microsecond))))
-			pause, quiet = ttl/4, false
+			pause, failureLogged = ttl/4, false
 		case errors.Is(err, statestore.ErrNotFound):
 			n.log.Info("lease is over", "token", t.token)
 			return
 		default:
-			if !quiet {
+			if !failureLogged {
 				n.log.Info("lease not renewed; trying on", "err", err, "may_act", n.leaseValid())
 			}
-			quiet = true
+			failureLogged = true
 			pause = 150 * time.Millisecond
 		}
 	}
@@ -275,7 +275,7 @@
 		Then: []wire.Write{{Put: leaderKey, Value: value, Lease: t.leaseID}},
 	}
 	go func() {
-		stamp, err := n.stateClient.Commit(n.ctx, txn)
+		token, err := n.stateClient.Commit(n.ctx, txn)
 		n.post(func() {
 			t.raising = false
 			if err != nil {
@@ -285,7 +285,7 @@
 				}
 				return
 			}
-			n.ifCurrentTerm(t, func() { t.tokenRaised(stamp) })
+			n.ifCurrentTerm(t, func() { t.tokenRaised(token) })
 		})
 	}()
 }
@@ -300,10 +300,10 @@
 	t.raiseToken()
 }
 
-func (t *term) tokenRaised(stamp uint64) {
-	if stamp > t.token {
-		t.token = stamp
-		t.n.core.TokenRaised(t.n.now(), stamp)
+func (t *term) tokenRaised(token uint64) {
+	if token > t.token {
+		t.token = token
+		t.n.core.TokenRaised(t.n.now(), token)
 		for _, f := range t.afterRaise {
 			f()
 		}
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -30,26 +30,26 @@
 
 // watch keeps the view up to date.
 func (n *Node) watchRecords(ctx context.Context) {
-	const longest = time.Second // silence beyond it shows that the service is not reached
+	const maxWait = time.Second // silence beyond it shows that the service is not reached
 	pause := 100 * time.Millisecond
 	relist := true
 	var since uint64
 	for ctx.Err() == nil {
 		var err error
-		asked := n.now()
+		requestedAt := n.now()
 		if relist {
 			var entries []wire.Entry
 			var rev uint64
 			entries, rev, err = n.stateClient.List(ctx, watchedPrefix)
 			if err == nil {
-				n.post(func() { n.applyList(entries, rev, asked) })
+				n.post(func() { n.applyList(entries, rev, requestedAt) })
 				since, relist = rev, false
 			}
 		} else {
 			var ch *wire.Changes
-			ch, err = n.stateClient.Changes(ctx, watchedPrefix, since, longest)
+			ch, err = n.stateClient.Changes(ctx, watchedPrefix, since, maxWait)
 			if err == nil {
-				n.post(func() { n.applyChanges(ch, asked) })
+				n.post(func() { n.applyChanges(ch, requestedAt) })
 				since = ch.Revision
 			}
 			relist = errors.Is(err, statestore.ErrCompacted)
@@ -66,26 +66,26 @@
 
 // applyList takes over a whole list that was asked for at a time. Jobs are never
 // deleted, and the leader's key may have been: its absence in the list counts.
-func (n *Node) applyList(entries []wire.Entry, rev uint64, asked core.Micros) {
-	leader, before := false, n.view.revision
-	var jobs []string
+func (n *Node) applyList(entries []wire.Entry, rev uint64, requestedAt core.Micros) {
+	leaderListed, previous := false, n.view.revision
+	var changedJobs []string
 	for i := range entries {
 		e := &entries[i]
-		leader = leader || e.Key == leaderKey
-		if n.notifier != nil && e.Version > before && strings.HasPrefix(e.Key, jobPrefix) {
-			jobs = append(jobs, e.Key[len(jobPrefix):])
+		leaderListed = leaderListed || e.Key == leaderKey
+		if n.notifier != nil && e.Version > previous && strings.HasPrefix(e.Key, jobPrefix) {
+			changedJobs = append(changedJobs, e.Key[len(jobPrefix):])
 		}
 		n.applyPut(e.Key, e.Value, e.Version)
 	}
 	if rev > n.view.revision {
 		n.nomad.dropMissing(entries, rev)
 	}
-	if !leader && n.view.leaderRevision < rev {
+	if !leaderListed && n.view.leaderRevision < rev {
 		n.setLeader("", rev)
 	}
-	n.noteRead(rev, asked)
+	n.noteRead(rev, requestedAt)
 	n.resolveConfig()
-	n.feedOutbox(jobs, before, rev)
+	n.feedOutbox(changedJobs, previous, rev)
 	n.view.ready = true
 	n.acknowledgeConfig()
 	n.updateHealth()
@@ -94,21 +94,21 @@
 
 // heardState notes that the view holds all changes up to a revision, which the
 // state service had reached when it was asked, or later.
-func (n *Node) noteRead(rev uint64, asked core.Micros) {
+func (n *Node) noteRead(rev uint64, requestedAt core.Micros) {
 	n.view.revision = max(n.view.revision, rev)
-	n.currentAsOf = max(n.currentAsOf, asked)
+	n.currentAsOf = max(n.currentAsOf, requestedAt)
 	n.lastStateResponse = time.Now()
 }
 
 // apply takes over changes that were asked for at a time.
-func (n *Node) applyChanges(ch *wire.Changes, asked core.Micros) {
-	before := n.view.revision
-	var jobs []string
+func (n *Node) applyChanges(ch *wire.Changes, requestedAt core.Micros) {
+	previous := n.view.revision
+	var changedJobs []string
 	for i := range ch.Events {
 		e := &ch.Events[i]
 		if e.Put != "" {
-			if n.notifier != nil && e.Version > before && strings.HasPrefix(e.Put, jobPrefix) {
-				jobs = append(jobs, e.Put[len(jobPrefix):])
+			if n.notifier != nil && e.Version > previous && strings.HasPrefix(e.Put, jobPrefix) {
+				changedJobs = append(changedJobs, e.Put[len(jobPrefix):])
 			}
 			n.applyPut(e.Put, e.Value, e.Version)
 		} else if clusterconfig.IsRecord(e.Delete) {
@@ -121,18 +121,18 @@
 			n.setLeader("", e.Version)
 		}
 	}
-	n.noteRead(ch.Revision, asked)
+	n.noteRead(ch.Revision, requestedAt)
 	n.resolveConfig()
 	n.acknowledgeConfig()
-	n.feedOutbox(jobs, before, ch.Revision)
+	n.feedOutbox(changedJobs, previous, ch.Revision)
 }
 
 // applyPut takes over one record unless a newer one is known: two reads may
 // overlap and come in either order.
-func (n *Node) applyPut(key string, value []byte, stamp uint64) {
+func (n *Node) applyPut(key string, value []byte, revision uint64) {
 	switch {
 	case key == leaderKey:
-		if stamp < n.view.leaderRevision {
+		if revision < n.view.leaderRevision {
 			return
 		}
 		var l wire.Leader
@@ -140,10 +140,10 @@
 			n.log.Error("leader record", "err", err)
 			return
 		}
-		n.setLeader(l.Node, stamp)
+		n.setLeader(l.Node, revision)
 	case key == catalogKey:
-		if stamp > n.view.catalogRevision {
-			n.view.catalogRevision = stamp
+		if revision > n.view.catalogRevision {
+			n.view.catalogRevision = revision
 			var rec wire.CatalogRecord
 			// A leader has its own, with today's prices. The others need it to tell what can
 			// run: what the leader accepts must not be refused elsewhere.
@@ -153,22 +153,22 @@
 		}
 	case strings.HasPrefix(key, jobPrefix):
 		id := key[len(jobPrefix):]
-		if old, ok := n.view.jobs[id]; ok && old.Revision >= stamp {
+		if old, ok := n.view.jobs[id]; ok && old.Revision >= revision {
 			return
 		}
-		rec, err := wire.DecodeJob(id, value, stamp)
+		rec, err := wire.DecodeJob(id, value, revision)
 		if err != nil {
 			n.log.Error("job record", "err", err)
 			return
 		}
 		n.applyJob(rec)
 	case clusterconfig.IsRecord(key):
-		n.putConfig(key, value, stamp)
+		n.putConfig(key, value, revision)
 	case strings.HasPrefix(key, registry.Prefix):
 		// Of two reads that overlap, the later may hold what the earlier had, and
 		// what is gone since must not come back.
-		if stamp > n.view.revision {
-			n.nomad.putRecord(n, key, value, stamp)
+		if revision > n.view.revision {
+			n.nomad.putRecord(n, key, value, revision)
 		}
 	}
 }
@@ -190,14 +190,14 @@
 	n.nomad.nativeJobChanged(n, &rec)
 }
 
-func (n *Node) setLeader(name string, stamp uint64) {
+func (n *Node) setLeader(name string, revision uint64) {
 	if name != n.view.leader {
-		n.log.Info("leader", "leader", name, "revision", stamp)
+		n.log.Info("leader", "leader", name, "revision", revision)
 	}
-	n.view.leader, n.view.leaderRevision = name, stamp
+	n.view.leader, n.view.leaderRevision = name, revision
 	if name != "" {
-		n.view.lastLeader, n.view.lastLeaderToken = name, stamp
-		n.noteLeader(name, stamp)
+		n.view.lastLeader, n.view.lastLeaderToken = name, revision
+		n.noteLeader(name, revision)
 	}
 	n.wakeElector()
 }
@@ -260,13 +260,13 @@
 		return
 	}
 	n.readPending = true
-	since, asked := n.view.revision, n.now()
+	since, requestedAt := n.view.revision, n.now()
 	go func() {
 		ch, err := n.stateClient.Changes(n.ctx, watchedPrefix, since, 0)
 		n.post(func() {
 			n.readPending = false
 			if err == nil {
-				n.applyChanges(ch, asked)
+				n.applyChanges(ch, requestedAt)
 			} else {
 				n.log.Debug("sync", "err", err)
 			}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -117,9 +117,9 @@
 type Handler interface {
 	ExchangeStatus(ctx context.Context, s *Status) (*Status, error)
 	// Show fails on a node that does not lead.
-	Views(ctx context.Context, a *ViewRequest) (*ViewResponse, error)
+	Views(ctx context.Context, req *ViewRequest) (*ViewResponse, error)
 	// Notify is an operator's request; it fails on a node that does not lead.
-	ControlNotifications(ctx context.Context, a *control.Ask) (*control.Answer, error)
+	ControlNotifications(ctx context.Context, req *control.Ask) (*control.Answer, error)
 }
 
 // Serve answers peers on l until it fails.
@@ -179,13 +179,13 @@
 }
 
 // Show asks the peer, which has to lead.
-func (c *Client) Views(ctx context.Context, a *ViewRequest) (*ViewResponse, error) {
-	return invoke[ViewResponse](ctx, c, viewsMethod, a)
+func (c *Client) Views(ctx context.Context, req *ViewRequest) (*ViewResponse, error) {
+	return invoke[ViewResponse](ctx, c, viewsMethod, req)
 }
 
 // Notify hands an operator's request to the peer, which has to lead.
-func (c *Client) ControlNotifications(ctx context.Context, a *control.Ask) (*control.Answer, error) {
-	return invoke[control.Answer](ctx, c, notifyMethod, a)
+func (c *Client) ControlNotifications(ctx context.Context, req *control.Ask) (*control.Answer, error) {
+	return invoke[control.Answer](ctx, c, notifyMethod, req)
 }
 
 func invoke[Out any](ctx context.Context, c *Client, method string, in any) (*Out, error) {
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -128,8 +128,8 @@
 
 // Soon reports whether n changes fit with a quarter of the budget left for users.
 func (c *Client) HasPriorityBudget(n int) bool {
-	most := c.writes.Burst()
-	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(min(n+most/4, most))
+	burst := c.writes.Burst()
+	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(min(n+burst/4, burst))
 }
 
 // List reads all keys with the prefix, and the revision of the first page:
