--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -8,24 +8,26 @@
 	"aspenstall/internal/wire"
 )
 
-// item is one change that succeeds or fails by itself, whatever it shares a
-// transaction with.
+// writeRequest is one change. It succeeds or fails by itself, whatever shares a transaction with
+// it.
 type writeRequest struct {
-	term       *term // of the leader's bookkeeping: nothing of it is executed after the next began
+	term       *term // set for writes of the leader, which must not be executed after the next term began
 	conds      []wire.Cond
 	ops        []wire.Write
 	size       int
 	done       func(revision uint64, err error)
-	background bool // waits while the service refuses
-	unbatched  bool // was in a transaction that failed: tried again by itself
+	background bool // retried while the service refuses it
+	unbatched  bool // was in a transaction that failed, and is retried by itself
 }
 
-// committer groups changes into transactions within the service's limits.
-// What users wait for goes concurrently and first. What tasks wait for is next, by
-// priority, and leaves a part of the budget to users: a leader that opens hundreds of
-// jobs at once would have nothing left for submissions that come to it. The rest of
-// the leader's bookkeeping goes in order, one transaction at a time, with what is left
-// then, and waits out what the service refuses.
+// committer groups changes into transactions within the service's limits, in three classes:
+//
+//   - Changes that users wait for go first, in concurrent transactions.
+//   - Changes that tasks wait for go next, by priority. They leave a part of the rate budget to
+//     users: a leader that starts hundreds of jobs at once would otherwise have no budget left for
+//     submissions that it receives.
+//   - The rest of the leader's bookkeeping goes in order, one transaction at a time, within the
+//     budget that is then left, and is retried when the service refuses it.
 type committer struct {
 	n                   *Node
 	userQueue           []*writeRequest
@@ -33,15 +35,15 @@
 	backgroundQueue     []*writeRequest
 	foregroundInFlight  int
 	backgroundInFlight  bool
-	backgroundNotBefore core.Micros // not before this
+	backgroundNotBefore core.Micros // no background write is sent before this time
 }
 
 const (
 	maxForegroundInFlight = 4
-	maxTaskWritesInFlight = 3 // what tasks wait for goes only while fewer are out: one is left to users
+	maxTaskWritesInFlight = 3 // task writes are sent only while fewer are in flight: one is left to users
 	maxQueued             = 1000
 	backgroundRetryPause  = core.Second / 2
-	maxTxnBytes           = 40 << 10 // encoded; the limit of 64 KiB is counted as JSON
+	maxTxnBytes           = 40 << 10 // encoded; the service's limit of 64 KiB is counted as JSON
 )
 
 func (req *writeRequest) computeSize() {
@@ -50,7 +52,7 @@
 	}
 }
 
-// addSoon queues an item of the leader's that tasks of a priority wait for; false if
+// addTaskWrite queues a write of the leader that tasks of priority p wait for. It returns false if
 // the queue is full.
 func (c *committer) addTaskWrite(req *writeRequest, p core.Priority) bool {
 	if len(c.taskQueues[p]) >= maxQueued {
@@ -62,7 +64,8 @@
 	return true
 }
 
-// add queues an item; false if the queue is full.
+// add queues a write, in the users' queue or in the background queue. It returns false if the
+// users' queue is full.
 func (c *committer) add(req *writeRequest, forUser bool) bool {
 	req.computeSize()
 	if forUser {
@@ -99,7 +102,7 @@
 	c.send(c.nextBatch(&c.backgroundQueue), func() { c.backgroundInFlight = false })
 }
 
-// opsOf says how many changes the next transaction from a queue may have.
+// nextTxnOps returns how many changes the next transaction from a queue may have.
 func (c *committer) nextTxnOps(queue []*writeRequest) int {
 	ops := 0
 	for _, req := range queue {
@@ -110,17 +113,17 @@
 	return ops
 }
 
-// endTerm forgets what the leader of a term that is over had to write.
+// dropTermWrites drops the queued writes of a term that is over.
 func (c *committer) dropTermWrites() {
 	c.backgroundQueue = nil
 	clear(c.taskQueues[:])
 }
 
-// batch takes items that fit into one transaction.
+// nextBatch takes requests from the queue that fit into one transaction.
 func (c *committer) nextBatch(queue *[]*writeRequest) []*writeRequest {
 	limit := c.n.platform.Params.State.TxnOps
 	var out []*writeRequest
-	ops, conds, size := 0, 1, 0 // the leader's key
+	ops, conds, size := 0, 1, 0 // the first condition is the leader's key
 	for len(*queue) > 0 {
 		req := (*queue)[0]
 		if len(out) > 0 && (req.unbatched || out[0].unbatched || ops+len(req.ops) > limit || conds+len(req.conds) > 4*limit || size+req.size > maxTxnBytes) {
@@ -144,7 +147,7 @@
 	for _, req := range reqs {
 		conds := req.conds
 		if req.term != nil {
-			// Its key may have been written again since the item was queued.
+			// The token may have been raised since the request was queued.
 			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, Version: req.term.token})
 		}
 		for _, cond := range conds {
@@ -167,7 +170,8 @@
 				return
 			}
 			if len(reqs) > 1 && (errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid)) {
-				// One of them is at fault: its neighbours are not to suffer.
+				// One of the requests is at fault. Retry each by itself, so that the others do not
+				// fail with it.
 				for _, req := range reqs {
 					req.unbatched = true
 				}
@@ -183,7 +187,7 @@
 	}()
 }
 
-// bookkeeping queues a write of the core's.
+// addCoreWrite queues a write that the core requested.
 func (c *committer) addCoreWrite(t *term, w core.Write) {
 	n := c.n
 	req := &writeRequest{term: t}
@@ -212,9 +216,9 @@
 	for _, k := range w.Deletes {
 		req.ops = append(req.ops, wire.Write{Delete: k})
 	}
-	// A job with many chunks has more keys to drop than fit: what is left over is
-	// dropped by writes of its own, once it is stored that the job is over. Dropped
-	// before, what its finished tasks are would be lost with a leader that ends then.
+	// A job with many chunks has more keys to delete than fit into one transaction. The remaining
+	// keys are deleted by separate writes, once it is stored that the job is over. If they were
+	// deleted before, a leader that ends in between would lose the results of the finished tasks.
 	limit := n.platform.Params.State.TxnOps
 	leftover := req.ops[min(len(req.ops), limit):]
 	req.ops = req.ops[:len(req.ops)-len(leftover)]
@@ -259,8 +263,8 @@
 	return core.WriteUnknown
 }
 
-// wroteFinal notes the final record of a job, so that it can be told without
-// waiting for the watch.
+// applyFinalRecords applies the final records of jobs that were just written, so that users can be
+// told without waiting for the watch.
 func (n *Node) applyFinalRecords(w core.Write, rev uint64) {
 	for _, p := range w.Puts {
 		if d, ok := p.Value.(core.FinalRecord); ok {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is one controller: a goroutine that owns all state, and around
-// it the sockets, timers and clients that feed it and do what the core wants.
+// Package node implements one controller: a goroutine that owns all state, and around it the
+// sockets, timers and clients that feed it and carry out the actions that the core requests.
 package node
 
 import (
@@ -20,7 +20,7 @@
 	"aspenstall/internal/worker"
 )
 
-// Keys that every node watches.
+// Keys of the state service. Every node watches those under watchedPrefix.
 const (
 	watchedPrefix = "c/"
 	leaderKey     = wire.LeaderKey
@@ -28,8 +28,7 @@
 	jobPrefix     = wire.JobPrefix
 )
 
-// Node is a controller. All fields below the line belong to the goroutine that
-// runs Run; others reach them by posting a function to it.
+// Node is a controller.
 type Node struct {
 	platform     *config.Platform
 	settings     config.Settings
@@ -39,49 +38,51 @@
 	workerClient *worker.Client
 	started      time.Time
 	dial         netdial.Func
-	peerClients  map[string]*peer.Client // of the peers; not changed once it runs
-	incarnation  uint64                  // of this process, for peers to tell it from its next
-	// answerGrace is how long workers are answered after the leader's lease,
-	// blind how long by a node that does not learn of cancellations, and grace
-	// how long by a deputy after its last word with the leader.
+	peerClients  map[string]*peer.Client // by member; not changed once the node runs
+	incarnation  uint64                  // random number of this process: tells peers that it has restarted
+	// answerGrace is how long workers are still answered after the end of the leader's lease.
+	// maxCancelStaleness is how long a node that does not learn of cancellations may renew the
+	// leases of workers. delegationTTL is how long a delegate may answer workers after its last
+	// exchange with the leader.
 	answerGrace, maxCancelStaleness, delegationTTL core.Micros
-	maxReadAge                                     core.Micros // how long a leader acts on what it has read
+	maxReadAge                                     core.Micros // how long a leader may act on its last read
 	inbox                                          chan func()
 
-	leaseValidUntil atomic.Int64 // micros: this node leads and may act until then
-	serving         atomic.Bool  // the view is there and users can be answered
+	leaseValidUntil atomic.Int64 // in Micros of now: the leader's lease is certainly valid until then
+	serving         atomic.Bool  // the view is loaded and users can be answered
 
-	// ----
+	// The fields below belong to the goroutine that runs Run. Other goroutines reach them by
+	// posting a function to it.
 	core        *core.Core
 	view        view
 	committer   committer
 	term        *term
-	electorWake chan struct{} // tells the elector that the view changed
+	electorWake chan struct{} // signals the elector that the view changed
 	ctx         context.Context
 
 	readPending     bool
-	lastReadStarted core.Micros // when the last read for those who wait began
-	readInterval    core.Micros // between two
+	lastReadStarted core.Micros // when the last read for readWaiters began
+	readInterval    core.Micros // between two such reads
 	readWaiters     []func(ok bool)
 
 	clusterConfig clusterConfig
 
 	catalog  []core.MachineType
-	nomad    *nomadState // nil: job files are not served
-	notifier *notifier   // nil: nobody is notified
+	nomad    *nomadState // nil if job files are not served
+	notifier *notifier   // nil if there are no subscriptions
 
-	lastReport          core.Micros            // last report of a worker, answered or not
-	abstainUntil        core.Micros            // does not run for the leadership before this
-	lastStateResponse   time.Time              // last answer of the state service
-	peers               map[string]*peerState  // those of the settings
-	delegation          core.Delegation        // to answer in the leader's place
-	lastDelegatedAnswer core.Micros            // last time it did; 0: never
-	cancellations       cancellationLog        // what it knows of, for peers that do not
-	currentAsOf         core.Micros            // the view holds every change made before
-	leaderCounts        map[string]peer.Counts // what the leader said of jobs
+	lastReport          core.Micros            // last report of any worker, answered or not
+	abstainUntil        core.Micros            // this node does not run for the leadership before
+	lastStateResponse   time.Time              // last response of the state service
+	peers               map[string]*peerState  // by member, as in the settings
+	delegation          core.Delegation        // permission to answer workers for the leader
+	lastDelegatedAnswer core.Micros            // last time a worker was answered under delegation; 0: never
+	cancellations       cancellationLog        // recent cancellations, for peers that can't read them
+	currentAsOf         core.Micros            // the view holds every change made before this time
+	leaderCounts        map[string]peer.Counts // task counts of jobs, as the leader reported them
 }
 
-// New returns a node that is not running yet.
+// New returns a node that is not running yet; Run starts it.
 func New(p *config.Platform, s config.Settings, log *slog.Logger, dial netdial.Func) *Node {
 	conns := max(p.Params.Limits.MaxConnections/20, 16)
 	n := &Node{
@@ -129,9 +130,9 @@
 	return n
 }
 
-// syncPause is how long each of so many nodes waits between two reads of the
-// changes, for all of them to take half of the state service's requests at most.
-// Nobody has to agree on anything for that, and none depends on another.
+// readInterval returns the pause between two linearizable reads of one node, for a state service
+// that serves rps requests per second. All nodes together then use at most half of that rate. Each
+// node computes the pause by itself, so nothing has to be coordinated.
 func readInterval(rps float64, nodes int) core.Micros {
 	const share = 0.5
 	if rps <= 0 {
@@ -140,12 +141,12 @@
 	return core.Seconds(float64(nodes) / (rps * share))
 }
 
-// now reads the steady clock.
+// now returns the monotonic time since the node was created.
 func (n *Node) now() core.Micros { return core.Micros(time.Since(n.started) / time.Microsecond) }
 
 func wallClock() core.Micros { return core.Micros(time.Now().UnixMicro()) }
 
-// post runs f on the owning goroutine.
+// post runs f on the owning goroutine. It does not wait until f has run.
 func (n *Node) post(f func()) {
 	select {
 	case n.inbox <- f:
@@ -153,8 +154,8 @@
 	}
 }
 
-// call runs f on the owning goroutine and waits for the answer that f, or
-// something f started, gives; zero is returned if ctx ends first.
+// call runs f on the owning goroutine and waits for the value that f, or something that f started,
+// passes to reply. It returns the zero value and false if ctx ends first.
 func call[T any](ctx context.Context, n *Node, f func(reply func(T))) (T, bool) {
 	out := make(chan T, 1)
 	var zero T
@@ -178,7 +179,7 @@
 	}
 }
 
-// Run runs the node until ctx ends.
+// Run runs the node and returns when ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	n.ctx = ctx
 	go n.watchRecords(ctx)
@@ -190,7 +191,7 @@
 	timer := time.NewTimer(step)
 	defer timer.Stop()
 	tick := n.now() + core.Micros(step/time.Microsecond)
-	timerAt := tick // what the timer is set to
+	timerAt := tick // when the timer fires
 	lastStats := time.Now()
 	for {
 		select {
@@ -220,7 +221,7 @@
 			}
 		}
 		n.step()
-		// The core may want to go on before the next tick.
+		// The core or the outbox may have work before the next tick.
 		next := tick
 		if n.isActiveLeader() {
 			next = min(next, n.core.NextStepAt())
@@ -235,29 +236,29 @@
 	}
 }
 
-// mayAct reports whether this node leads and its lease is certainly alive.
+// leaseValid reports whether this node holds the leader's lease and the lease is certainly valid.
 func (n *Node) leaseValid() bool { return n.now() < core.Micros(n.leaseValidUntil.Load()) }
 
-// unreadLeast is how long a leader acts at the least on what it has read, where a
-// lease lasts as long as a cancellation may take: no leader reads faster than that.
+// minMaxReadAge is the lower bound of maxReadAge. It matters where a worker's lease lasts as long
+// as a cancellation may take: maxCancelStaleness is then 0, and no leader can read that often.
 const minMaxReadAge = 5 * core.Second
 
-// leads reports whether this node may act as the leader. Its lease is not enough:
-// it may be renewed while nothing can be read, and a leader that learns of no
-// cancellations must not keep the tasks of cancelled jobs alive.
+// isActiveLeader reports whether this node may act as the leader. A valid lease is not enough: it
+// may be renewed while nothing can be read, and a leader that does not learn of cancellations must
+// not keep the tasks of cancelled jobs alive.
 func (n *Node) isActiveLeader() bool {
 	return n.term != nil && n.leaseValid() && n.now() < n.informedUntil()+n.maxReadAge
 }
 
-// resignBlind ends the term of a leader that can write and not read, while there
-// is time for another one to begin.
+// resignIfUninformed ends the term of a leader that can write to the state service and not read
+// from it. It does so at half of maxReadAge, so that another leader has time to begin.
 func (n *Node) resignIfUninformed() {
 	if t := n.term; t != nil && n.leaseValid() && n.now() > max(t.begunAt, n.informedUntil())+n.maxReadAge/2 {
 		n.resign("nothing can be read from the state service")
 	}
 }
 
-// resign gives the term up and leaves the leadership to others for a while.
+// resign ends the term and leaves the leadership to other nodes for abstainDuration.
 func (n *Node) resign(why string) {
 	t := n.term
 	n.log.Info("resigning", "reason", why, "token", t.token)
@@ -266,23 +267,25 @@
 	t.cancel()
 }
 
-// leaseOrGrace reports whether the last lease of this node's is alive, or ended
-// so lately that workers may still be answered, though not commanded.
+// withinAnswerGrace reports whether the leader's lease of this node is valid, or ended less than
+// answerGrace ago. In that time workers may be answered, but not commanded.
 func (n *Node) withinAnswerGrace() bool {
 	return n.now() < core.Micros(n.leaseValidUntil.Load())+n.answerGrace
 }
 
-// mayAnswer reports whether workers are to be answered without commands: this
-// node led until it lost sight of the state service, and nothing says that
-// another leads or could. In an outage of the state service nobody can, and the
-// workers' leases would run out with all that they run. A later leader waits
-// for a machine it does not hear as much longer as this may go on. It does not
-// go on for longer than a cancellation elsewhere allows.
+// mayAnswerInGrace reports whether workers are answered without commands after the lease: this
+// node led until it lost the state service, and nothing shows that another node leads or could
+// lead. In an outage of the state service no node can lead, and without answers the workers'
+// leases would run out and their tasks would end.
+//
+// A later leader waits for the same additional time before it treats a machine that does not
+// report as lost. The grace is bounded by maxCancelStaleness, since jobs may be cancelled through
+// other nodes.
 func (n *Node) mayAnswerInGrace() bool {
 	return n.term != nil && !n.term.deposed && !n.leaseValid() && n.withinAnswerGrace() && n.mayRenewWorkerLeases() && !n.peerReachesState()
 }
 
-// act lets the core decide and carries out what it wants.
+// step lets the core decide and carries out the actions that it returns.
 func (n *Node) step() {
 	if !n.isActiveLeader() {
 		return
@@ -323,15 +326,15 @@
 		go func() {
 			err := n.cloudClient.Release(n.ctx, a.Machines)
 			if err != nil {
-				n.log.Info("return failed", "machines", a.Machines, "err", err)
+				n.log.Info("machine release failed", "machines", a.Machines, "err", err)
 			}
 			n.post(func() { n.ifCurrentTerm(t, func() { n.core.ReleaseResult(n.now(), a.Machines, err == nil) }) })
 		}()
 	}
 }
 
-// ifTerm runs f if the term is still the same one: results of an earlier term
-// mean nothing to a later one.
+// ifCurrentTerm runs f if t is still the current term. Results of an earlier term must not reach a
+// later one.
 func (n *Node) ifCurrentTerm(t *term, f func()) {
 	if n.term == t {
 		f()
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -13,30 +13,30 @@
 	"aspenstall/internal/wire"
 )
 
-// term is one leadership of this node.
+// term is one period of leadership of this node.
 type term struct {
 	n          *Node
 	leaseID    uint64
-	token      uint64 // version of the leader's key, which is the token
+	token      uint64 // fencing token: the revision of the leader's key
 	raiseCount uint64
 	raising    bool
-	afterRaise []func() // to be called once the token is raised
+	afterRaise []func() // called once the token is raised
 
 	begunAt  core.Micros
 	cancel   context.CancelFunc
 	resigned bool
-	deposed  bool // there is another leader
+	deposed  bool // another node has become leader
 }
 
-// standing is what the elector needs of the view.
+// electionState is the part of the view that the elector needs.
 type electionState struct {
 	ready          bool
 	leader         string
 	leaderRevision uint64
-	abstainFor     time.Duration // this node resigned: others first
+	abstainFor     time.Duration // this node resigned and leaves the leadership to others for this long
 }
 
-// elect runs for the leadership whenever nobody has it.
+// runElections runs for the leadership whenever no node holds it.
 func (n *Node) runElections(ctx context.Context) {
 	for ctx.Err() == nil {
 		st, ok := call(ctx, n, func(reply func(electionState)) {
@@ -54,8 +54,8 @@
 		case st.leader == "":
 			err = n.campaign(ctx, st.leaderRevision)
 		case st.leader == n.platform.Member:
-			// The key names this node, which does not lead: the process that
-			// wrote it is dead, or it is a campaign whose answer was lost.
+			// The key names this node, which does not lead: an earlier process wrote it, or it
+			// belongs to a campaign whose response was lost.
 			err = n.revokePreviousLease(ctx)
 		}
 		if err != nil {
@@ -84,23 +84,23 @@
 	if err := wire.Unmarshal(e.Value, &l); err != nil || l.Node != n.platform.Member || e.Lease == 0 {
 		return err
 	}
-	n.log.Info("ending the lease of the former process", "lease", e.Lease)
+	n.log.Info("revoking the lease of the previous process", "lease", e.Lease)
 	if err := n.stateClient.Revoke(ctx, e.Lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
 		return err
 	}
 	return n.refreshViewOrFail(ctx)
 }
 
-// refreshed is refresh for the elector, which tries again after an error: a
-// view that stays behind would leave it waiting for news that came already.
+// refreshViewOrFail is refreshView for the elector, which retries after an error. With a view that
+// stays out of date the elector would wait for a change that has already been delivered.
 func (n *Node) refreshViewOrFail(ctx context.Context) error {
 	if !n.refreshView(ctx) {
-		return errors.New("the view could not be brought up to date")
+		return errors.New("the view could not be brought up to date from the state service")
 	}
 	return nil
 }
 
-// refresh brings the view up to date.
+// refreshView brings the view up to date and reports whether that succeeded within 5 s.
 func (n *Node) refreshView(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -108,16 +108,15 @@
 	return ok
 }
 
-// campaign tries to become leader and, if it succeeds, leads until the lease
-// is over.
+// campaign tries to become leader. If it succeeds, it leads and returns after the lease has ended.
 func (n *Node) campaign(ctx context.Context, leaderRevision uint64) error {
 	ttl := time.Duration(n.settings.LeaderLeaseS * float64(time.Second))
 	sent := n.now()
 	lease, err := n.stateClient.Grant(ctx, ttl)
 	if err != nil {
-		return fmt.Errorf("grant: %w", err)
+		return fmt.Errorf("grant the leader's lease: %w", err)
 	}
-	// Renewals start once the key is ours; the time until then counts.
+	// Renewals begin once this node holds the key. Until then the lease runs from its grant.
 	until := core.LeaseValidUntil(sent, core.Micros(ttl/time.Microsecond))
 	value, err := wire.Marshal(&wire.Leader{Node: n.platform.Member})
 	if err != nil {
@@ -132,7 +131,7 @@
 		return n.refreshViewOrFail(ctx)
 	}
 	if err != nil {
-		return fmt.Errorf("leader's key: %w", err)
+		return fmt.Errorf("write the leader's key: %w", err)
 	}
 	n.log.Info("leadership won", "token", token, "lease", lease)
 	termCtx, cancel := context.WithCancel(ctx)
@@ -155,18 +154,19 @@
 		reply(t.resigned)
 	})
 	if resigned {
-		// Nothing acts for the term any more: the next one need not wait.
+		// Nothing acts for this term any more, so the next leader need not wait for the lease to
+		// expire.
 		if err := n.stateClient.Revoke(ctx, lease); err != nil && !errors.Is(err, statestore.ErrNotFound) {
-			n.log.Info("lease not ended", "err", err)
+			n.log.Info("revoking the lease failed", "err", err)
 		}
 	}
 	return n.refreshViewOrFail(ctx)
 }
 
-// hold renews the term's lease until it is over.
+// renewLease renews the term's lease until the lease or ctx ends.
 func (n *Node) renewLease(ctx context.Context, t *term, ttl time.Duration) {
 	pause := ttl / 4
-	failureLogged := false // the failure has been logged
+	failureLogged := false // the current failure has been logged
 	for ctx.Err() == nil {
 		wait.For(ctx, pause)
 		sent := n.now()
@@ -174,7 +174,7 @@
 		switch {
 		case err == nil:
 			if !n.leaseValid() {
-				n.log.Info("lease renewed late: the term goes on", "token", t.token)
+				n.log.Info("lease renewed late; the term continues", "token", t.token)
 			}
 			n.leaseValidUntil.Store(int64(core.LeaseValidUntil(sent, core.Micros(ttl/time.Microsecond))))
 			pause, failureLogged = ttl/4, false
@@ -183,7 +183,7 @@
 			return
 		default:
 			if !failureLogged {
-				n.log.Info("lease not renewed; trying on", "err", err, "may_act", n.leaseValid())
+				n.log.Info("lease renewal failed; retrying", "err", err, "may_act", n.leaseValid())
 			}
 			failureLogged = true
 			pause = 150 * time.Millisecond
@@ -191,7 +191,7 @@
 	}
 }
 
-// begin reads all records and hands them to the core.
+// beginTerm reads all records of the leader and hands them to the core. It retries until ctx ends.
 func (n *Node) beginTerm(ctx context.Context, t *term) {
 	for ctx.Err() == nil {
 		snap, err := n.readSnapshot(ctx)
@@ -216,7 +216,7 @@
 			}
 			return
 		}
-		n.log.Info("term cannot begin yet", "err", err)
+		n.log.Info("term cannot begin yet; retrying", "err", err)
 		wait.For(ctx, 200*time.Millisecond)
 	}
 }
@@ -256,8 +256,8 @@
 	return s, nil
 }
 
-// raise writes the leader's key again: its new revision is a new token, under
-// which commands that are still under way are void.
+// raiseToken rewrites the leader's key. The new revision is a new fencing token, which invalidates
+// commands in flight under the old one.
 func (t *term) raiseToken() {
 	if t.raising {
 		return
@@ -279,7 +279,7 @@
 		n.post(func() {
 			t.raising = false
 			if err != nil {
-				n.log.Info("token not raised", "err", err)
+				n.log.Info("raising the token failed", "err", err)
 				if len(t.afterRaise) > 0 {
 					time.AfterFunc(raiseRetryPause, func() { n.post(func() { n.ifCurrentTerm(t, t.raiseToken) }) })
 				}
@@ -290,11 +290,11 @@
 	}()
 }
 
-// raisePause is between two tries to raise a token that something waits for.
+// raiseRetryPause is the pause between two attempts to raise a token that fenceWrites waits for.
 const raiseRetryPause = 200 * time.Millisecond
 
-// void raises the token, and calls then once no write that was sent under it can be carried
-// out any more.
+// fenceWrites raises the token, and calls then once no write that was sent under the old token can
+// be executed any more.
 func (t *term) fenceWrites(then func()) {
 	t.afterRaise = append(t.afterRaise, then)
 	t.raiseToken()
@@ -311,7 +311,8 @@
 	}
 }
 
-// tendCloud keeps catalog and machine list current while the term lasts.
+// pollCloud keeps the catalog and the machine list up to date until ctx, and with it the term,
+// ends.
 func (n *Node) pollCloud(ctx context.Context, t *term) {
 	const catalogEvery = time.Minute
 	every := time.Duration(n.settings.ListEveryS * float64(time.Second))
@@ -336,8 +337,8 @@
 	}
 }
 
-// learnCatalog takes the cloud's answer and keeps it for the other nodes, and
-// for times when the cloud does not answer.
+// updateCatalog takes the catalog from the cloud and records it if it changed, for the other nodes
+// and for times when the cloud does not respond.
 func (n *Node) updateCatalog(t *term, types []core.MachineType, raw []byte) {
 	if len(types) == 0 {
 		return
@@ -363,7 +364,7 @@
 	}, true)
 }
 
-// setCatalog takes the catalog that a leader has kept.
+// applyCatalogRecord takes the catalog that a leader has recorded.
 func (n *Node) applyCatalogRecord(raw []byte) {
 	types, err := wire.ParseCatalog(raw)
 	if err != nil {
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -15,22 +15,22 @@
 	"aspenstall/internal/wire"
 )
 
-// view is what this node knows of the records that every node watches.
+// view holds the records that every node watches, as far as this node has read them.
 type view struct {
 	ready    bool
-	revision uint64 // every change up to here is in
+	revision uint64 // every change up to this revision is included
 	jobs     map[string]core.JobRecord
 
 	leader          string // member name; "" for none
-	leaderRevision  uint64 // of its key, or of when that went
-	lastLeader      string // who wrote the latest key
-	lastLeaderToken uint64 // its version
+	leaderRevision  uint64 // of the leader's key, or of its deletion
+	lastLeader      string // member that wrote the latest leader's key
+	lastLeaderToken uint64 // the revision of that key
 	catalogRevision uint64
 }
 
-// watch keeps the view up to date.
+// watchRecords keeps the view up to date until ctx ends.
 func (n *Node) watchRecords(ctx context.Context) {
-	const maxWait = time.Second // silence beyond it shows that the service is not reached
+	const maxWait = time.Second // a watch that takes longer shows that the service is unreachable
 	pause := 100 * time.Millisecond
 	relist := true
 	var since uint64
@@ -64,8 +64,8 @@
 	}
 }
 
-// applyList takes over a whole list that was asked for at a time. Jobs are never
-// deleted, and the leader's key may have been: its absence in the list counts.
+// applyList applies a complete list of the watched records that was requested at requestedAt. Jobs
+// are never deleted. The leader's key may have been: its absence from the list counts.
 func (n *Node) applyList(entries []wire.Entry, rev uint64, requestedAt core.Micros) {
 	leaderListed, previous := false, n.view.revision
 	var changedJobs []string
@@ -92,15 +92,15 @@
 	n.wakeElector()
 }
 
-// heardState notes that the view holds all changes up to a revision, which the
-// state service had reached when it was asked, or later.
+// noteRead records that the view holds all changes up to rev. The state service had reached that
+// revision when the read was requested at requestedAt, or later.
 func (n *Node) noteRead(rev uint64, requestedAt core.Micros) {
 	n.view.revision = max(n.view.revision, rev)
 	n.currentAsOf = max(n.currentAsOf, requestedAt)
 	n.lastStateResponse = time.Now()
 }
 
-// apply takes over changes that were asked for at a time.
+// applyChanges applies changes that were requested at requestedAt.
 func (n *Node) applyChanges(ch *wire.Changes, requestedAt core.Micros) {
 	previous := n.view.revision
 	var changedJobs []string
@@ -127,8 +127,8 @@
 	n.feedOutbox(changedJobs, previous, ch.Revision)
 }
 
-// applyPut takes over one record unless a newer one is known: two reads may
-// overlap and come in either order.
+// applyPut applies one record unless a newer version is known: two reads may overlap and arrive in
+// either order.
 func (n *Node) applyPut(key string, value []byte, revision uint64) {
 	switch {
 	case key == leaderKey:
@@ -145,8 +145,8 @@
 		if revision > n.view.catalogRevision {
 			n.view.catalogRevision = revision
 			var rec wire.CatalogRecord
-			// A leader has its own, with today's prices. The others need it to tell what can
-			// run: what the leader accepts must not be refused elsewhere.
+			// A leader has its own catalog, with current prices. The other nodes need the record
+			// to judge which jobs can run: they must not refuse what the leader accepts.
 			if err := wire.Unmarshal(value, &rec); err == nil && (n.term == nil || n.catalog == nil) {
 				n.applyCatalogRecord(rec.Raw)
 			}
@@ -165,15 +165,15 @@
 	case clusterconfig.IsRecord(key):
 		n.putConfig(key, value, revision)
 	case strings.HasPrefix(key, registry.Prefix):
-		// Of two reads that overlap, the later may hold what the earlier had, and
-		// what is gone since must not come back.
+		// Of two overlapping reads, the later one to arrive may hold records that the other one
+		// showed as deleted. These must not come back.
 		if revision > n.view.revision {
 			n.nomad.putRecord(n, key, value, revision)
 		}
 	}
 }
 
-// learnJob notes a job's record, read or written by this node.
+// applyJob applies a job's record that this node has read or written.
 func (n *Node) applyJob(rec core.JobRecord) {
 	id := rec.Spec.ID
 	if old, ok := n.view.jobs[id]; ok && old.Revision >= rec.Revision {
@@ -202,14 +202,15 @@
 	n.wakeElector()
 }
 
-// heardLeader takes word of a leader's key, read or told by a peer.
+// noteLeader takes the content of a leader's key, read from the state service or reported by a
+// peer.
 func (n *Node) noteLeader(name string, token uint64) {
 	switch t := n.term; {
 	case t == nil || token <= t.token:
 	case name != n.platform.Member:
-		t.deposed = true // also where its own lease can neither be renewed nor be seen to end
+		t.deposed = true // even if its own lease can neither be renewed nor be seen to end
 	case token == n.view.lastLeaderToken:
-		// A rewrite of our own whose answer was lost.
+		// This node rewrote its key and the response was lost.
 		t.tokenRaised(token)
 	}
 }
@@ -221,12 +222,13 @@
 	}
 }
 
-// readLinearizable calls f once the view is known to hold every change made before
-// this call (a linearizable read), or with false if that could not be found out. One read of the
-// changes, begun after the call, serves everybody who waits at that moment. A
-// long watch would prove nothing: it is silent while other keys change. Between two
-// reads there is a pause, so that all nodes together leave half of the service's
-// requests to what is written, however many users ask.
+// readLinearizable calls f with true once the view is known to hold every change made before this
+// call (a linearizable read), or with false if that could not be found out.
+//
+// One read of the changes, begun after the call, serves all callers that wait at that moment. A
+// long watch would prove nothing: it does not return while other keys change. Between two reads
+// there is a pause of readInterval, so that all nodes together leave half of the service's
+// requests to writes, however many users ask.
 func (n *Node) readLinearizable(f func(ok bool)) {
 	if len(n.readWaiters) >= 2000 || n.stateUnreachable() {
 		f(false)
