--- a/internal/node/cancelled.go
+++ b/internal/node/cancellations.go
@@ -8,17 +8,17 @@
 	"aspenstall/internal/peer"
 )
 
-// cancelled holds the latest cancellations that this node knows of, from the state
-// service, from a write of its own or from a peer: whoever answers workers without
-// reading the state service learns from its peers what to stop. The zero value knows
-// of none.
+// cancellationLog holds the latest cancellations that this node knows of, from the state service,
+// from its own writes or from a peer. A node that answers workers without reading the state
+// service learns from its peers which tasks to stop. The zero value is empty.
 type cancellationLog struct {
-	entries       []peer.Cancellation // by stamp
-	revisions     map[string]uint64   // the stamps of those in list
-	completeAfter uint64              // what has a higher stamp is in list, what has not may be gone
+	entries       []peer.Cancellation // in order of revision
+	revisions     map[string]uint64   // by job, of all entries
+	completeAfter uint64              // entries holds every known cancellation with a higher revision; older ones may have been dropped
 }
 
-// Bounds: what is kept, some minutes of a flood, and what one reply holds.
+// maxCancellationsKept covers some minutes of a flood of cancellations. maxCancellationsPerReply
+// bounds the size of a reply to a peer.
 const (
 	maxCancellationsKept     = 4096
 	maxCancellationsPerReply = 1000
@@ -31,7 +31,7 @@
 	if c.revisions == nil {
 		c.revisions = map[string]uint64{}
 	}
-	i := len(c.entries) // most come in their order
+	i := len(c.entries) // most arrive in order
 	for i > 0 && c.entries[i-1].Revision > k.Revision {
 		i--
 	}
@@ -44,7 +44,8 @@
 	}
 }
 
-// since lists what has a higher stamp; false if that is not all there is.
+// since returns the cancellations with a higher revision, at most maxCancellationsPerReply, and
+// whether these are all that this node knows of.
 func (c *cancellationLog) since(revision uint64) ([]peer.Cancellation, bool) {
 	i := len(c.entries)
 	for i > 0 && c.entries[i-1].Revision > revision {
@@ -54,13 +55,13 @@
 	return slices.Clone(out[:min(len(out), maxCancellationsPerReply)]), revision >= c.completeAfter && len(out) <= maxCancellationsPerReply
 }
 
-// learnCancelled takes a cancellation that a peer knows of. The view stays as it was
-// read: revisions in between are not known yet.
+// applyPeerCancellation applies a cancellation that a peer reported. The view does not change:
+// other changes up to that revision are not known yet.
 func (n *Node) applyPeerCancellation(k peer.Cancellation) {
 	if _, known := n.cancellations.revisions[k.Job]; known {
 		return
 	}
-	n.cancellations.add(k) // also of a job that this node has not heard of: a worker may have its tasks
+	n.cancellations.add(k) // even if this node does not know the job: a worker may have tasks of it
 	if rec, known := n.view.jobs[k.Job]; known && rec.Phase == core.Pending {
 		n.log.Info("cancelled, by a peer's word", "job", k.Job, "revision", k.Revision)
 		n.core.UpdateJob(n.now(), wallClock(), rec.Final(core.Cancelled, core.Micros(k.At)))
--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -15,27 +15,27 @@
 	"aspenstall/internal/wire"
 )
 
-// clusterConfig is the configuration that operators change while the cluster serves, as this
-// node follows it. What it decides by that is bounded in time: docs/design/configuration.md.
+// clusterConfig is the configuration that operators change while the cluster serves, as this node
+// follows it. Decisions by it are bounded in time: see docs/design/configuration.md.
 type clusterConfig struct {
 	base            clusterconfig.Base
 	peers           []string // the other controllers
 	follower        *clusterconfig.Follower
 	effective       clusterconfig.Effective
-	effectiveShared atomic.Pointer[clusterconfig.Effective] // the same, for other goroutines
-	headRevision    atomic.Uint64                           // of the head acted by, for answers that are about to be written
-	freshUntil      atomic.Int64                            // micros: tasks may be started on what was read until then
+	effectiveShared atomic.Pointer[clusterconfig.Effective] // copy of effective for other goroutines
+	headRevision    atomic.Uint64                           // of the head record in effect, checked before a response is written
+	freshUntil      atomic.Int64                            // in Micros of now: tasks may be started by the last read until then
 
 	ackLease     uint64            // 0: none
-	lastAck      clusterconfig.Ack // last
-	knownWritten bool              // it has said for good that it knows configuration
+	lastAck      clusterconfig.Ack // the last acknowledgement that was written
+	knownWritten bool              // the permanent record that this node supports the configuration has been written
 	ackInFlight  bool
-	ackNotBefore core.Micros // not before this
+	ackNotBefore core.Micros // no acknowledgement is written before this time
 	renewAckAt   core.Micros
 }
 
-// A controller says which version it acts by under a lease: one that ends, or is replaced by
-// an earlier version of the program, is missed soon.
+// A controller acknowledges the version in effect under a lease. The acknowledgement expires soon
+// after a controller ends or is replaced by an older version of the program.
 const (
 	ackTTL           = 6 * time.Second
 	ackRenewInterval = 2 * core.Second
@@ -58,7 +58,7 @@
 	c.effectiveShared.Store(&e)
 }
 
-// priorityCap is the highest priority that a team may ask for; for any goroutine.
+// priorityCap returns the highest priority that a team may ask for. Any goroutine may call it.
 func (n *Node) priorityCap(team string) core.Priority {
 	if t, ok := n.clusterConfig.effectiveShared.Load().Teams[team]; ok {
 		return t.Cap
@@ -66,7 +66,7 @@
 	return core.Production
 }
 
-// putConfig takes a record of the configuration, read at a revision.
+// putConfig applies a record of the configuration, read at a revision.
 func (n *Node) putConfig(key string, value []byte, revision uint64) {
 	if key == clusterconfig.HeadKey {
 		h, err := wire.DecodeConfigHead(value)
@@ -76,24 +76,24 @@
 	p, err := wire.DecodeConfigPage(value)
 	if err != nil {
 		n.log.Error("configuration", "record", key, "err", err)
-		return // the head that names it is not acted by
+		return // a head that names this page does not take effect
 	}
 	n.clusterConfig.follower.Page(key, p, revision)
 }
 
-// dropConfig takes that a record of the configuration is gone since a revision.
+// dropConfig applies the deletion of a record of the configuration at a revision.
 func (n *Node) dropConfig(key string, revision uint64) {
-	if key != clusterconfig.HeadKey { // which is never dropped
+	if key != clusterconfig.HeadKey { // the head is never deleted
 		n.clusterConfig.follower.Drop(key, revision)
 	}
 }
 
-// resolveConfig acts by the latest version that has been read.
+// resolveConfig puts the latest version that has been read completely into effect.
 func (n *Node) resolveConfig() {
 	c := &n.clusterConfig
 	changed, err := c.follower.Resolve()
 	if err != nil {
-		n.log.Error("configuration is not acted by: nothing is placed, taken or refused by it until then", "err", err)
+		n.log.Error("the configuration can't take effect; until it does, no task is placed and no job is accepted or refused by it", "err", err)
 		if t := n.term; t != nil && errors.Is(err, clusterconfig.ErrNewer) {
 			n.resign("the configuration can't be read")
 		}
@@ -108,17 +108,17 @@
 	c.freshUntil.Store(int64(c.follower.FreshUntil(n.currentAsOf)))
 }
 
-// mayDecide reports whether this node knows the configuration in force well enough to place
-// tasks and to refuse jobs by it.
+// mayDecide reports whether this node has read the configuration recently enough to place tasks
+// and to refuse jobs by it.
 func (n *Node) mayDecide() bool { return n.clusterConfig.follower.MayDecide(n.now(), n.currentAsOf) }
 
-// mayStart reports whether commands that start tasks may go out: asked right before they do,
-// by any goroutine.
+// mayStartTasks reports whether commands that start tasks may be sent. Any goroutine may call it,
+// right before it sends them.
 func (n *Node) mayStartTasks() bool {
 	return n.leaseValid() && n.now() < core.Micros(n.clusterConfig.freshUntil.Load())
 }
 
-// maySend is what is asked right before commands go out.
+// sendCheck returns the check to make right before the commands are sent.
 func (n *Node) sendCheck(cmds []core.Command) func() bool {
 	if core.HasStart(cmds) {
 		return n.mayStartTasks
@@ -126,8 +126,8 @@
 	return n.leaseValid
 }
 
-// configConds are the conditions of a write that accepts a job: that the configuration by
-// which it was judged is in force.
+// configConditions returns the conditions of a write that accepts a job: the configuration by
+// which the job was checked is still in force.
 func (n *Node) configConditions() []wire.Cond {
 	if _, revision := n.clusterConfig.follower.Acted(); revision > 0 {
 		return []wire.Cond{{Key: clusterconfig.HeadKey, Version: revision}}
@@ -135,13 +135,15 @@
 	return nil
 }
 
-// sameConfig reports whether the version acted by is still the one of a stamp.
+// configUnchanged reports whether the configuration in effect is still the one of the given
+// revision.
 func (n *Node) configUnchanged(revision uint64) bool {
 	return n.clusterConfig.headRevision.Load() == revision
 }
 
-// acknowledge says which version this node acts by, if that differs from what it has said:
-// looked at on every tick and after every change.
+// acknowledgeConfig acknowledges the version in effect if that differs from the last
+// acknowledgement, and renews the lease of the acknowledgement. It is called on every tick and
+// after every change.
 func (n *Node) acknowledgeConfig() {
 	c := &n.clusterConfig
 	if !c.follower.Enabled() || c.ackInFlight || n.now() < c.ackNotBefore {
@@ -150,7 +152,7 @@
 	version, revision := c.follower.Acted()
 	ack := clusterconfig.Ack{Format: clusterconfig.Format, Stamp: revision, Number: version, Peers: c.peers, Earlier: n.olderVersionPeers()}
 	if !c.follower.Current() {
-		ack.Error = "it can't act by the latest version"
+		ack.Error = "it can't put the latest version into effect"
 	}
 	switch {
 	case c.ackLease == 0 || !reflect.DeepEqual(ack, c.lastAck):
@@ -160,10 +162,11 @@
 	}
 }
 
-// earlierFor is how long a peer's word counts: one that is silent for longer may be down.
+// olderVersionTTL is how long a peer's last status counts. A peer that sends nothing for longer
+// may be down.
 const olderVersionTTL = 10 * time.Second
 
-// earlierPeers are those whose last word was one of an earlier version of the program.
+// olderVersionPeers returns the peers whose last status came from an older version of the program.
 func (n *Node) olderVersionPeers() []string {
 	var names []string
 	for _, p := range n.platform.Peers {
@@ -174,7 +177,7 @@
 	return names
 }
 
-// writeAck writes an acknowledgement, within what users leave of the budget.
+// writeAck writes an acknowledgement if the write budget has room beside the users' writes.
 func (n *Node) writeAck(ack clusterconfig.Ack) {
 	if !n.stateClient.HasPriorityBudget(1) {
 		return
@@ -206,13 +209,13 @@
 			if err != nil {
 				n.log.Debug("acknowledging the configuration", "err", err)
 				if errors.Is(err, statestore.ErrInvalid) {
-					c.ackLease = 0 // it is over
+					c.ackLease = 0 // the lease has expired
 				}
 				return
 			}
 			c.ackLease, c.lastAck, c.knownWritten, c.ackNotBefore = lease, ack, true, 0
 			c.renewAckAt = n.now() + ackRenewInterval
-			n.acknowledgeConfig() // of what came meanwhile
+			n.acknowledgeConfig() // the version may have changed meanwhile
 		})
 	}()
 }
@@ -228,13 +231,13 @@
 			if errors.Is(err, statestore.ErrNotFound) {
 				c.ackLease = 0
 			}
-			n.acknowledgeConfig() // of what came meanwhile
+			n.acknowledgeConfig() // the version may have changed meanwhile
 		})
 	}()
 }
 
-// noticeVersion says once of each process that it acts by its files alone: one of an earlier
-// version of the program that is back.
+// checkPeerVersion logs, once per incarnation of a peer, that the peer applies only its files and
+// not the configuration: an older version of the program is running again.
 func (n *Node) checkPeerVersion(state *peerState, s *peer.Status) {
 	state.olderVersion = s.ConfigFormat < clusterconfig.Format
 	if !state.olderVersion || !n.clusterConfig.follower.Enabled() || state.noConfigIncarnation == s.Incarnation {
@@ -242,5 +245,5 @@
 	}
 	state.noConfigIncarnation = s.Incarnation
 	n.acknowledgeConfig()
-	n.log.Warn("a controller does not act by the configuration: what is in force there is its platform file", "peer", s.Node, "leads", s.Token != 0)
+	n.log.Warn("a controller does not support the configuration; its platform file is in force there", "peer", s.Node, "leads", s.Token != 0)
 }
--- a/internal/node/served.go
+++ b/internal/node/jobstats.go
@@ -7,11 +7,11 @@
 	"aspenstall/internal/core"
 )
 
-// tellServed is how often the leader says in its log what became of the jobs, by
-// team and class.
+// jobStatsInterval is how often the leader logs statistics of the jobs, by team and class.
 const jobStatsInterval = time.Minute
 
-// logServed does so. It is also asked for when the process is told to end.
+// logJobStats logs statistics of the jobs if this node leads. It is also called when the process
+// ends.
 func (n *Node) logJobStats() {
 	if n.term == nil {
 		return
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -12,34 +12,36 @@
 	"aspenstall/internal/wait"
 )
 
-// Peers tell each other their status: the leader every tellEvery, others only
-// while they do not reach the state service, to learn whether it is only them.
+// Controllers exchange their status: the leader sends its own every statusInterval. Other nodes
+// send theirs only while they do not reach the state service, to learn whether their peers reach
+// it.
 const (
 	statusInterval = time.Second
-	// stateGrace is how long the state service may be unheard before a node
-	// says that it does not reach it.
+	// stateTimeout is how long the state service may be without a response before a node reports
+	// that it does not reach it.
 	stateTimeout = 2 * time.Second
-	// aloneAfter is how long this node must have been without the state service
-	// before a peer that reaches it counts: in an outage of all, the nodes
-	// notice one after the other. No answer of a service that is only slow takes as
-	// long, so from then on users are refused at once.
+	// stateLostAfter is how long this node must have been without the state service before a peer
+	// that reaches it counts: in an outage that affects all nodes, they notice one after the
+	// other. A response of a slow service never takes that long, so from then on users are refused
+	// at once.
 	stateLostAfter = 4 * time.Second
 )
 
-// peerState is what a peer said last.
+// peerState is what this node knows of one peer, from the peer's last messages.
 type peerState struct {
 	lastStatus time.Time
 	stateOK    bool
-	replyNonce uint64 // of its last reply to this node as the leader
+	replyNonce uint64 // of the peer's last reply to this node as the leader
 	lastReply  core.Micros
-	// agreed: asked then, it told every cancellation that users can have from it.
+	// cancellationsAsOf is when the last request was sent whose reply held every cancellation that
+	// users can have been told of by the peer.
 	cancellationsAsOf   core.Micros
-	delegate            core.Delegate // what it may have answered in this node's place
-	olderVersion        bool          // its last word was one of an earlier version of the program
-	noConfigIncarnation uint64        // life of its process that is known not to act by the configuration
+	delegate            core.Delegate // what the peer may have answered under delegation by this node
+	olderVersion        bool          // its last status came from an older version of the program
+	noConfigIncarnation uint64        // incarnation of the peer that was found not to apply the configuration
 }
 
-// tellPeers exchanges status with one peer until ctx ends.
+// exchangeStatuses exchanges status with one peer until ctx ends.
 func (n *Node) exchangeStatuses(ctx context.Context, member string) {
 	c := n.peerClients[member]
 	if c == nil {
@@ -54,7 +56,7 @@
 		s, ok := call(ctx, n, func(reply func(*peer.Status)) {
 			s := n.status()
 			if s.Token == 0 && s.StateOK {
-				reply(nil) // nothing to say
+				reply(nil) // nothing to report
 				return
 			}
 			if s.Token != sentToken {
@@ -78,14 +80,14 @@
 		reply, err := c.ExchangeStatus(ctx, s)
 		if err != nil {
 			n.log.Debug("peer", "peer", member, "err", err)
-			clear(sent) // it may have missed these
+			clear(sent) // the peer may have missed these
 			continue
 		}
 		n.post(func() { n.handleStatusReply(member, s, reply, sentAt) })
 	}
 }
 
-// replied takes a peer's reply to the status that it was told.
+// handleStatusReply takes a peer's reply to the status that was sent at sentAt.
 func (n *Node) handleStatusReply(member string, sent, reply *peer.Status, sentAt core.Micros) {
 	state := n.peers[member]
 	if t := n.term; t != nil && sent.Token == t.token {
@@ -101,7 +103,8 @@
 	n.applyPeerStatus(reply)
 }
 
-// changedCounts lists the jobs whose counts differ from what was sent.
+// changedCounts lists at most 500 jobs whose counts differ from those in sent, and adds them to
+// sent.
 func (n *Node) changedCounts(sent map[string]peer.Counts) []peer.Counts {
 	const maxJobs = 500
 	var out []peer.Counts
@@ -121,7 +124,7 @@
 	return out
 }
 
-// status is what this node says of itself.
+// status returns the status of this node.
 func (n *Node) status() *peer.Status {
 	s := &peer.Status{
 		Node: n.platform.Member, StateOK: n.stateOK(), WorkersReporting: n.lastReport > 0 && n.now()-n.lastReport < 3*core.Second,
@@ -145,16 +148,16 @@
 
 func (n *Node) stateOK() bool { return time.Since(n.lastStateResponse) < stateTimeout }
 
-// Told answers a peer's status.
+// ExchangeStatus takes a peer's status and returns the status of this node.
 func (n *Node) ExchangeStatus(ctx context.Context, s *peer.Status) (*peer.Status, error) {
 	out, ok := call(ctx, n, func(reply func(*peer.Status)) {
 		n.applyPeerStatus(s)
 		out := n.status()
-		if s.Revision > 0 && n.view.ready { // else what its former process told is not known
+		if s.Revision > 0 && n.view.ready { // else it is not known what the previous process of this node told users
 			out.Cancellations, out.CancellationsComplete = n.cancellations.since(s.Revision)
 		}
 		if s.Token != 0 {
-			// The leader: it names the last reply that it has, and has this one.
+			// The sender leads. It names the last reply that it received, and receives this one.
 			n.delegation.Accept(s.Token, s.EchoedNonce, n.delegationTTL)
 			out.Nonce = rand.Uint64()
 			n.delegation.NoteReply(n.now(), out.Nonce)
@@ -170,7 +173,7 @@
 func (n *Node) applyPeerStatus(s *peer.Status) {
 	state := n.peers[s.Node]
 	if state == nil {
-		return // not one of ours
+		return // not a peer of the settings
 	}
 	state.lastStatus, state.stateOK = time.Now(), s.StateOK
 	state.delegate.NoteMessage(n.now())
@@ -183,7 +186,7 @@
 			}
 		}
 	}
-	n.noteLeader(s.Node, s.Token) // all that a peer of an earlier version says
+	n.noteLeader(s.Node, s.Token) // peers of an older version report only this
 	n.noteLeader(s.Leader, s.LeaderToken)
 	if t := n.term; t != nil && core.ShouldResign(n.now(), t.begunAt, n.lastReport, core.Seconds(n.platform.Params.Workers.ReportS), s.WorkersReporting, n.core.TokenAcknowledged()) {
 		n.resign("workers reach a peer and not this node: " + s.Node)
@@ -191,15 +194,16 @@
 	n.updateHealth()
 }
 
-// abstainFor is how long a node that resigned leaves the leadership to others,
-// unless workers reach it again before.
+// abstainDuration is how long a node that resigned leaves the leadership to others, unless workers
+// reach it again earlier.
 const abstainDuration = 30 * core.Second
 
-// judgeHealth decides whether users should come here. During an outage of the
-// state service no node is better than another, and sending users away would
-// only make them wait longer afterwards; but if a peer is served and this node
-// is not, they are better off there. So they are if this node hears no peer
-// either: it is cut off, and who stays with it is refused all the time.
+// updateHealth decides whether this node reports itself as healthy, which is where users go.
+//
+// During an outage of the state service no node is better than another, and refusing users would
+// only make them wait longer afterwards. But if a peer reaches the service and this node does not,
+// users are better off at the peer. They are also better off elsewhere if this node hears no peer
+// either: it is partitioned, and all users that stay with it are refused.
 func (n *Node) updateHealth() {
 	ok := n.view.ready
 	if ok && n.stateUnreachable() {
@@ -217,14 +221,14 @@
 	}
 }
 
-// unreached reports whether the state service has not been heard for so long that
-// nothing that needs it is worth beginning: whoever asks is refused at once, and the
-// watch tells when that changes.
+// stateUnreachable reports whether the state service has not responded for so long that no
+// operation that needs it is worth starting. Requests are then refused at once. The watch shows
+// when the service is reachable again.
 func (n *Node) stateUnreachable() bool {
 	return n.view.ready && time.Since(n.lastStateResponse) > stateLostAfter
 }
 
-// served reports whether a peer says that it reaches the state service.
+// peerReachesState reports whether a peer recently reported that it reaches the state service.
 func (n *Node) peerReachesState() bool {
 	for _, p := range n.peers {
 		if p.stateOK && time.Since(p.lastStatus) < stateTimeout {
@@ -234,9 +238,9 @@
 	return false
 }
 
-// informed is up to when this node knows of every cancellation that a user can
-// have been told of: it has read the state service since, or every peer, asked
-// then, told it all that it knew of.
+// informedUntil returns the time up to which this node knows every cancellation that a user can
+// have been told of: it has read the state service since, or it has asked every peer since and
+// each sent all cancellations that it knew.
 func (n *Node) informedUntil() core.Micros {
 	confirmed := core.MaxMicros
 	for _, p := range n.peers {
@@ -248,9 +252,9 @@
 	return max(n.currentAsOf, confirmed)
 }
 
-// deputize gives the token under which this node may answer a worker in the
-// leader's place, 0 for none: it and the worker are of one zone and cut off
-// together from everything, and the leader has permitted it.
+// delegatedToken returns the token under which this node may answer a worker for the leader, or 0
+// if it may not. It may if it is in the worker's zone, the zone is partitioned from everything
+// else, and the leader has delegated this.
 func (n *Node) delegatedToken(r *core.Report) uint64 {
 	if n.term != nil || r.Zone != n.platform.Zone || n.stateOK() || n.peerReachesState() || !n.mayRenewWorkerLeases() {
 		return 0
@@ -258,12 +262,12 @@
 	return n.delegation.Token(n.now(), n.view.leaderRevision, r.Token)
 }
 
-// mayRenew reports whether a worker's lease may still be renewed without
-// knowledge of the cancellations that users are told of now.
+// mayRenewWorkerLeases reports whether workers' leases may still be renewed: renewals must stop
+// while this node can't know the cancellations that users are told of now.
 func (n *Node) mayRenewWorkerLeases() bool { return n.now() < n.informedUntil()+n.maxCancelStaleness }
 
-// stops lists what a worker that is answered in the leader's place, or after its
-// lease, is told all the same.
+// stopCommands returns the stop commands for tasks of cancelled jobs. A worker gets them also when
+// it is answered under delegation or after the leader's lease.
 func (n *Node) stopCommands(r *core.Report) []core.Command {
 	return core.StopCancelled(r.Tasks, n.isCancelled)
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -13,8 +13,8 @@
 	"aspenstall/internal/wire"
 )
 
-// answer runs f on the owning goroutine and waits for its answer; whoever
-// waits too long is told to come back.
+// awaitResponse runs f on the owning goroutine and waits for its response. If ctx ends first, the
+// client is told to retry.
 func (n *Node) awaitResponse(ctx context.Context, f func(reply func(httpapi.Response))) httpapi.Response {
 	a, ok := call(ctx, n, f)
 	if !ok {
@@ -23,7 +23,7 @@
 	return a
 }
 
-// state is the answer for a job that is known.
+// jobResponse returns the response for a job that is known.
 func (n *Node) jobResponse(rec core.JobRecord) httpapi.Response {
 	s := wire.JobState{ID: rec.Spec.ID, State: wire.PhaseName(rec.Phase)}
 	switch rec.Phase {
@@ -39,9 +39,9 @@
 	return httpapi.Response{Status: http.StatusOK, Body: &s}
 }
 
-// lookup answers with the job's record, or calls unknown if it is certain that
-// there is none. A final state is told from memory; anything else only once
-// the view is known to be current, since another node may have told more.
+// lookup replies with the state of the job, or calls notFound if it is certain that there is no
+// such job. A final state is served from memory. Any other state is served only once the view is
+// known to be current, since another node may have reported a later one.
 func (n *Node) lookup(id string, reply func(httpapi.Response), notFound func()) {
 	if rec, ok := n.view.jobs[id]; ok && rec.Phase != core.Pending {
 		reply(n.jobResponse(rec))
@@ -65,16 +65,17 @@
 	})
 }
 
-// toldWithin is how long after it was asked for an answer may be written that a later
-// one may differ from: a user does not wait longer, and asks elsewhere meanwhile.
+// maxResponseAge is how long after a request arrived its response may be written, if a later
+// response may differ. Users do not wait longer: they ask another node meanwhile.
 const maxResponseAge = 1500 * core.Millisecond
 
-// toldFrom reports whether what was asked for at a time may still be told.
+// freshSince returns a function that reports whether a response to a request received at
+// receivedAt may still be written.
 func (n *Node) freshSince(receivedAt core.Micros) func() bool {
 	return func() bool { return n.now() < receivedAt+maxResponseAge }
 }
 
-// Submit takes a submission.
+// Submit accepts or refuses a submission. spec is nil if the submission is malformed.
 func (n *Node) Submit(ctx context.Context, id string, spec *core.JobSpec) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.submit(id, spec, reply) })
 }
@@ -100,8 +101,9 @@
 	}
 }
 
-// refuseOrCreate refuses a submission that can't run by what has been read since it came:
-// the configuration may have changed. Nor is it told once that changes before it is written.
+// refuseOrCreate refuses a submission that can't run by the configuration read since it arrived:
+// the configuration may have changed since the first check. The refusal is not written either if
+// the configuration changes before that.
 func (n *Node) refuseOrCreate(spec *core.JobSpec, receivedAt core.Micros, reply func(httpapi.Response)) {
 	switch {
 	case !n.mayDecide():
@@ -139,14 +141,14 @@
 				rec.Revision = rev
 				n.applyJob(rec)
 				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.Accepted{ID: spec.ID, State: wire.StatePending},
-					Fresh: n.freshSince(n.now())}) // it may be cancelled by then, through another node
+					Fresh: n.freshSince(n.now())}) // it may be cancelled by then through another node
 			case errors.Is(err, statestore.ErrConflict):
 				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, configRevision, reply) })
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("submission refused by the state service", "job", spec.ID, "err", err)
 				reply(httpapi.Response{Status: http.StatusBadRequest})
 			default:
-				// Not executed, or not known: a retry finds out.
+				// Not executed, or the result is unknown. The client finds out with a retry.
 				reply(httpapi.Unavailable())
 			}
 		},
@@ -156,8 +158,8 @@
 	}
 }
 
-// judgeAgain submits a job that nobody knows once more if the configuration has changed since
-// it was judged: its write was on condition that it had not.
+// resubmitIfConfigChanged submits a job again that no node knows, if the configuration has changed
+// since configRevision. The write of the job was conditional on an unchanged configuration.
 func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, configRevision uint64, reply func(httpapi.Response)) {
 	if n.configUnchanged(configRevision) {
 		reply(httpapi.Unavailable())
@@ -166,7 +168,7 @@
 	n.submit(spec.ID, spec, reply)
 }
 
-// cannotRun says why a job could never run here, "" if it could.
+// infeasibleReason returns why a job could never run here, or "" if it could.
 func (n *Node) infeasibleReason(s *core.JobSpec) string {
 	team, known := n.clusterConfig.effective.Teams[s.Team]
 	if !known {
@@ -196,7 +198,7 @@
 	return "a task fits no machine type that is allowed"
 }
 
-// Poll answers a user's question about a job.
+// Poll returns the state of a job.
 func (n *Node) Poll(ctx context.Context, id string) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.poll(id, reply) })
 }
@@ -206,13 +208,13 @@
 	n.lookup(id, reply, func() { reply(n.unknownJobResponse(http.StatusNotFound, receivedAt)) })
 }
 
-// unknownAs is the answer for a job that was not known when it was asked for: by the time
-// it is written, another node may have accepted the job.
+// unknownJobResponse returns the response for a job that was unknown when the request was received
+// at receivedAt. It expires, since another node may accept the job before the response is written.
 func (n *Node) unknownJobResponse(status int, receivedAt core.Micros) httpapi.Response {
 	return httpapi.Response{Status: status, Fresh: n.freshSince(receivedAt)}
 }
 
-// Cancel cancels a job unless it is done.
+// Cancel cancels a job unless it is done, and returns its state.
 func (n *Node) Cancel(ctx context.Context, id string) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.cancel(id, 3, reply) })
 }
@@ -261,7 +263,7 @@
 				n.applyJob(rec)
 				reply(n.jobResponse(rec))
 			case errors.Is(err, statestore.ErrConflict) && attempts > 0:
-				// Done, or cancelled through another node: read what it is now.
+				// The job is done, or was cancelled through another node: read its current state.
 				n.readLinearizable(func(ok bool) {
 					if !ok {
 						reply(httpapi.Unavailable())
@@ -279,7 +281,7 @@
 	}
 }
 
-// Report answers a worker.
+// Report takes a worker's report and returns the commands for the worker.
 func (n *Node) Report(ctx context.Context, r *core.Report) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) {
 		n.lastReport, n.abstainUntil = n.now(), 0
@@ -292,7 +294,7 @@
 		}
 		if token := n.delegatedToken(r); token != 0 {
 			n.lastDelegatedAnswer = n.now()
-			n.respondToReport(reply, token, n.stopCommands(r), nil) // the worker counts its lease from its report
+			n.respondToReport(reply, token, n.stopCommands(r), nil) // the worker counts its lease from when it sent the report
 			return
 		}
 		if !n.isActiveLeader() {
