--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -17,32 +17,31 @@
 	"aspenstall/internal/wire"
 )
 
-// nomad is what a node keeps of jobs that came in as job files. Its fields
-// belong to the owning goroutine.
+// nomadState holds the jobs that were submitted as job files, and the queries that wait for
+// changes of them. Its fields belong to the owning goroutine.
 type nomadState struct {
 	registry    *registry.Registry
-	maxWaiters  int // waiters at once
+	maxWaiters  int // limit on concurrent waiters
 	waiterCount int
-	// waiters by what they wait for: a job, or with an empty ID all of a team.
+	// waiters by the job that they wait for; an empty ID stands for all jobs of a team
 	waiters map[registry.Name]map[*waiter]bool
-	// progress are waiters by native job whose counts they want.
+	// progressWaiters are waiters by the native job whose counts they wait for
 	progressWaiters map[string]map[*waiter]bool
-	// movedAt is when this node last learnt of new counts of an unfinished
-	// native job.
+	// countsChangedAt is when this node last learnt new counts, by unfinished native job
 	countsChangedAt map[string]core.Micros
 }
 
-// settle is how soon after a change of counts a query that waits for them is
-// answered at the latest. Counts are in no record, so they have no index, and a
-// change between two queries of a client would be missed: one that comes back
-// within this time is answered once more.
+// recentCountsWindow bounds the wait of a query that arrives shortly after a change of the counts
+// that it waits for: it is answered at the latest this long after the change. Counts are in no
+// record, so they have no index, and a change between two queries of a client would be missed. A
+// client that queries again within this time is therefore answered once more.
 const recentCountsWindow = 5 * core.Second
 
-// forgetWithin is how long a query whose client has gone waits for the owning
-// goroutine to forget it.
+// waiterCleanupTimeout is how long the removal of the waiter of a client that has gone may wait
+// for the owning goroutine.
 const waiterCleanupTimeout = 10 * time.Second
 
-// waiter is a query that waits for a change.
+// waiter is a blocking query that waits for a change.
 type waiter struct {
 	name      registry.Name
 	nativeIDs []string
@@ -62,7 +61,7 @@
 	}
 }
 
-// natives tells the registry of native jobs.
+// nativeJobs gives the registry access to the native jobs.
 type nativeJobs struct{ n *Node }
 
 func (j nativeJobs) Record(id string) (core.JobRecord, bool) {
@@ -72,7 +71,7 @@
 
 func (j nativeJobs) Counts(id string) (done, running int) { return j.n.jobCounts(id) }
 
-// progressOf is how far an unfinished job has come, as far as this node knows.
+// jobCounts returns the task counts of an unfinished job, as far as this node knows them.
 func (n *Node) jobCounts(id string) (done, running int) {
 	if done, running, ok := n.core.TaskCounts(id); ok {
 		return done, running
@@ -81,7 +80,7 @@
 	return k.Done, k.Running
 }
 
-// put takes over a record that was read or written.
+// putRecord applies a record that was read or written.
 func (s *nomadState) putRecord(n *Node, key string, value []byte, revision uint64) {
 	if s == nil {
 		return
@@ -101,7 +100,8 @@
 	}
 }
 
-// follow has the core say when counts of an unfinished native job change.
+// watchCounts has the core report changes of the counts of a native job while the job is
+// unfinished.
 func (s *nomadState) watchCounts(n *Node, id string) {
 	rec, ok := n.view.jobs[id]
 	j, _ := s.registry.ByNative(id)
@@ -121,7 +121,7 @@
 	}
 }
 
-// missing drops what a whole list of the records no longer holds.
+// dropMissing drops the records that a complete list no longer holds.
 func (s *nomadState) dropMissing(entries []wire.Entry, rev uint64) {
 	if s == nil {
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-// native notes that a native job's record changed.
+// nativeJobChanged notes that a native job's record changed.
 func (s *nomadState) nativeJobChanged(n *Node, rec *core.JobRecord) {
 	if s == nil {
 		return
@@ -146,7 +146,7 @@
 	}
 }
 
-// moved notes that a native job's counts changed.
+// countsChanged notes that a native job's counts changed.
 func (s *nomadState) countsChanged(n *Node, id string) {
 	if s == nil {
 		return
@@ -198,10 +198,9 @@
 	}
 }
 
-// Look runs see on the owning goroutine as the query says, and returns the
-// index that it saw, which is never lower than After. Nothing is polled: a
-// query that waits is woken by the change, which comes by the watch that the
-// node keeps anyway.
+// Look runs read on the owning goroutine when the query's condition holds, and returns the index
+// that read saw, which is never lower than q.After. Nothing is polled: a waiting query is woken by
+// the change, which arrives by the watch that the node has anyway.
 func (n *Node) Look(ctx context.Context, q httpapi.Query, read func(*registry.Registry)) (uint64, error) {
 	type outcome struct {
 		index uint64
@@ -269,7 +268,7 @@
 					return
 				}
 				woken = true
-				// Behind the change that is being taken over.
+				// Runs after the change that is being applied.
 				go post(func() {
 					if w != nil {
 						finish()
@@ -306,7 +305,7 @@
 				return 0, httpapi.ErrUnavailable
 			}
 		case <-ctx.Done():
-			// The client is gone: nothing is left behind, unless this node ends.
+			// The client has gone. Remove its waiter, unless this node ends.
 			go func() {
 				ctx, cancel := context.WithTimeout(context.Background(), waiterCleanupTimeout)
 				defer cancel()
@@ -323,13 +322,13 @@
 	}
 }
 
-// Waiting says how many queries wait.
+// BlockingQueries returns how many queries wait.
 func (n *Node) BlockingQueries(ctx context.Context) int {
 	k, _ := call(ctx, n, func(reply func(int)) { reply(n.nomad.waiterCount) })
 	return k
 }
 
-// Terms are what job files are held to for a team.
+// Terms returns the rules for the job files of a team.
 func (n *Node) Terms(team string) translate.Terms {
 	s := n.settings.Nomad
 	return translate.Terms{
@@ -337,14 +336,14 @@
 	}
 }
 
-// result is an answer or an error, to cross goroutines.
+// valueOrError carries a value or an error between goroutines.
 type valueOrError[T any] struct {
 	value T
 	err   error
 }
 
-// ask runs f on the owning goroutine and waits for what it replies; late is the
-// error if that does not come before ctx ends.
+// callWithError runs f on the owning goroutine and waits for its reply. If ctx ends first, it
+// returns the error timeout.
 func callWithError[T any](ctx context.Context, n *Node, timeout error, f func(reply func(T, error))) (T, error) {
 	r, ok := call(ctx, n, func(reply func(valueOrError[T])) {
 		f(func(v T, err error) { reply(valueOrError[T]{v, err}) })
@@ -355,17 +354,17 @@
 	return r.value, r.err
 }
 
-// maxTries is how often a change is worked out anew when another one came
-// between.
+// maxChangeAttempts limits the attempts of one change. It is computed again if another change was
+// written in between.
 const maxChangeAttempts = 4
 
-// Register takes a job file's job. It is done once it is written: the job, its
-// version, and the native job of each group, in one transaction.
+// Register registers a job of a job file. It returns once the job, its version and the native job
+// of each group are written, in one transaction.
 func (n *Node) Register(ctx context.Context, reg registry.Registration) (httpapi.Registered, error) {
 	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
 		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
 			if len(n.catalog) == 0 || !n.mayDecide() {
-				return nil, httpapi.ErrUnavailable // what could run is not known
+				return nil, httpapi.ErrUnavailable // it is not known which jobs could run
 			}
 			for i := range reg.Groups {
 				if why := n.infeasibleReason(&reg.Groups[i].Spec); why != "" {
@@ -377,7 +376,8 @@
 	})
 }
 
-// Plan says what a registration would change.
+// Plan returns what a registration would change, and a copy of the current job, nil if there is
+// none.
 func (n *Node) Plan(ctx context.Context, reg registry.Registration) (*registry.Change, *registry.Job, error) {
 	type planned struct {
 		ch  *registry.Change
@@ -401,7 +401,7 @@
 	return p.ch, p.old, err
 }
 
-// Deregister stops a job, or purges it.
+// Deregister stops a job, or removes it if purge is set.
 func (n *Node) Deregister(ctx context.Context, name registry.Name, purge bool) (httpapi.Registered, error) {
 	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
 		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
@@ -414,7 +414,7 @@
 	})
 }
 
-// changeJob works out a change of what is known now and writes it.
+// changeJob computes a change from the current state and writes it.
 func (n *Node) changeJob(attempts int, reply func(httpapi.Registered, error), plan func() (*registry.Change, error), name registry.Name) {
 	n.readLinearizable(func(ok bool) {
 		if !ok {
@@ -457,7 +457,8 @@
 	})
 }
 
-// registered is how a job stands; one that was just purged is not there.
+// registeredState returns the state of a job after a change; a job that was just purged has no
+// state.
 func (n *Node) registeredState(name registry.Name, rev uint64) httpapi.Registered {
 	j := n.nomad.registry.Get(name)
 	if j == nil {
@@ -470,7 +471,8 @@
 	return out
 }
 
-// itemOf makes a transaction of a change, and what to learn once it is written.
+// changeRequest returns the write of a change, and a function that applies the change once it is
+// written.
 func (n *Node) changeRequest(ch *registry.Change) (req *writeRequest, learn func(rev uint64), err error) {
 	req = &writeRequest{conds: ch.Conds, ops: ch.Puts}
 	if len(ch.Start) > 0 {
@@ -501,7 +503,7 @@
 			n.applyJob(rec)
 		}
 		if rev <= n.view.revision {
-			return // the watch was faster, and may have brought what came after
+			return // the watch was faster, and may have delivered later changes
 		}
 		for _, w := range ch.Puts {
 			if w.Put != "" {
@@ -513,7 +515,7 @@
 	}, nil
 }
 
-// newID makes an id of a native job that nobody can have chosen before.
+// newNativeID returns a random id of a native job that no client can have chosen before.
 func newNativeID() string {
 	i, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 128))
 	if err != nil {
@@ -522,7 +524,7 @@
 	return fmt.Sprintf("job-%039d", i)
 }
 
-// Show asks the leader where tasks and machines are.
+// Views returns the tasks and machines that are asked for, if this node leads.
 func (n *Node) Views(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
 	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(*peer.ViewResponse, error)) {
 		if n.term == nil || !n.leaseValid() {
@@ -548,7 +550,7 @@
 	})
 }
 
-// ShowAll answers a question to the leader, on whatever node.
+// ShowAll asks the leader for tasks and machines. It works on any node.
 func (n *Node) ShowAll(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
 	c, here := n.leaderClient(ctx)
 	switch {
@@ -564,14 +566,14 @@
 	return s, nil
 }
 
-// leaderClient is the way to the leader: here if it is this node, else a client,
-// nil if nobody is known to lead.
+// leaderClient returns a client of the leader, or here if this node leads. c is nil if no leader
+// is known.
 func (n *Node) leaderClient(ctx context.Context) (c *peer.Client, here bool) {
 	leader, _ := call(ctx, n, func(reply func(string)) { reply(n.view.leader) })
 	return n.peerClients[leader], leader == n.platform.Member
 }
 
-// Members lists the controllers.
+// Members returns the controllers and which of them leads.
 func (n *Node) Members(ctx context.Context) httpapi.Members {
 	leader, _ := call(ctx, n, func(reply func(string)) { reply(n.view.leader) })
 	m := httpapi.Members{Self: n.platform.Member, Zone: n.platform.Zone, All: []string{n.platform.ClusterListen}}
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -21,20 +21,19 @@
 	"aspenstall/internal/wire"
 )
 
-// Keys of the outbox. Only a leader reads them, as its term begins.
+// Keys of the outbox. Only a leader reads them, when its term begins.
 const (
 	outboxPrefix     = "o/"
-	marksKey         = outboxPrefix + "marks" // by subscription
-	chunkPrefix      = outboxPrefix + "set/"  // and the subscription, and the chunk
-	deadLetterPrefix = outboxPrefix + "dead/" // and the subscription, the job and the kind
+	marksKey         = outboxPrefix + "marks" // value: revisions by subscription
+	chunkPrefix      = outboxPrefix + "set/"  // followed by the subscription and the chunk
+	deadLetterPrefix = outboxPrefix + "dead/" // followed by the subscription, the job and the kind of event
 )
 
-// notifier is what a node has for notifications. box belongs to the owning
-// goroutine, and is there only while this node leads and has read what is
-// settled.
+// notifier holds the notifications of a node. outbox belongs to the owning goroutine. It is set
+// only while this node leads and has read the outbox's records.
 type notifier struct {
-	subscriptions []string                   // of the subscriptions
-	senders       map[string]*deliver.Sender // by subscription; those of one receiver share one
+	subscriptions []string                   // their names
+	senders       map[string]*deliver.Sender // by subscription; subscriptions of one receiver share a sender
 	outbox        *notify.Outbox
 }
 
@@ -55,11 +54,11 @@
 	return v
 }
 
-// outboxConfig is the outbox's configuration.
+// outboxConfig returns the outbox's configuration.
 func (n *Node) outboxConfig() notify.Config {
 	c := notify.Config{
 		Begin: n.now(), Subs: n.settings.Notify.Subs, Window: 1000, SaveGap: 5 * core.Second, ChunkGap: 15 * core.Second,
-		// The rest of the transaction is for what jobs wait for.
+		// The rest of the transaction is left to writes that jobs wait for.
 		ChunksPerSave: max(n.platform.Params.State.TxnOps/2, 2),
 		FirstRetry:    core.Second, LastRetry: 120 * core.Second,
 	}
@@ -69,8 +68,8 @@
 	return c
 }
 
-// beginOutbox reads what is settled and begins to deliver. A subscription that is
-// new begins now, and that is written before anything else.
+// startOutbox reads the outbox's records and starts delivery. It retries until ctx ends. A new
+// subscription begins at the current revision, which is recorded before anything is delivered.
 func (n *Node) startOutbox(ctx context.Context, t *term) {
 	for ctx.Err() == nil {
 		err := n.tryStartOutbox(ctx, t)
@@ -84,9 +83,9 @@
 
 func (n *Node) tryStartOutbox(ctx context.Context, t *term) error {
 	if !n.refreshView(ctx) {
-		return errors.New("the view is not up to date")
+		return errors.New("the view could not be brought up to date")
 	}
-	// What is written after this reading is in the view by then.
+	// Everything written after this revision reaches the outbox through the view.
 	type readPoint struct{ since, token uint64 }
 	start, ok := call(ctx, n, func(reply func(readPoint)) { reply(readPoint{n.view.revision, t.token}) })
 	if !ok {
@@ -137,13 +136,13 @@
 			}
 			box.Complete(n.view.revision)
 			n.notifier.outbox = box
-			n.log.Info("notifications begin", "subscriptions", len(n.notifier.subscriptions))
+			n.log.Info("notification delivery started", "subscriptions", len(n.notifier.subscriptions))
 		})
 	})
 	return nil
 }
 
-// loadOutbox takes over one record, but for the marks.
+// loadOutboxRecord loads one record other than the marks.
 func loadOutboxRecord(box *notify.Outbox, e wire.Entry) error {
 	switch {
 	case strings.HasPrefix(e.Key, chunkPrefix):
@@ -173,7 +172,7 @@
 	return nil
 }
 
-// deadRecord is a dead letter as it is kept.
+// deadLetterRecord is a dead letter in its stored form.
 type deadLetterRecord struct {
 	Sub      string `msgpack:"s"`
 	Job      string `msgpack:"j"`
@@ -189,7 +188,7 @@
 	return deadLetterPrefix + d.Sub + "/" + d.Event.Job + "." + d.Event.Kind.String()
 }
 
-// eventsOf are the events that a job's record implies, those after a revision.
+// jobEvents returns the events after a revision that a job's record implies.
 func jobEvents(rec *core.JobRecord, after uint64) []notify.Event {
 	var out []notify.Event
 	add := func(k notify.Kind, rev uint64, at core.Micros) {
@@ -214,7 +213,7 @@
 	return events
 }
 
-// eventsAfter are all events after a revision and up to another, in order.
+// eventsAfter returns all events after a revision and up to another one, in order.
 func (n *Node) eventsAfter(after, upTo uint64) []notify.Event {
 	var out []notify.Event
 	for _, rec := range n.view.jobs {
@@ -227,8 +226,8 @@
 	return sortEvents(out)
 }
 
-// tellOutbox hands on what the watch brought of jobs, up to a revision; the view
-// held all before.
+// feedOutbox passes the events of jobs that the watch delivered to the outbox. The view held all
+// changes up to the revision before; now it holds those up to upTo.
 func (n *Node) feedOutbox(ids []string, before, upTo uint64) {
 	v := n.notifier
 	if v == nil || v.outbox == nil || upTo <= before {
@@ -250,11 +249,11 @@
 	v.outbox.Complete(upTo)
 }
 
-// actOutbox does what the outbox wants; mayAct holds.
+// stepOutbox carries out the actions of the outbox. The leader's lease must be valid.
 func (n *Node) stepOutbox() {
 	t, box := n.term, n.notifier.outbox
-	// The time of day at the start and the steady clock from there: a clock that is
-	// set forward must not end deadlines.
+	// The wall clock at the start and the monotonic clock from there: a wall clock that is set
+	// forward must not end deadlines.
 	wallNow := core.Micros(n.started.UnixMicro()) + n.now()
 	for _, a := range box.Step(n.now(), wallNow) {
 		switch a := a.(type) {
@@ -269,7 +268,8 @@
 	}
 }
 
-// pageOfEvents reads on where a subscription's memory ended.
+// eventPage returns the events that follow those that the outbox holds of a subscription. all
+// reports whether these are all events up to upTo.
 func (n *Node) eventPage(a notify.Page) (events []notify.Event, upTo uint64, all bool) {
 	events = n.eventsAfter(a.After, n.view.revision)
 	for i, e := range events {
@@ -286,7 +286,7 @@
 	if n.leaseValid() {
 		out, after = n.notifier.senders[a.Sub].Send(n.ctx, a, token)
 	}
-	outcomes := [...]string{"delivered", "not taken", "in doubt", "refused"}
+	outcomes := [...]string{"delivered", "not accepted", "outcome unknown", "refused"}
 	n.log.Info("notification "+outcomes[out], "subscription", a.Sub, "job", a.Event.Job, "event", a.Event.Kind.String(), "key", a.Key,
 		"attempt", a.Attempt, "took_ms", time.Since(started).Milliseconds())
 	n.post(func() {
@@ -296,14 +296,14 @@
 	})
 }
 
-// saveOutbox writes what is settled, in one transaction, with what the leader
-// writes besides: behind what users and tasks wait for.
+// saveOutbox writes the outbox's changes in one transaction, as a background write of the leader:
+// behind the writes that users and tasks wait for.
 func (n *Node) saveOutbox(t *term, box *notify.Outbox, a notify.Save) {
 	req := &writeRequest{term: t}
 	put := func(key string, v any) {
 		b, err := wire.Marshal(v)
 		if err != nil {
-			n.log.Error("encode record", "key", key, "err", err) // texts and numbers: it does not fail
+			n.log.Error("encode record", "key", key, "err", err) // the value holds only strings and numbers, so this does not fail
 		}
 		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 	}
@@ -334,8 +334,8 @@
 	}
 	req.done = func(_ uint64, err error) {
 		if writeOutcome(err) == core.WriteUnknown {
-			// It may be carried out after the next one, whose marks and bitmaps it would
-			// replace: what was told would be told again.
+			// The write may still be executed after the next one and replace the marks and bitmaps
+			// of that one. Notifications that were delivered would be delivered again.
 			n.ifCurrentTerm(t, func() { t.fenceWrites(func() { saved(false) }) })
 			return
 		}
@@ -346,7 +346,8 @@
 	}
 }
 
-// Notify carries out an operator's request, if this node leads and delivers.
+// ControlNotifications carries out an operator's request. It fails with ErrNoLeader if this node
+// does not lead or has not started delivery.
 func (n *Node) ControlNotifications(ctx context.Context, a *control.Ask) (*control.Answer, error) {
 	return callWithError(ctx, n, control.ErrNoLeader, func(reply func(*control.Answer, error)) {
 		if n.notifier == nil || n.notifier.outbox == nil || !n.leaseValid() {
@@ -354,13 +355,13 @@
 			return
 		}
 		if a.Op == control.Retry || a.Op == control.Drop {
-			n.log.Info("operator: notification", "op", string(a.Op), "subscription", a.Sub, "job", a.Job, "event", a.Kind)
+			n.log.Info("operator request on notifications", "op", string(a.Op), "subscription", a.Sub, "job", a.Job, "event", a.Kind)
 		}
 		reply(control.Do(n.notifier.outbox, n.settings.Notify.Subs, n.now(), a))
 	})
 }
 
-// Notifications has the leader carry out an operator's request.
+// Notifications has the leader carry out an operator's request. It works on any node.
 func (n *Node) Notifications(ctx context.Context, a *control.Ask) (*control.Answer, error) {
 	c, here := n.leaderClient(ctx)
 	switch {
@@ -372,7 +373,7 @@
 	out, err := c.ControlNotifications(ctx, a)
 	if s, ok := status.FromError(err); ok && err != nil {
 		if s.Code() == codes.Unknown && s.Message() != control.ErrNoLeader.Error() {
-			return nil, errors.New(s.Message()) // the leader's own word
+			return nil, errors.New(s.Message()) // the error that the leader returned
 		}
 		return nil, fmt.Errorf("%w (%s)", control.ErrNoLeader, s.Message())
 	}
