--- a/internal/node/cancellations_test.go
+++ b/internal/node/cancellations_test.go
@@ -11,13 +11,12 @@
 	"aspenstall/internal/peer"
 )
 
-// TestCancelledSince: what a node lists for a peer is all that it can have told of, or it
-// does not vouch for it: a peer that takes a part for the whole keeps tasks of cancelled
-// jobs alive.
+// TestCancellationLogSince checks that since reports its list as complete only if it is. A peer
+// that takes a part for the whole keeps tasks of cancelled jobs alive.
 func TestCancellationLogSince(t *testing.T) {
 	var c cancellationLog
-	for _, stamp := range []uint64{3, 9, 5, 9} { // reads and own writes come in any order
-		c.add(peer.Cancellation{Job: fmt.Sprint("job-", stamp), Revision: stamp})
+	for _, revision := range []uint64{3, 9, 5, 9} { // reads and the node's own writes arrive in any order
+		c.add(peer.Cancellation{Job: fmt.Sprint("job-", revision), Revision: revision})
 	}
 	many := cancellationLog{}
 	for i := range maxCancellationsKept * 2 {
@@ -25,27 +24,27 @@
 	}
 	last := uint64(maxCancellationsKept * 2)
 	for _, k := range []struct {
-		what    string
-		of      *cancellationLog
-		since   uint64
-		listed  int
-		vouches bool
+		name     string
+		log      *cancellationLog
+		since    uint64
+		listed   int
+		complete bool
 	}{
-		{"nothing known", &cancellationLog{}, 0, 0, true},
+		{"empty log", &cancellationLog{}, 0, 0, true},
 		{"all", &c, 0, 3, true},
-		{"after one, in order", &c, 3, 2, true},
-		{"none newer", &c, 9, 0, true},
-		{"what is kept", &many, last - 10, 10, true},
-		{"more than one reply holds", &many, last - maxCancellationsPerReply - 1, maxCancellationsPerReply, false},
-		{"older than what is kept", &many, 1, maxCancellationsPerReply, false},
+		{"after a revision, in order", &c, 3, 2, true},
+		{"nothing newer", &c, 9, 0, true},
+		{"within the kept entries", &many, last - 10, 10, true},
+		{"more than one reply may hold", &many, last - maxCancellationsPerReply - 1, maxCancellationsPerReply, false},
+		{"older than the kept entries", &many, 1, maxCancellationsPerReply, false},
 	} {
-		list, vouches := k.of.since(k.since)
-		if len(list) != k.listed || vouches != k.vouches {
-			t.Errorf("%s: %d, %v; want %d, %v", k.what, len(list), vouches, k.listed, k.vouches)
+		list, complete := k.log.since(k.since)
+		if len(list) != k.listed || complete != k.complete {
+			t.Errorf("%s: %d cancellations, complete %v; want %d, %v", k.name, len(list), complete, k.listed, k.complete)
 		}
 		for i := 1; i < len(list); i++ {
 			if list[i].Revision <= list[i-1].Revision {
-				t.Errorf("%s: out of order", k.what)
+				t.Errorf("%s: out of order", k.name)
 			}
 		}
 	}
@@ -61,35 +60,36 @@
 	return New(&p, config.DefaultSettings(), slog.New(slog.DiscardHandler), nil)
 }
 
-// TestPeersWord: what a peer says of the leader's key ends a leader's right to answer
-// workers, also where the peer's own lease is not certain; and only a peer that has read
-// the state service, asked by a node that has, vouches for cancellations.
+// TestStatusReply checks two effects of a peer's reply. A newer leader's key ends this node's
+// right to answer workers, even if the peer's own lease is not certain to be valid. The reply
+// confirms the known cancellations only if the peer has read the state service, and the node that
+// asks has, too.
 func TestStatusReply(t *testing.T) {
 	for _, k := range []struct {
-		what            string
-		have            uint64
-		answer          peer.Status
-		deposed, agreed bool
+		name               string
+		ownRevision        uint64
+		answer             peer.Status
+		deposed, confirmed bool
 	}{
-		{"nothing new", 7, peer.Status{CancellationsComplete: true, Leader: "n-0", LeaderToken: 5}, false, true},
-		{"it does not vouch", 7, peer.Status{Leader: "n-0", LeaderToken: 5}, false, false},
-		{"this node has read nothing", 0, peer.Status{CancellationsComplete: true}, false, false},
-		{"another has led, and its lease is not certain now", 7, peer.Status{CancellationsComplete: true, Leader: "n-1", LeaderToken: 6}, true, true},
-		{"another led before", 7, peer.Status{CancellationsComplete: true, Leader: "n-1", LeaderToken: 4}, false, true},
+		{"nothing newer", 7, peer.Status{CancellationsComplete: true, Leader: "n-0", LeaderToken: 5}, false, true},
+		{"cancellations not complete", 7, peer.Status{Leader: "n-0", LeaderToken: 5}, false, false},
+		{"no revision read yet", 0, peer.Status{CancellationsComplete: true}, false, false},
+		{"newer leader whose lease is uncertain", 7, peer.Status{CancellationsComplete: true, Leader: "n-1", LeaderToken: 6}, true, true},
+		{"earlier leader", 7, peer.Status{CancellationsComplete: true, Leader: "n-1", LeaderToken: 4}, false, true},
 	} {
 		n := newTestNode()
 		n.term = &term{n: n, token: 5}
 		n.core.BeginTerm(0, 0, 5, nil, core.Snapshot{})
 		k.answer.Node = "n-1"
-		n.handleStatusReply("n-1", &peer.Status{Revision: k.have}, &k.answer, 3)
-		if n.term.deposed != k.deposed || (n.informedUntil() == 3) != k.agreed {
-			t.Errorf("%s: deposed %v, informed at %d", k.what, n.term.deposed, n.informedUntil())
+		n.handleStatusReply("n-1", &peer.Status{Revision: k.ownRevision}, &k.answer, 3)
+		if n.term.deposed != k.deposed || (n.informedUntil() == 3) != k.confirmed {
+			t.Errorf("%s: deposed %v, informed at %d", k.name, n.term.deposed, n.informedUntil())
 		}
 	}
 }
 
-// TestCancelledByPeer: a cancellation that only a peer knows of stops the tasks of the
-// job, on workers of which this node has not heard the job, too; the view stays as read.
+// TestPeerCancellationStopsTasks checks that a cancellation that only a peer knows stops the tasks
+// of the job, also if this node does not know the job. The view does not change.
 func TestPeerCancellationStopsTasks(t *testing.T) {
 	n := newTestNode()
 	n.applyJob(core.JobRecord{Spec: core.JobSpec{ID: "job-1", Tasks: 1}, Revision: 3})
@@ -103,23 +103,23 @@
 	}
 }
 
-// TestUnreached: once the state service has not been heard for longer than any answer of
-// it takes, what needs it is refused at once. Users of a node that was cut off waited for
-// as long as each request of the node's did, and went on doing so where it heard no peer
-// that could have told it to send them elsewhere.
+// TestStateUnreachable checks that requests are refused at once when the state service has not
+// responded for longer than any response takes, and that the node then reports itself as unhealthy
+// if users are better off elsewhere. Without this, users of a partitioned node waited as long as
+// each of its requests to the state service did, and kept doing so where the node heard no peer.
 func TestStateUnreachable(t *testing.T) {
 	for _, k := range []struct {
-		what             string
-		state, peer      time.Duration // since it was last heard
+		name             string
+		state, peer      time.Duration // since the last message
 		peerOK           bool
 		refused, healthy bool
 	}{
-		{"all is well", 0, 0, true, false, true},
-		{"a moment", 3 * time.Second, 0, true, false, true},
-		{"an outage of all", 30 * time.Second, 0, false, true, true},
-		{"refused alone", 30 * time.Second, 0, true, true, false},
-		{"cut off from the peers too, for a moment", 6 * time.Second, 8 * time.Second, true, true, true},
-		{"cut off from the peers too", 10 * time.Second, 12 * time.Second, true, true, false},
+		{"everything reachable", 0, 0, true, false, true},
+		{"state service just lost", 3 * time.Second, 0, true, false, true},
+		{"outage for all nodes", 30 * time.Second, 0, false, true, true},
+		{"a peer reaches the state service", 30 * time.Second, 0, true, true, false},
+		{"peers just lost too", 6 * time.Second, 8 * time.Second, true, true, true},
+		{"peers unreachable too", 10 * time.Second, 12 * time.Second, true, true, false},
 	} {
 		n := newTestNode()
 		n.view.ready = true
@@ -127,13 +127,13 @@
 		n.peers["n-1"].lastStatus, n.peers["n-1"].stateOK = time.Now().Add(-k.peer), k.peerOK
 		n.updateHealth()
 		if n.stateUnreachable() != k.refused || n.Healthy() != k.healthy {
-			t.Errorf("%s: refused %v, healthy %v", k.what, n.stateUnreachable(), n.Healthy())
+			t.Errorf("%s: refused %v, healthy %v", k.name, n.stateUnreachable(), n.Healthy())
 		}
 	}
 }
 
-// TestVoid: what waits until a write without an answer is void is done once the token is
-// raised, whoever tells of it, and not before.
+// TestFenceWrites checks that a callback of fenceWrites runs once, when the token is raised, and
+// not before. The new token may come from the response to the write or from the watch.
 func TestFenceWrites(t *testing.T) {
 	n := newTestNode()
 	n.ctx = t.Context()
@@ -143,15 +143,15 @@
 	n.term.fenceWrites(func() { done++ })
 	n.noteLeader("n-0", 5)
 	if done != 0 {
-		t.Error("done before the token was raised")
+		t.Error("callback ran before the token was raised")
 	}
 	n.view.lastLeaderToken = 9
-	n.noteLeader("n-0", 9) // the watch shows it, the answer to the write was lost
+	n.noteLeader("n-0", 9) // the watch shows the new token; the response to the write was lost
 	if done != 1 || n.term.token != 9 {
-		t.Errorf("done %d times under token %d", done, n.term.token)
+		t.Errorf("callback ran %d times, token %d", done, n.term.token)
 	}
 	n.term.tokenRaised(12)
 	if done != 1 {
-		t.Error("done again")
+		t.Error("callback ran again")
 	}
 }
--- a/internal/node/clusterconfig_test.go
+++ b/internal/node/clusterconfig_test.go
@@ -12,16 +12,16 @@
 	"aspenstall/internal/peer"
 )
 
-// TestMayStart: a command that starts a task goes out only if the configuration by which it
-// was placed was read of late, also where the process stood still between the decision and
-// the moment in which the command leaves; others go out as long as the node leads.
+// TestSendCheck checks that a command that starts a task is sent only if the configuration by
+// which the task was placed was read recently, even if the process was stopped between the
+// decision and the sending. Other commands are sent as long as the node leads.
 func TestSendCheck(t *testing.T) {
 	start, stop := []core.Command{{Op: core.Stop}, {Op: core.Start}}, []core.Command{{Op: core.Stop}, {Op: core.Forget}}
 	for _, c := range []struct {
 		name             string
-		head             bool // there is a configuration
+		hasConfig        bool // a configuration exists
 		format           int
-		read             core.Micros // so long ago
+		sinceRead        core.Micros // how long ago
 		leads            bool
 		starts, commands bool
 	}{
@@ -37,42 +37,42 @@
 			if c.leads {
 				n.leaseValidUntil.Store(int64(now + 100*core.Second))
 			}
-			if c.head {
+			if c.hasConfig {
 				n.clusterConfig.follower.Head(clusterconfig.Head{Format: c.format}, 7, nil)
 			}
-			n.currentAsOf = now - c.read
+			n.currentAsOf = now - c.sinceRead
 			n.resolveConfig()
 			if got := n.sendCheck(start)(); got != c.starts {
-				t.Errorf("starts may go out: %v", got)
+				t.Errorf("start commands may be sent: %v", got)
 			}
 			if got := n.sendCheck(stop)(); got != c.commands {
-				t.Errorf("other commands may go out: %v", got)
+				t.Errorf("other commands may be sent: %v", got)
 			}
 		})
 	}
 }
 
-// TestRefusalAsConfigChanges: a submission that could not run when it came is judged again by
-// what has been read since, and a refusal is not written once the configuration has changed:
-// the operator may have been told that it is in force.
+// TestRefusalAfterConfigChange checks that an infeasible submission is checked again against the
+// configuration that has been read since it arrived, and that the refusal is not written once the
+// configuration has changed again: the operator may already know that the new one is in force.
 func TestRefusalAfterConfigChange(t *testing.T) {
 	spec := core.JobSpec{ID: "job-1", Team: "red", Tasks: 1, Request: core.Resources{CPU: 1000}}
-	put := func(n *Node, teams map[string]clusterconfig.Team, stamp uint64) {
-		key := fmt.Sprint(clusterconfig.PagePrefix, stamp)
-		n.clusterConfig.follower.Page(key, clusterconfig.Page{Teams: teams}, stamp)
-		n.clusterConfig.follower.Head(clusterconfig.Head{Format: clusterconfig.Format, Pages: []string{key}}, stamp, nil)
+	put := func(n *Node, teams map[string]clusterconfig.Team, revision uint64) {
+		key := fmt.Sprint(clusterconfig.PagePrefix, revision)
+		n.clusterConfig.follower.Page(key, clusterconfig.Page{Teams: teams}, revision)
+		n.clusterConfig.follower.Head(clusterconfig.Head{Format: clusterconfig.Format, Pages: []string{key}}, revision, nil)
 		n.currentAsOf = n.now()
 		n.resolveConfig()
 	}
 	red := map[string]clusterconfig.Team{"red": {Cap: core.Production}}
 	for _, c := range []struct {
 		name          string
-		before, after map[string]clusterconfig.Team // it is refused, and then written
+		before, after map[string]clusterconfig.Team // before the refusal, and between refusal and writing
 		status        int
 		fresh         bool
 	}{
 		{"nothing changes", nil, nil, http.StatusUnprocessableEntity, true},
-		{"its team is there by then", red, nil, http.StatusServiceUnavailable, true}, // and the state service is not reached
+		{"its team is there by then", red, nil, http.StatusServiceUnavailable, true}, // 503, since the state service is unreachable
 		{"its team is added before it is written", nil, red, http.StatusUnprocessableEntity, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,14 +86,14 @@
 				put(n, c.after, 2)
 			}
 			if got.Status != c.status || got.Fresh != nil && got.Fresh() != c.fresh {
-				t.Errorf("answered %d, which may be written: %v", got.Status, got.Fresh == nil || got.Fresh())
+				t.Errorf("response %d, which may be written: %v", got.Status, got.Fresh == nil || got.Fresh())
 			}
 		})
 	}
 }
 
-// TestEarlierPeers: a peer whose last word says nothing of configuration is of an earlier
-// version, until one that does is heard.
+// TestOlderVersionPeers checks that a peer counts as an older version while its last status
+// reports no configuration format.
 func TestOlderVersionPeers(t *testing.T) {
 	n := newTestNode()
 	n.platform.Peers = []config.Peer{{Member: "n-1"}}
@@ -104,7 +104,7 @@
 	}{{clusterconfig.Format, 0}, {0, 1}, {0, 1}, {clusterconfig.Format, 0}} {
 		n.applyPeerStatus(&peer.Status{Node: "n-1", Incarnation: uint64(i), ConfigFormat: c.format})
 		if got := n.olderVersionPeers(); len(got) != c.want {
-			t.Errorf("after word %d: %q", i, got)
+			t.Errorf("after status %d: older peers %q", i, got)
 		}
 	}
 }
--- a/internal/node/notify_test.go
+++ b/internal/node/notify_test.go
@@ -8,8 +8,8 @@
 	"aspenstall/internal/core"
 )
 
-// A job's record implies each of its events once, at the revision at which it
-// happened, whatever was missed between.
+// TestJobEvents checks that a job's record implies each of its events once, at the revision at
+// which it happened, even if revisions in between were missed.
 func TestJobEvents(t *testing.T) {
 	pending := core.JobRecord{Spec: core.JobSpec{ID: "job-1"}, Revision: 10, SubmittedAt: 5}
 	done := pending.Final(core.Done, 99)
@@ -24,11 +24,11 @@
 		{pending, 0, "accepted@10 at 5"},
 		{pending, 9, "accepted@10 at 5"},
 		{pending, 10, ""},
-		{done, 9, "accepted@10 at 5, done@20 at 99"}, // a list after a gap
+		{done, 9, "accepted@10 at 5, done@20 at 99"}, // complete list after missed changes
 		{done, 10, "done@20 at 99"},
 		{done, 20, ""},
 		{cancelled, 12, "cancelled@15 at 77"},
-		{done.Final(core.Done, 99), 10, "done@20 at 99"}, // its beginning stays what it was
+		{done.Final(core.Done, 99), 10, "done@20 at 99"}, // the revision of its submission is kept
 	} {
 		var got []string
 		for _, e := range jobEvents(&c.rec, c.after) {
--- a/internal/node/service_test.go
+++ b/internal/node/service_test.go
@@ -12,9 +12,9 @@
 	"aspenstall/internal/httpapi"
 )
 
-// TestStaleAnswer: what a user is told of a job that is not over, or not known, rests on
-// what was read when it was asked for. A process that stood still since must not say it:
-// the user may have been told more elsewhere.
+// TestResponseExpires checks that the state of an unfinished or unknown job is written only for
+// maxResponseAge after the request arrived. A process that was stopped in between must not send
+// it: another node may have reported a later state.
 func TestResponseExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -23,14 +23,14 @@
 		fresh bool
 	}{
 		{"at once", map[string]core.JobRecord{"job-1": {}}, time.Millisecond, true},
-		{"pending, after standing still", map[string]core.JobRecord{"job-1": {}}, 2 * time.Second, false},
-		{"unknown, after standing still", map[string]core.JobRecord{}, 2 * time.Second, false},
-		{"done is for good", map[string]core.JobRecord{"job-1": {Phase: core.Done}}, time.Hour, true},
+		{"pending, after a pause of the process", map[string]core.JobRecord{"job-1": {}}, 2 * time.Second, false},
+		{"unknown, after a pause of the process", map[string]core.JobRecord{}, 2 * time.Second, false},
+		{"done is final", map[string]core.JobRecord{"job-1": {Phase: core.Done}}, time.Hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := New(&config.Platform{}, config.DefaultSettings(), slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
-				n.readPending = true // the read is under way
+				n.readPending = true // the read is in flight
 				n.view.jobs = c.jobs
 				var got *httpapi.Response
 				n.poll("job-1", func(a httpapi.Response) { got = &a })
@@ -39,7 +39,7 @@
 				}
 				time.Sleep(c.after)
 				if fresh := got.Fresh == nil || got.Fresh(); fresh != c.fresh {
-					t.Errorf("may be written: %v, want %v", fresh, c.fresh)
+					t.Errorf("response may be written: %v, want %v", fresh, c.fresh)
 				}
 			})
 		})
