--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the machine cloud.
+// Package cloud is the client of the cloud that rents out machines.
 package cloud
 
 import (
@@ -17,7 +17,7 @@
 	"aspenstall/internal/wire"
 )
 
-// ErrNoCapacity: nothing of this type, zone and kind is to be had now.
+// ErrNoCapacity means that no machine of the requested type, zone and kind is available now.
 var ErrNoCapacity = errors.New("no capacity")
 
 const (
@@ -26,14 +26,15 @@
 	maxResponseBytes = 4 << 20
 )
 
-// Client talks to the cloud; calls wait for their place in its rate.
+// Client calls the cloud's API. Calls wait until the client's rate limit permits them.
 type Client struct {
 	base    string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// New returns a client for the cloud at addr that keeps to a share of rps.
+// New returns a client for the cloud at addr that uses at most 80% of rps requests per second; 0
+// means no limit.
 func New(addr string, rps float64, dial netdial.Func) *Client {
 	lim := rate.NewLimiter(rate.Inf, 1)
 	if rps > 0 {
@@ -76,8 +77,8 @@
 	return resp.StatusCode, b, nil
 }
 
-// Catalog returns the machine types with current prices, and the answer as it
-// came, which is what is kept for nodes that cannot ask.
+// Catalog returns the machine types with current prices, and the body of the response. The body is
+// recorded for nodes that can't reach the cloud.
 func (c *Client) Catalog(ctx context.Context) ([]core.MachineType, []byte, error) {
 	status, b, err := c.do(ctx, http.MethodGet, wire.CatalogPath, nil)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return types, b, err
 }
 
-// Rent rents machines.
+// Rent rents machines and returns their names.
 func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
 	status, b, err := c.do(ctx, http.MethodPost, wire.MachinesPath, &r)
 	if err != nil {
@@ -114,7 +115,7 @@
 	return nil, fmt.Errorf("rent: status %d", status)
 }
 
-// Return gives machines back; without an error they are gone.
+// Release returns machines to the cloud. If it returns no error, they are gone.
 func (c *Client) Release(ctx context.Context, names []string) error {
 	status, _, err := c.do(ctx, http.MethodPost, wire.MachineReturnPath, &wire.MachineNames{Machines: names})
 	if err == nil && status != http.StatusOK {
@@ -123,7 +124,7 @@
 	return err
 }
 
-// List returns the cloud's list of machines, which is late.
+// List returns the cloud's list of machines. The list lags behind rentals and releases.
 func (c *Client) List(ctx context.Context) ([]core.ListedMachine, error) {
 	var all []core.ListedMachine
 	since := ""
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -14,25 +14,25 @@
 	"aspenstall/internal/wire"
 )
 
-// Answer is what a request is answered with.
+// Response is the response to a request.
 type Response struct {
 	Status     int
 	Body       any           // encoded unless Raw is set
 	Raw        []byte        // an encoded body
 	RetryAfter time.Duration // with 429 and 503
-	Fresh      func() bool   // if set, asked right before it is written; if not, it is 503
+	Fresh      func() bool   // if set, called right before writing; if it returns false, the response is 503
 }
 
-// Unavailable tells a user when to come back.
+// Unavailable returns a 503 response that asks the client to retry after a second.
 func Unavailable() Response {
 	return Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
 }
 
-// Service is what answers the requests; every method returns by itself before
-// its context ends or soon after.
+// Service handles the requests. Every method returns by itself before its context ends or soon
+// after.
 type Service interface {
-	// Submit takes a submission. spec is nil if it is malformed, and id then
-	// tells which job it may be a retry of.
+	// Submit handles a submission. spec is nil if it is malformed; id then names the job that it
+	// may be a retry of.
 	Submit(ctx context.Context, id string, spec *core.JobSpec) Response
 	Poll(ctx context.Context, id string) Response
 	Cancel(ctx context.Context, id string) Response
@@ -40,7 +40,8 @@
 	Healthy() bool
 }
 
-// Users wait 5 s for a submission and 2 s for a poll, workers 4 s.
+// Deadlines of requests. Users wait 5 s for a submission and 2 s for a poll, workers 4 s for a
+// report.
 const (
 	submitDeadline = 3 * time.Second
 	pollDeadline   = 1500 * time.Millisecond
@@ -68,8 +69,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// body reads a request's body; ok is false if it was too long or cut short,
-// and then the request has been answered.
+// readBody reads a request's body. ok is false if the body is too long or truncated; the request
+// then needs no further response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err == nil {
@@ -141,9 +142,9 @@
 
 func writeResponse(w http.ResponseWriter, resp Response) {
 	if resp.Fresh != nil && !resp.Fresh() {
-		// The time between the decision and this line is the processor's to take, and
-		// a process may stand still here while others go on: a leader whose lease is
-		// over must not answer a worker, nor anybody tell a user what was so then.
+		// The process may be descheduled between the decision and this line while others go on. A
+		// leader whose lease has ended must not answer a worker, and a user must not get a state
+		// that is out of date.
 		resp = Unavailable()
 	}
 	b := resp.Raw
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -10,7 +10,7 @@
 	"aspenstall/internal/wire"
 )
 
-// stale answers everything with something that may not be written any more.
+// staleService returns responses that may not be written any more.
 type staleService struct{}
 
 func (staleService) response() Response {
@@ -22,8 +22,8 @@
 func (s staleService) Report(context.Context, *core.Report) Response          { return s.response() }
 func (staleService) Healthy() bool                                            { return true }
 
-// TestFresh: whatever became too old on the way out is answered 503, with when to come
-// back, to users as to workers.
+// TestStaleResponse checks that a response that is no longer fresh is replaced by 503 with
+// Retry-After.
 func TestStaleResponse(t *testing.T) {
 	for _, path := range []string{wire.JobsPath + "/job-000001", wire.JobsPath + "/job-000001/" + wire.CancelEnd} {
 		method := http.MethodGet
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,5 +1,5 @@
-// Package netdial is how clients reach the network: over TCP in production,
-// over pipes in tests.
+// Package netdial defines how clients connect: over TCP in production, over pipes in tests. It
+// also has a listener that limits its open connections.
 package netdial
 
 import (
@@ -8,11 +8,10 @@
 	"time"
 )
 
-// Func makes a connection. An error from it is a *net.OpError with Op "dial"
-// if nothing was sent.
+// Func makes a connection. Its error is a *net.OpError with Op "dial" if nothing was sent.
 type Func func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// TCP dials with a timeout.
+// TCP returns a Func that dials with a timeout.
 func TCP(timeout time.Duration) Func {
 	return (&net.Dialer{Timeout: timeout}).DialContext
 }
--- a/internal/netdial/shed.go
+++ b/internal/netdial/shed.go
@@ -6,8 +6,9 @@
 	"sync/atomic"
 )
 
-// Shed returns a listener that closes connections at once while so many are open: whoever
-// dials goes elsewhere, and does not wait in a queue whose sockets count as well.
+// ShedListener returns a listener that closes new connections at once while maxOpen connections
+// are open. The client then connects to another node, instead of waiting in a queue whose sockets
+// count towards the limit as well.
 func ShedListener(l net.Listener, maxOpen int) net.Listener {
 	return &shedListener{Listener: l, maxOpen: int64(maxOpen)}
 }
--- a/internal/netdial/shed_test.go
+++ b/internal/netdial/shed_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestShed: what comes beyond the limit is closed at once, and there is room again as soon
-// as a connection ends, however often it is closed.
+// TestShedListener checks that connections above the limit are closed at once, and that closing a
+// connection makes room for exactly one, also if it is closed twice.
 func TestShedListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +34,7 @@
 		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
-	shut := func(c net.Conn) bool {
+	isClosed := func(c net.Conn) bool {
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		_, err := c.Read(make([]byte, 1))
 		return err == io.EOF
@@ -43,14 +43,14 @@
 	dial()
 	first := <-accepted
 	<-accepted
-	if !shut(dial()) {
-		t.Error("a third is kept")
+	if !isClosed(dial()) {
+		t.Error("a third connection stays open")
 	}
 	_ = first.Close()
 	_ = first.Close()
 	dial()
 	<-accepted
-	if !shut(dial()) {
-		t.Error("a third is kept after one ended")
+	if !isClosed(dial()) {
+		t.Error("a third connection stays open after one was closed")
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,9 @@
-// Package peer is what controllers tell each other, over gRPC: whether they
-// reach the state service, and from the leader how far jobs have come.
+// Package peer is the protocol between controllers, over gRPC: they exchange whether they reach
+// the state service, and the leader sends how far jobs have come. It also carries requests that
+// only the leader can answer.
 //
-// Messages are MessagePack rather than protocol buffers: one encoding in the
-// program, and no generated code.
+// Messages are MessagePack rather than protocol buffers: the program has one encoding, and no
+// generated code.
 package peer
 
 import (
@@ -21,42 +22,43 @@
 	"aspenstall/internal/notify/control"
 )
 
-// Status is what a node says of itself.
+// Status is the state of one controller, as it reports it to its peers.
 type Status struct {
 	Node             string   `msgpack:"n"`
-	StateOK          bool     `msgpack:"s"` // it reaches the state service
+	StateOK          bool     `msgpack:"s"` // the node reaches the state service
 	WorkersReporting bool     `msgpack:"w"` // workers have reached it in the last seconds
-	Token            uint64   `msgpack:"t"` // of its term; 0: it does not lead
-	Counts           []Counts `msgpack:"c"` // from the leader: what changed
-	// Leader wrote the latest leader's key that the node knows of, under LeaderToken;
-	// that of its own term counts also when its lease is not certain to be alive.
+	Token            uint64   `msgpack:"t"` // of the node's term; 0 if it does not lead
+	Counts           []Counts `msgpack:"c"` // from the leader: counts that changed
+	// Leader is the member that wrote the latest leader's key that the node knows of, and
+	// LeaderToken the token of that key. The node's own term counts even if its lease is not
+	// certain to be valid.
 	Leader      string `msgpack:"ln,omitempty"`
 	LeaderToken uint64 `msgpack:"lt,omitempty"`
 
-	// Have is the revision up to which the node that asks knows every change, 0 for
-	// none. The reply lists the cancellations after it that the peer knows of, and
-	// Vouches if these are all that it can have told users of.
+	// Revision is the revision up to which the sender knows every change, 0 for none. A reply
+	// lists in Cancellations those after the requester's Revision that the peer knows of.
+	// CancellationsComplete is set if these are all that the peer can have told users of.
 	Revision uint64 `msgpack:"h,omitempty"`
-	// Seen tells peers of an earlier version, which take a low one for agreement that
-	// no job has changed, that there is none.
+	// LegacySeen is always the highest value, for peers of an older version: they take a low value
+	// as confirmation that no job has changed.
 	LegacySeen            uint64         `msgpack:"v"`
 	Cancellations         []Cancellation `msgpack:"x,omitempty"`
 	CancellationsComplete bool           `msgpack:"k,omitempty"`
 
-	// ConfigFormat is the newest format of the configuration that the node reads, 0 for an
-	// earlier version of the program; Config is the revision of the one that it acts by.
+	// ConfigFormat is the newest format of the configuration that the node reads, 0 for an older
+	// version of the program. ConfigRevision is the revision of the configuration in effect.
 	ConfigFormat   int    `msgpack:"cf,omitempty"`
 	ConfigRevision uint64 `msgpack:"cr,omitempty"`
 
-	Incarnation uint64 `msgpack:"l"`           // of its process
-	Nonce       uint64 `msgpack:"o,omitempty"` // of this reply
-	EchoedNonce uint64 `msgpack:"e,omitempty"` // from the leader: the peer's last reply that it has; it may answer workers a while from that
-	// AnsweredAgo is how long ago it last answered a worker in the leader's
-	// place, in microseconds; negative for never.
+	Incarnation uint64 `msgpack:"l"`           // random number of the node's process
+	Nonce       uint64 `msgpack:"o,omitempty"` // identifies this reply
+	EchoedNonce uint64 `msgpack:"e,omitempty"` // from the leader: Nonce of the last reply that it received; the delegation counts from that reply
+	// DelegatedAnswerAge is how long ago the node last answered a worker under delegation, in
+	// microseconds; negative for never.
 	DelegatedAnswerAge int64 `msgpack:"a"`
 }
 
-// Cancelled is a job that was cancelled: the revision of its record, and when that
+// Cancellation is a job that was cancelled, with the revision of its final record and when that
 // was written, by the wall clock in microseconds.
 type Cancellation struct {
 	Job      string `msgpack:"j"`
@@ -64,33 +66,34 @@
 	At       int64  `msgpack:"a"`
 }
 
-// Counts is how far a job has come.
+// Counts holds the numbers of done and running tasks of a job.
 type Counts struct {
 	Job     string `msgpack:"j"`
 	Done    int    `msgpack:"d"`
 	Running int    `msgpack:"r"`
 }
 
-// Ask asks the leader what only it knows: where tasks are. It is for display.
+// ViewRequest asks the leader for what only it knows: where tasks are. The result is for display.
 type ViewRequest struct {
 	Jobs     []JobViewRequest `msgpack:"j,omitempty"`
-	Limit    int              `msgpack:"l,omitempty"` // tasks in all
+	Limit    int              `msgpack:"l,omitempty"` // most tasks in the response, of all jobs together
 	Machines bool             `msgpack:"m,omitempty"`
 }
 
-// JobAsk names a job and the first task that is asked for.
+// JobViewRequest names a job and the first task that is requested.
 type JobViewRequest struct {
 	Job       string `msgpack:"j"`
 	FirstTask int    `msgpack:"f,omitempty"`
 }
 
-// Shown is the answer.
+// ViewResponse is the response to a ViewRequest.
 type ViewResponse struct {
 	Jobs     []JobView          `msgpack:"j,omitempty"`
 	Machines []core.MachineView `msgpack:"m,omitempty"`
 }
 
-// JobShown are the tasks of a job that are done or on a machine.
+// JobView holds the tasks of a job that are done or on a machine. More is set if further tasks
+// follow.
 type JobView struct {
 	Job   string          `msgpack:"j"`
 	Tasks []core.TaskView `msgpack:"t,omitempty"`
@@ -113,16 +116,17 @@
 func (codec) Name() string                    { return codecName }
 func init()                                   { encoding.RegisterCodec(codec{}) }
 
-// Handler answers a peer's status with this node's own.
+// Handler serves the calls of peers.
 type Handler interface {
 	ExchangeStatus(ctx context.Context, s *Status) (*Status, error)
-	// Show fails on a node that does not lead.
+	// Views returns tasks and machines. It fails on a node that does not lead.
 	Views(ctx context.Context, req *ViewRequest) (*ViewResponse, error)
-	// Notify is an operator's request; it fails on a node that does not lead.
+	// ControlNotifications carries out an operator's request. It fails on a node that does not
+	// lead.
 	ControlNotifications(ctx context.Context, req *control.Ask) (*control.Answer, error)
 }
 
-// Serve answers peers on l until it fails.
+// Serve serves the calls of peers on l until l fails, and returns the error.
 func Serve(l net.Listener, h Handler) error {
 	s := grpc.NewServer(grpc.ConnectionTimeout(5*time.Second), grpc.MaxConcurrentStreams(16))
 	s.RegisterService(&grpc.ServiceDesc{
@@ -133,7 +137,7 @@
 	return s.Serve(l)
 }
 
-// method describes one call.
+// method returns the description of one call.
 func method[In, Out any](name string, f func(Handler, context.Context, *In) (*Out, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{
 		MethodName: name,
@@ -147,18 +151,19 @@
 	}
 }
 
-// Client tells one peer.
+// Client calls one peer.
 type Client struct{ conn *grpc.ClientConn }
 
-// Dial returns a client for the peer at addr, an IP address and port; the
-// connection is made with dial when it is first used.
+// Dial returns a client for the peer at addr, an IP address and port. The connection is made with
+// dial when it is first used.
 func Dial(addr string, dial netdial.Func) (*Client, error) {
 	c, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codecName)),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) { return dial(ctx, "tcp", addr) }),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			// A peer that was cut off is to be heard again within moments.
+			// Bounds the back-off, so that a peer is reconnected within moments after a network
+			// partition.
 			Backoff:           backoff.Config{BaseDelay: time.Second, Multiplier: 1.2, Jitter: 0.2, MaxDelay: 2 * time.Second},
 			MinConnectTimeout: time.Second,
 		}),
@@ -173,17 +178,17 @@
 // Close ends the client's connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Tell tells the peer this node's status and returns the peer's.
+// ExchangeStatus sends this node's status and returns the peer's.
 func (c *Client) ExchangeStatus(ctx context.Context, s *Status) (*Status, error) {
 	return invoke[Status](ctx, c, statusMethod, s)
 }
 
-// Show asks the peer, which has to lead.
+// Views asks the peer, which must lead, for tasks and machines.
 func (c *Client) Views(ctx context.Context, req *ViewRequest) (*ViewResponse, error) {
 	return invoke[ViewResponse](ctx, c, viewsMethod, req)
 }
 
-// Notify hands an operator's request to the peer, which has to lead.
+// ControlNotifications passes an operator's request to the peer, which must lead.
 func (c *Client) ControlNotifications(ctx context.Context, req *control.Ask) (*control.Answer, error) {
 	return invoke[control.Answer](ctx, c, notifyMethod, req)
 }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -18,29 +18,30 @@
 	"aspenstall/internal/wire"
 )
 
-// Errors that callers tell apart. Any other error means that there was no
-// answer: the request may have been executed, or may be later.
+// Errors that callers distinguish. Any other error means that there was no response: the request
+// may have been executed, or may be executed later.
 var (
-	// ErrConflict: a condition of a transaction did not hold.
-	ErrConflict = errors.New("condition failed")
-	// ErrNotExecuted: the service refused, for load or an outage.
-	ErrNotExecuted = errors.New("state service refused")
-	// ErrNotFound: no such key or lease.
+	// ErrConflict means that a condition of a transaction did not hold.
+	ErrConflict = errors.New("transaction condition failed")
+	// ErrNotExecuted means that the request was refused, because of load, an outage or the
+	// client's own budget.
+	ErrNotExecuted = errors.New("state service refused the request")
+	// ErrNotFound means that there is no such key or lease.
 	ErrNotFound = errors.New("not found")
-	// ErrTooOld: the watch asks for changes that are no longer kept.
-	ErrCompacted = errors.New("revision too old")
-	// ErrInvalid: the service found the request malformed.
+	// ErrCompacted means that the requested changes are no longer kept.
+	ErrCompacted = errors.New("revision is no longer kept")
+	// ErrInvalid means that the service found the request malformed.
 	ErrInvalid = errors.New("malformed request")
 )
 
-// Deadlines: an answer usually takes less than 10 ms, sometimes a few hundred.
+// Limits of a request. A response usually takes less than 10 ms, sometimes a few hundred.
 const (
 	requestTimeout   = 1500 * time.Millisecond
 	pageSize         = 500
 	maxResponseBytes = 64 << 20
 )
 
-// Client talks to the state service.
+// Client calls the state service's API.
 type Client struct {
 	base   string
 	http   *http.Client
@@ -48,8 +49,8 @@
 	writes *rate.Limiter
 }
 
-// New returns a client for the service at addr that keeps to a share of its
-// rates: the other nodes need theirs.
+// New returns a client for the service at addr. It uses at most 70% of the service's rates, in
+// requests per second, because the other nodes need the rest. A rate of 0 means no limit.
 func New(addr string, rps, writeRPS float64, conns int, dial netdial.Func) *Client {
 	const share = 0.7
 	lim := func(r float64) *rate.Limiter {
@@ -69,11 +70,11 @@
 }
 
 func (c *Client) do(ctx context.Context, method, path string, in, out any, writes int, timeout time.Duration) error {
-	// A request over the budget is not sent: waiting here would hide it from
-	// the caller, who can put it off or answer its user.
+	// A request over the budget is not sent. Waiting here would hide the delay from the caller,
+	// which can postpone the request or tell its user to retry.
 	now := time.Now()
 	if writes > 0 && !c.writes.AllowN(now, writes) || !c.reads.AllowN(now, 1) {
-		return fmt.Errorf("own rate budget: %w", ErrNotExecuted)
+		return fmt.Errorf("over the client's rate budget: %w", ErrNotExecuted)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -120,20 +121,21 @@
 	return fmt.Errorf("%s %s: status %d", method, path, resp.StatusCode)
 }
 
-// Spare reports whether n changes fit into the budget with half of it left for
-// what cannot wait.
+// HasBackgroundBudget reports whether n changes fit into the write budget with half of it left for
+// urgent writes.
 func (c *Client) HasBackgroundBudget(n int) bool {
 	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(c.writes.Burst()+n)/2
 }
 
-// Soon reports whether n changes fit with a quarter of the budget left for users.
+// HasPriorityBudget reports whether n changes fit into the write budget with a quarter of it left
+// for users.
 func (c *Client) HasPriorityBudget(n int) bool {
 	burst := c.writes.Burst()
 	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(min(n+burst/4, burst))
 }
 
-// List reads all keys with the prefix, and the revision of the first page:
-// every later change is found by a watch from there.
+// List reads all keys with the prefix. It returns them with the revision of the first page: a
+// watch from that revision finds every later change.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var all []wire.Entry
 	var revision uint64
@@ -180,18 +182,18 @@
 	return l.ID, err
 }
 
-// Renew renews a lease; ErrNotFound means that it is over.
+// Renew renews a lease. ErrNotFound means that the lease has ended.
 func (c *Client) Renew(ctx context.Context, id uint64) error {
 	return c.do(ctx, http.MethodPost, fmt.Sprintf("%s/%d/%s", wire.LeasesPath, id, wire.RenewEnd), nil, nil, 0, requestTimeout)
 }
 
-// Revoke ends a lease and removes its keys.
+// Revoke ends a lease and deletes its keys.
 func (c *Client) Revoke(ctx context.Context, id uint64) error {
 	return c.do(ctx, http.MethodDelete, fmt.Sprintf("%s/%d", wire.LeasesPath, id), nil, nil, 0, requestTimeout)
 }
 
-// Changes returns what changed under the prefix after the revision, waiting
-// up to wait for a change.
+// Changes returns the changes under the prefix after the revision. If there are none, it waits up
+// to wait for one.
 func (c *Client) Changes(ctx context.Context, prefix string, since uint64, wait time.Duration) (*wire.Changes, error) {
 	var r wire.Changes
 	path := fmt.Sprintf("%s?starts=%s&since=%d&wait_ms=%d", wire.ChangesPath, url.QueryEscape(prefix), since, wait.Milliseconds())
