--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -58,7 +58,7 @@
 	c.effectiveShared.Store(&e)
 }
 
-// priorityCap returns the highest priority that a team may ask for. Any goroutine may call it.
+// priorityCap returns the highest priority that a team may use. Any goroutine may call it.
 func (n *Node) priorityCap(team string) core.Priority {
 	if t, ok := n.clusterConfig.effectiveShared.Load().Teams[team]; ok {
 		return t.Cap
@@ -207,7 +207,7 @@
 		n.post(func() {
 			c.ackInFlight, c.ackNotBefore = false, n.now()+ackRetryPause
 			if err != nil {
-				n.log.Debug("acknowledging the configuration", "err", err)
+				n.log.Debug("acknowledging the configuration failed", "err", err)
 				if errors.Is(err, statestore.ErrInvalid) {
 					c.ackLease = 0 // the lease has expired
 				}
@@ -220,6 +220,7 @@
 	}()
 }
 
+// renewAck renews the lease of the acknowledgement.
 func (n *Node) renewAck() {
 	c := &n.clusterConfig
 	c.ackInFlight = true
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -46,6 +46,7 @@
 	maxTxnBytes           = 40 << 10 // encoded; the service's limit of 64 KiB is counted as JSON
 )
 
+// computeSize estimates the size of the request in a transaction, in bytes.
 func (req *writeRequest) computeSize() {
 	for i := range req.ops {
 		req.size += len(req.ops[i].Value)*3/2 + len(req.ops[i].Put) + len(req.ops[i].Delete) + 40
@@ -81,6 +82,8 @@
 	return true
 }
 
+// dispatch sends queued requests as far as the limits on transactions in flight and the write
+// budget permit.
 func (c *committer) dispatch() {
 	for c.foregroundInFlight < maxForegroundInFlight && len(c.userQueue) > 0 {
 		c.foregroundInFlight++
@@ -141,6 +144,8 @@
 	return out
 }
 
+// send commits the requests in one transaction. When the response arrives it calls finished, and
+// then done of each request unless it is retried.
 func (c *committer) send(reqs []*writeRequest, finished func()) {
 	txn := &wire.Txn{If: []wire.Cond{}}
 	included := map[wire.Cond]bool{}
@@ -207,7 +212,7 @@
 		}
 		b, err := wire.EncodeRecord(p.Value)
 		if err != nil {
-			n.log.Error("encode record", "err", err)
+			n.log.Error("encoding a record failed", "err", err)
 			fail()
 			return
 		}
@@ -253,6 +258,7 @@
 	}
 }
 
+// writeOutcome returns what the error of a write means for the core.
 func writeOutcome(err error) core.WriteOutcome {
 	switch {
 	case err == nil:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -299,6 +299,7 @@
 	}
 }
 
+// execute carries out one action of the core.
 func (n *Node) execute(a core.Action) {
 	t := n.term
 	switch a := a.(type) {
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -432,7 +432,7 @@
 		}
 		req, learn, err := n.changeRequest(ch)
 		if err != nil {
-			n.log.Error("encode job", "err", err)
+			n.log.Error("encoding a job failed", "err", err)
 			reply(httpapi.Registered{}, err)
 			return
 		}
@@ -446,7 +446,7 @@
 				n.changeJob(attempts-1, reply, plan, name)
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("job file refused by the state service", "team", name.Team, "job", name.ID, "err", err)
-				reply(httpapi.Registered{}, &httpapi.RefusedError{Why: "the state service refuses the job's records"})
+				reply(httpapi.Registered{}, &httpapi.RefusedError{Why: "the state service refused the job's records"})
 			default:
 				reply(httpapi.Registered{}, httpapi.ErrUnavailable)
 			}
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -280,6 +280,7 @@
 	return events, n.view.revision, true
 }
 
+// deliver sends one notification, if the lease is valid, and reports the outcome to the outbox.
 func (n *Node) deliver(token uint64, box *notify.Outbox, a notify.Send) {
 	out, after := notify.NotSent, core.Micros(0)
 	started := time.Now()
@@ -303,7 +304,7 @@
 	put := func(key string, v any) {
 		b, err := wire.Marshal(v)
 		if err != nil {
-			n.log.Error("encode record", "key", key, "err", err) // the value holds only strings and numbers, so this does not fail
+			n.log.Error("encoding a record failed", "key", key, "err", err) // the value holds only strings and numbers, so this does not fail
 		}
 		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -170,6 +170,7 @@
 	return out, nil
 }
 
+// applyPeerStatus applies a peer's status, received in a call or in a reply.
 func (n *Node) applyPeerStatus(s *peer.Status) {
 	state := n.peers[s.Node]
 	if state == nil {
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// create writes the record of a new job and replies once the result is known.
 func (n *Node) create(spec *core.JobSpec, reply func(httpapi.Response)) {
 	if n.stateUnreachable() {
 		reply(httpapi.Unavailable())
@@ -126,7 +127,7 @@
 	rec := core.JobRecord{Spec: *spec, SubmittedAt: wallClock()}
 	b, err := wire.EncodeJob(&rec)
 	if err != nil {
-		n.log.Error("encode job", "err", err)
+		n.log.Error("encoding a job failed", "err", err)
 		reply(httpapi.Response{Status: http.StatusInternalServerError})
 		return
 	}
@@ -175,17 +176,17 @@
 		return fmt.Sprintf("there is no team %q", s.Team)
 	}
 	if team.Draining {
-		return fmt.Sprintf("team %s takes no new jobs", s.Team)
+		return fmt.Sprintf("team %s accepts no new jobs", s.Team)
 	}
 	if s.Priority > team.Cap {
-		return fmt.Sprintf("team %s may ask for %v priority at most, not %v", s.Team, team.Cap, s.Priority)
+		return fmt.Sprintf("team %s may use %v priority at most, not %v", s.Team, team.Cap, s.Priority)
 	}
 	total := s.Request
 	if s.Kind != core.Array {
 		total = s.Request.Times(s.Tasks)
 	}
 	if team.Max.CPU > 0 && total.CPU > team.Max.CPU || team.Max.GPU > 0 && total.GPU > team.Max.GPU {
-		return fmt.Sprintf("it needs more than the limit of team %s", s.Team)
+		return fmt.Sprintf("the job requests more than the limit of team %s", s.Team)
 	}
 	if zones := n.platform.Params.Zones; s.Zone != "" && len(zones) > 0 && !slices.Contains(zones, s.Zone) {
 		return fmt.Sprintf("there is no zone %q", s.Zone)
@@ -195,7 +196,7 @@
 			return ""
 		}
 	}
-	return "a task fits no machine type that is allowed"
+	return "no allowed machine type fits a task"
 }
 
 // Poll returns the state of a job.
@@ -219,6 +220,8 @@
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.cancel(id, 3, reply) })
 }
 
+// cancel cancels a job. After a conflict it reads the current state and retries, attempts times at
+// most.
 func (n *Node) cancel(id string, attempts int, reply func(httpapi.Response)) {
 	if _, known := n.view.jobs[id]; known {
 		n.cancelKnown(id, attempts, reply)
@@ -248,7 +251,7 @@
 	rec = rec.Final(core.Cancelled, wallClock())
 	b, err := wire.EncodeJob(&rec)
 	if err != nil {
-		n.log.Error("encode job", "err", err)
+		n.log.Error("encoding a job failed", "err", err)
 		reply(httpapi.Response{Status: http.StatusInternalServerError})
 		return
 	}
@@ -314,10 +317,11 @@
 	})
 }
 
+// respondToReport replies to a worker's report with commands under a token.
 func (n *Node) respondToReport(reply func(httpapi.Response), token uint64, cmds []core.Command, fresh func() bool) {
 	b, err := wire.Commands(token, 0, cmds)
 	if err != nil {
-		n.log.Error("encode commands", "err", err)
+		n.log.Error("encoding commands failed", "err", err)
 		reply(httpapi.Unavailable())
 		return
 	}
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// revokePreviousLease revokes the lease of the leader's key if the key names this node.
 func (n *Node) revokePreviousLease(ctx context.Context) error {
 	e, err := n.stateClient.Get(ctx, leaderKey)
 	if errors.Is(err, statestore.ErrNotFound) {
@@ -221,6 +222,7 @@
 	}
 }
 
+// readSnapshot reads the leader's records from the state service.
 func (n *Node) readSnapshot(ctx context.Context) (core.Snapshot, error) {
 	var s core.Snapshot
 	entries, _, err := n.stateClient.List(ctx, "b/")
@@ -267,7 +269,7 @@
 	t.raiseCount++
 	value, err := wire.Marshal(&wire.Leader{Node: n.platform.Member, Nth: t.raiseCount})
 	if err != nil {
-		n.log.Error("raise token", "err", err)
+		n.log.Error("encoding the leader record failed", "err", err)
 		return
 	}
 	txn := &wire.Txn{
@@ -300,6 +302,7 @@
 	t.raiseToken()
 }
 
+// tokenRaised takes a higher token into use and runs the callbacks that wait for it.
 func (t *term) tokenRaised(token uint64) {
 	if token > t.token {
 		t.token = token
@@ -331,7 +334,7 @@
 		if list, err := n.cloudClient.List(ctx); err == nil {
 			n.post(func() { n.ifCurrentTerm(t, func() { n.core.HandleMachineList(n.now(), list) }) })
 		} else {
-			n.log.Info("machine list", "err", err)
+			n.log.Info("listing machines failed", "err", err)
 		}
 		wait.For(ctx, pause)
 	}
@@ -354,7 +357,7 @@
 	}
 	b, err := wire.Marshal(&wire.CatalogRecord{Raw: raw})
 	if err != nil {
-		n.log.Error("catalog record", "err", err)
+		n.log.Error("encoding the catalog record failed", "err", err)
 		return
 	}
 	n.committer.add(&writeRequest{
@@ -368,7 +371,7 @@
 func (n *Node) applyCatalogRecord(raw []byte) {
 	types, err := wire.ParseCatalog(raw)
 	if err != nil {
-		n.log.Error("catalog record", "err", err)
+		n.log.Error("decoding the catalog record failed", "err", err)
 		return
 	}
 	n.catalog = types
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -190,6 +190,8 @@
 	n.nomad.nativeJobChanged(n, &rec)
 }
 
+// setLeader records who holds the leader's key as of a revision; name is empty if the key was
+// deleted.
 func (n *Node) setLeader(name string, revision uint64) {
 	if name != n.view.leader {
 		n.log.Info("leader", "leader", name, "revision", revision)
@@ -238,6 +240,7 @@
 	n.startRead()
 }
 
+// startRead starts a read for readWaiters, now or once readInterval since the last one has passed.
 func (n *Node) startRead() {
 	if n.readPending || len(n.readWaiters) == 0 {
 		return
