--- a/internal/node/cancellations_test.go
+++ b/internal/node/cancellations_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestCancellationLogSince checks that since reports its list as complete only if it is. A peer
-// that takes a part for the whole keeps tasks of cancelled jobs alive.
+// that treats a partial list as complete keeps tasks of cancelled jobs alive.
 func TestCancellationLogSince(t *testing.T) {
 	var c cancellationLog
 	for _, revision := range []uint64{3, 9, 5, 9} { // reads and the node's own writes arrive in any order
@@ -62,8 +62,8 @@
 
 // TestStatusReply checks two effects of a peer's reply. A newer leader's key ends this node's
 // right to answer workers, even if the peer's own lease is not certain to be valid. The reply
-// confirms the known cancellations only if the peer has read the state service, and the node that
-// asks has, too.
+// confirms the known cancellations only if both the peer and the requesting node have read the
+// state service.
 func TestStatusReply(t *testing.T) {
 	for _, k := range []struct {
 		name               string
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -269,8 +269,8 @@
 	return core.WriteUnknown
 }
 
-// applyFinalRecords applies the final records of jobs that were just written, so that users can be
-// told without waiting for the watch.
+// applyFinalRecords applies the final records of jobs that were just written, so that users see
+// them before the watch delivers them.
 func (n *Node) applyFinalRecords(w core.Write, rev uint64) {
 	for _, p := range w.Puts {
 		if d, ok := p.Value.(core.FinalRecord); ok {
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -23,11 +23,12 @@
 	registry    *registry.Registry
 	maxWaiters  int // limit on concurrent waiters
 	waiterCount int
-	// waiters by the job that they wait for; an empty ID stands for all jobs of a team
+	// waiters holds the waiters by the job that they wait for; an empty ID stands for all jobs of
+	// a team.
 	waiters map[registry.Name]map[*waiter]bool
-	// progressWaiters are waiters by the native job whose counts they wait for
+	// progressWaiters holds the waiters by the native job whose counts they wait for.
 	progressWaiters map[string]map[*waiter]bool
-	// countsChangedAt is when this node last learnt new counts, by unfinished native job
+	// countsChangedAt holds, by unfinished native job, when this node last learnt new counts.
 	countsChangedAt map[string]core.Micros
 }
 
