--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -12,9 +12,11 @@
 // from its own writes or from a peer. A node that answers workers without reading the state
 // service learns from its peers which tasks to stop. The zero value is empty.
 type cancellationLog struct {
-	entries       []peer.Cancellation // in order of revision
-	revisions     map[string]uint64   // by job, of all entries
-	completeAfter uint64              // entries holds every known cancellation with a higher revision; older ones may have been dropped
+	entries   []peer.Cancellation // in order of revision
+	revisions map[string]uint64   // by job, of all entries
+	// entries holds every known cancellation with a higher revision than completeAfter. Older ones
+	// may have been dropped.
+	completeAfter uint64
 }
 
 // maxCancellationsKept covers some minutes of a flood of cancellations. maxCancellationsPerReply
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -304,7 +304,8 @@
 	put := func(key string, v any) {
 		b, err := wire.Marshal(v)
 		if err != nil {
-			n.log.Error("encoding a record failed", "key", key, "err", err) // the value holds only strings and numbers, so this does not fail
+			// The value holds only strings and numbers, so this does not fail.
+			n.log.Error("encoding a record failed", "key", key, "err", err)
 		}
 		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -52,7 +52,9 @@
 
 	Incarnation uint64 `msgpack:"l"`           // random number of the node's process
 	Nonce       uint64 `msgpack:"o,omitempty"` // identifies this reply
-	EchoedNonce uint64 `msgpack:"e,omitempty"` // from the leader: Nonce of the last reply that it received; the delegation counts from that reply
+	// EchoedNonce, from the leader, is the Nonce of the last reply that it received. The
+	// delegation counts from that reply.
+	EchoedNonce uint64 `msgpack:"e,omitempty"`
 	// DelegatedAnswerAge is how long ago the node last answered a worker under delegation, in
 	// microseconds; negative for never.
 	DelegatedAnswerAge int64 `msgpack:"a"`
