--- a/cmd/aspenstall/config.go
+++ b/cmd/aspenstall/config.go
@@ -48,11 +48,11 @@
 // Exit codes of the commands about the configuration, for scripts. A file that can't be used
 // is exitConfig.
 const (
-	exitNotReady   = 3
-	exitConflict   = 4
-	exitNotInForce = 5
-	exitLive       = 6
-	exitDiffers    = 7 // diff: there is something to change
+	exitNotReady    = 3
+	exitConflict    = 4
+	exitNotInForce  = 5
+	exitTeamHasJobs = 6
+	exitDiffers     = 7 // diff: there is something to change
 )
 
 // errDiffers marks that diff found something.
@@ -65,10 +65,10 @@
 		return exitNotReady
 	case errors.Is(err, configclient.ErrConflict):
 		return exitConflict
-	case errors.Is(err, configclient.ErrNotInForce), errors.Is(err, configclient.ErrUnknown):
+	case errors.Is(err, configclient.ErrNotInForce), errors.Is(err, configclient.ErrOutcomeUnknown):
 		return exitNotInForce
-	case errors.Is(err, configclient.ErrLive):
-		return exitLive
+	case errors.Is(err, configclient.ErrTeamHasJobs):
+		return exitTeamHasJobs
 	case errors.Is(err, errDiffers):
 		return exitDiffers
 	}
@@ -97,7 +97,7 @@
 	const connections = 2
 	k := &configclient.Client{
 		Store: statestore.New(p.Services.State, 0, 0, connections, netdial.TCP(time.Second)),
-		Base:  config.ConfigBase(p, s), Limits: p.ConfigLimits(), Controllers: []string{p.Member}, Absent: c.Absent,
+		Base:  config.ClusterConfigBase(p, s), Limits: p.ConfigLimits(), Controllers: []string{p.Member}, Absent: c.Absent,
 	}
 	for _, peer := range p.Peers {
 		k.Controllers = append(k.Controllers, peer.Member)
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "; version %d, revision %d\n", v.Records.Head.Number, v.Records.Stamp)
+	fmt.Fprintf(w, "; version %d, revision %d\n", v.Records.Head.Version, v.Records.HeadRevision)
 	config.WriteClusterConfig(w, v.Config)
 	return nil
 }
@@ -132,7 +132,7 @@
 
 // writeDiff shows what changes, and reports whether anything does.
 func writeDiff(w io.Writer, k *configclient.Client, v *configclient.View, to *clusterconfig.Config) bool {
-	changes := clusterconfig.Diff(v.Config.Over(&k.Base), to.Over(&k.Base))
+	changes := clusterconfig.Diff(v.Config.OverlayOn(&k.Base), to.OverlayOn(&k.Base))
 	for _, d := range changes {
 		fmt.Fprintln(w, d)
 	}
@@ -146,42 +146,42 @@
 	if err != nil {
 		return fmt.Errorf("%w%w", err, errConfig)
 	}
-	v, err := k.Ready(ctx)
+	v, err := k.EnsureReady(ctx)
 	if err != nil {
 		return err
 	}
 	if a.ID == "" {
 		a.ID = newChangeID()
 	}
-	_, made := v.Records.Head.AppliedAs(a.ID)
-	if !made && a.Expect >= 0 && v.Records.Head.Number != uint64(a.Expect) {
+	_, made := v.Records.Head.VersionOfChange(a.ID)
+	if !made && a.Expect >= 0 && v.Records.Head.Version != uint64(a.Expect) {
 		writeDiff(w, k, v, to)
-		return fmt.Errorf("%w: it is version %d, not %d", configclient.ErrConflict, v.Records.Head.Number, a.Expect)
+		return fmt.Errorf("%w: it is version %d, not %d", configclient.ErrConflict, v.Records.Head.Version, a.Expect)
 	}
 	room := core.Resources{CPU: int64(a.FleetCPUs * 1000), GPU: int64(a.FleetGPUs * 1000)}
 	for _, warning := range to.Warnings(&k.Base, room) {
 		fmt.Fprintln(w, "warning:", warning)
 	}
 	if !writeDiff(w, k, v, to) && !made {
-		fmt.Fprintf(w, "nothing to change: version %d\n", v.Records.Head.Number)
+		fmt.Fprintf(w, "nothing to change: version %d\n", v.Records.Head.Version)
 		return nil
 	}
 	m, err := k.Apply(ctx, v, to, a.ID)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "version %d is written, change %s\n", m.Number, a.ID)
-	f, err := k.Await(ctx, v, m, begun)
-	for _, name := range slices.Sorted(maps.Keys(f.After)) {
-		fmt.Fprintf(w, "%s acts by it after %v\n", name, f.After[name].Round(time.Millisecond))
+	fmt.Fprintf(w, "version %d is written, change %s\n", m.Version, a.ID)
+	f, err := k.AwaitInForce(ctx, v, m, begun)
+	for _, name := range slices.Sorted(maps.Keys(f.ConfirmedAfter)) {
+		fmt.Fprintf(w, "%s acts by it after %v\n", name, f.ConfirmedAfter[name].Round(time.Millisecond))
 	}
-	for _, name := range f.ByTime {
+	for _, name := range f.Unconfirmed {
 		fmt.Fprintf(w, "%s says nothing: it decides nothing by an older version since %v\n", name, time.Duration(clusterconfig.InForceAfter)*time.Microsecond)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "in force everywhere after %v\n", f.All.Round(time.Millisecond))
+	fmt.Fprintf(w, "in force everywhere after %v\n", f.EverywhereAfter.Round(time.Millisecond))
 	return nil
 }
 
@@ -190,28 +190,28 @@
 	if err != nil {
 		return err
 	}
-	if v.Records.Stamp == 0 {
+	if v.Records.HeadRevision == 0 {
 		fmt.Fprintln(w, "no configuration was ever made: the platform's file is in force")
 		return nil
 	}
-	fmt.Fprintf(w, "version %d, revision %d\n", v.Records.Head.Number, v.Records.Stamp)
+	fmt.Fprintf(w, "version %d, revision %d\n", v.Records.Head.Version, v.Records.HeadRevision)
 	for _, name := range slices.Sorted(maps.Keys(v.Acks)) {
 		a := v.Acks[name]
 		note := ""
 		switch {
 		case a.Error != "":
 			note = ": " + a.Error
-		case a.Stamp < v.Records.Stamp:
+		case a.HeadRevision < v.Records.HeadRevision:
 			note = ": behind"
 		}
 		leads := ""
 		if name == v.Leader {
 			leads = " (leads)"
 		}
-		fmt.Fprintf(w, "%s%s acts by version %d%s\n", name, leads, a.Number, note)
+		fmt.Fprintf(w, "%s%s acts by version %d%s\n", name, leads, a.Version, note)
 	}
 	notReady := k.NotReady(v)
-	for _, name := range k.Unheard(v) {
+	for _, name := range k.NotReporting(v) {
 		why := "down or cut off"
 		switch {
 		case name == v.Leader:
--- a/cmd/aspenstall/main.go
+++ b/cmd/aspenstall/main.go
@@ -48,7 +48,7 @@
 func main() {
 	var c cli
 	k := kong.Parse(&c, kong.Name("aspenstall"), kong.Description("A cluster scheduler with elastic quotas."))
-	if err := c.do(k.Command()); err != nil {
+	if err := c.execute(k.Command()); err != nil {
 		if !errors.Is(err, errRefused) {
 			fmt.Fprintln(os.Stderr, "aspenstall:", err)
 		}
@@ -67,7 +67,7 @@
 var errConfig = errors.New("")
 
 // do carries out a command.
-func (c *cli) do(command string) error {
+func (c *cli) execute(command string) error {
 	switch command {
 	case "version":
 		fmt.Println("aspenstall", version)
--- a/cmd/aspenstall/names_test.go
+++ b/cmd/aspenstall/names_test.go
@@ -15,7 +15,7 @@
 )
 
 // commands lists commands, arguments and flags with what scripts go by.
-func commands(n *kong.Node, path string) string {
+func describeCommands(n *kong.Node, path string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", path)
 	for _, p := range n.Positional {
@@ -33,7 +33,7 @@
 		if c == n.DefaultCmd {
 			name += " (default)"
 		}
-		b.WriteString(commands(c, name))
+		b.WriteString(describeCommands(c, name))
 	}
 	return b.String()
 }
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile("testdata/commands.txt")
-	if got := commands(k.Model.Node, "aspenstall"); err != nil || got != string(want) {
+	if got := describeCommands(k.Model.Node, "aspenstall"); err != nil || got != string(want) {
 		t.Errorf("got\n%swant\n%s%v", got, want, err)
 	}
 }
@@ -54,8 +54,8 @@
 		err  error
 		want int
 	}{
-		{configclient.ErrNotReady, 3}, {configclient.ErrConflict, 4}, {configclient.ErrNotInForce, 5}, {configclient.ErrUnknown, 5},
-		{configclient.ErrLive, 6}, {errDiffers, 7}, {errors.New("another"), 0},
+		{configclient.ErrNotReady, 3}, {configclient.ErrConflict, 4}, {configclient.ErrNotInForce, 5}, {configclient.ErrOutcomeUnknown, 5},
+		{configclient.ErrTeamHasJobs, 6}, {errDiffers, 7}, {errors.New("another"), 0},
 	} {
 		if got := configExitCode(c.err); got != c.want {
 			t.Errorf("%v: %d, want %d", c.err, got, c.want)
@@ -67,13 +67,13 @@
 }
 
 // What nomad check prints as JSON.
-func TestCheckedNames(t *testing.T) {
+func TestCheckResultNames(t *testing.T) {
 	job := nativeJob{
 		Group: "g", Team: "t", Class: "c", Kind: "gang", Priority: "high", Tasks: 1, CPUs: 2.5, GPUs: 3.5, MemGB: 4.5, Types: []string{"ty"}, Zone: "z",
-		OneZone: true, Spread: true, Spot: true, Image: "im", ImageGB: 5.5, EstimateS: 6.5, CheckpointS: 7.5, SaveCostS: 8.5, DueS: 9.5,
+		OneZone: true, Spread: true, Spot: true, Image: "im", ImageGB: 5.5, EstimateS: 6.5, CheckpointS: 7.5, CheckpointCostS: 8.5, DeadlineS: 9.5,
 	}
 	refusal := refusalView{File: "f", Line: 10, Column: 11, Reason: "r"}
-	all := checked{File: "f", Jobs: []nativeJob{job}, Refusals: []refusalView{refusal}, Warnings: []refusalView{refusal}}
+	all := checkResult{File: "f", Jobs: []nativeJob{job}, Refusals: []refusalView{refusal}, Warnings: []refusalView{refusal}}
 	for _, v := range []any{all, job, refusal} {
 		v := reflect.ValueOf(v)
 		for i := range v.NumField() {
@@ -83,7 +83,7 @@
 		}
 	}
 	var got bytes.Buffer
-	if err := printChecked(&got, "json", []checked{all}); err != nil {
+	if err := printChecked(&got, "json", []checkResult{all}); err != nil {
 		t.Fatal(err)
 	}
 	if want, err := os.ReadFile("testdata/checked.json"); err != nil || got.String() != string(want) {
--- a/cmd/aspenstall/nomad.go
+++ b/cmd/aspenstall/nomad.go
@@ -51,7 +51,7 @@
 var errRefused = errors.New("refused")
 
 // checked is a file's native jobs or what is wrong with it, as JSON prints it.
-type checked struct {
+type checkResult struct {
 	File     string        `json:"file"`
 	Jobs     []nativeJob   `json:"jobs,omitempty"`
 	Refusals []refusalView `json:"refusals,omitempty"`
@@ -67,38 +67,38 @@
 
 // nativeJob is a native job in the words of the project, amounts in units.
 type nativeJob struct {
-	Group       string   `json:"group"`
-	Team        string   `json:"team"`
-	Class       string   `json:"class"`
-	Kind        string   `json:"kind"`
-	Priority    string   `json:"priority"`
-	Tasks       int      `json:"tasks"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"gpus"`
-	MemGB       float64  `json:"mem_gb"`
-	Types       []string `json:"types,omitempty"`
-	Zone        string   `json:"zone,omitempty"`
-	OneZone     bool     `json:"one_zone,omitempty"`
-	Spread      bool     `json:"spread,omitempty"`
-	Spot        bool     `json:"spot,omitempty"`
-	Image       string   `json:"image"`
-	ImageGB     float64  `json:"image_gb"`
-	EstimateS   float64  `json:"estimate_s"`
-	CheckpointS float64  `json:"checkpoint_s,omitempty"`
-	SaveCostS   float64  `json:"save_cost_s,omitempty"`
-	DueS        float64  `json:"due_s,omitempty"`
+	Group           string   `json:"group"`
+	Team            string   `json:"team"`
+	Class           string   `json:"class"`
+	Kind            string   `json:"kind"`
+	Priority        string   `json:"priority"`
+	Tasks           int      `json:"tasks"`
+	CPUs            float64  `json:"cpus"`
+	GPUs            float64  `json:"gpus"`
+	MemGB           float64  `json:"mem_gb"`
+	Types           []string `json:"types,omitempty"`
+	Zone            string   `json:"zone,omitempty"`
+	OneZone         bool     `json:"one_zone,omitempty"`
+	Spread          bool     `json:"spread,omitempty"`
+	Spot            bool     `json:"spot,omitempty"`
+	Image           string   `json:"image"`
+	ImageGB         float64  `json:"image_gb"`
+	EstimateS       float64  `json:"estimate_s"`
+	CheckpointS     float64  `json:"checkpoint_s,omitempty"`
+	CheckpointCostS float64  `json:"save_cost_s,omitempty"`
+	DeadlineS       float64  `json:"due_s,omitempty"`
 }
 
-func nativeOf(group string, s *core.JobSpec) nativeJob {
+func newNativeJob(group string, s *core.JobSpec) nativeJob {
 	return nativeJob{
 		Group: group, Team: s.Team, Class: s.Class, Kind: [...]string{"array", "gang", "service"}[s.Kind], Priority: s.Priority.String(), Tasks: s.Tasks,
-		CPUs: float64(s.Request.CPU) / 1000, GPUs: float64(s.Request.GPU) / 1000, MemGB: float64(s.Request.Mem) / 1000,
+		CPUs: float64(s.Resources.CPU) / 1000, GPUs: float64(s.Resources.GPU) / 1000, MemGB: float64(s.Resources.Mem) / 1000,
 		Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Image: s.Image, ImageGB: float64(s.ImageMB) / 1000,
-		EstimateS: float64(s.EstimatedRun) / 1e6, CheckpointS: float64(s.CheckpointInterval) / 1e6, SaveCostS: float64(s.CheckpointCost) / 1e6, DueS: float64(s.Deadline) / 1e6,
+		EstimateS: float64(s.EstimatedRun) / 1e6, CheckpointS: float64(s.CheckpointInterval) / 1e6, CheckpointCostS: float64(s.CheckpointCost) / 1e6, DeadlineS: float64(s.Deadline) / 1e6,
 	}
 }
 
-func views(ps jobfile.Problems) []refusalView {
+func refusalViews(ps jobfile.Problems) []refusalView {
 	var out []refusalView
 	for _, p := range ps {
 		out = append(out, refusalView{p.File, p.Line, p.Column, p.Text})
@@ -125,7 +125,7 @@
 		}
 		o.VarFiles = append(o.VarFiles, jobfile.VarFile{Name: path, Source: b})
 	}
-	var all []checked
+	var all []checkResult
 	bad := false
 	for _, path := range c.Files {
 		k, err := checkFile(path, o, t)
@@ -144,8 +144,8 @@
 	return nil
 }
 
-func checkFile(path string, o jobfile.Options, t translate.Terms) (checked, error) {
-	k := checked{File: path}
+func checkFile(path string, o jobfile.Options, t translate.Terms) (checkResult, error) {
+	k := checkResult{File: path}
 	src, err := os.ReadFile(path)
 	if err != nil {
 		return k, err
@@ -153,21 +153,21 @@
 	f, err := jobfile.Parse(path, src, o)
 	var ps jobfile.Problems
 	if errors.As(err, &ps) {
-		k.Refusals = views(ps)
+		k.Refusals = refusalViews(ps)
 		return k, nil
 	}
 	if err != nil {
 		return k, err
 	}
 	groups, ps := translate.Job(f, t)
-	k.Refusals, k.Warnings = views(ps), views(translate.Warnings(f))
+	k.Refusals, k.Warnings = refusalViews(ps), refusalViews(translate.Warnings(f))
 	for i := range groups {
-		k.Jobs = append(k.Jobs, nativeOf(groups[i].Name, &groups[i].Spec))
+		k.Jobs = append(k.Jobs, newNativeJob(groups[i].Name, &groups[i].Spec))
 	}
 	return k, nil
 }
 
-func printChecked(w io.Writer, output string, all []checked) error {
+func printChecked(w io.Writer, output string, all []checkResult) error {
 	if output == "json" {
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
@@ -185,7 +185,7 @@
 			}
 		}
 		for _, j := range k.Jobs {
-			if _, err := fmt.Fprintf(w, "%s: group %s: %s\n", k.File, j.Group, j.line()); err != nil {
+			if _, err := fmt.Fprintf(w, "%s: group %s: %s\n", k.File, j.Group, j.summary()); err != nil {
 				return err
 			}
 		}
@@ -194,18 +194,18 @@
 }
 
 // line is a native job in one line.
-func (j *nativeJob) line() string {
+func (j *nativeJob) summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s of %d for team %s, class %s, priority %s; each %v CPUs, %v GPUs, %v GB; image %s of %v GB",
 		j.Kind, j.Tasks, j.Team, j.Class, j.Priority, j.CPUs, j.GPUs, j.MemGB, j.Image, j.ImageGB)
 	if j.EstimateS > 0 {
 		fmt.Fprintf(&b, "; runs about %v s", j.EstimateS)
 	}
-	if j.DueS > 0 {
-		fmt.Fprintf(&b, "; due in %v s", j.DueS)
+	if j.DeadlineS > 0 {
+		fmt.Fprintf(&b, "; due in %v s", j.DeadlineS)
 	}
 	if j.CheckpointS > 0 {
-		fmt.Fprintf(&b, "; saves every %v s in %v s", j.CheckpointS, j.SaveCostS)
+		fmt.Fprintf(&b, "; saves every %v s in %v s", j.CheckpointS, j.CheckpointCostS)
 	}
 	if j.Types != nil {
 		fmt.Fprintf(&b, "; on %s", strings.Join(j.Types, ", "))
@@ -264,7 +264,7 @@
 
 // serveNomad serves Nomad's clients on a listener of their own.
 func serveNomad(n *node.Node, s *config.Nomad, log *slog.Logger) error {
-	return serveAside("Nomad's clients", s.Listen, s.Conns, log, &http.Server{
+	return serveAuxiliary("Nomad's clients", s.Listen, s.MaxConns, log, &http.Server{
 		Handler:           httpapi.Handler(n, s, log),
 		ReadHeaderTimeout: 10 * time.Second, // bodies and answers have limits of their own: queries wait long
 		IdleTimeout:       2 * time.Minute,
@@ -272,7 +272,7 @@
 }
 
 // serveAside serves others than users and workers, on a listener of their own.
-func serveAside(whom, address string, conns int, log *slog.Logger, srv *http.Server) error {
+func serveAuxiliary(whom, address string, conns int, log *slog.Logger, srv *http.Server) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
--- a/cmd/aspenstall/notify.go
+++ b/cmd/aspenstall/notify.go
@@ -89,7 +89,7 @@
 
 // serveOperators serves the commands about notifications.
 func serveOperators(n *node.Node, address string, log *slog.Logger) error {
-	return serveAside("operators", address, 16, log, &http.Server{
+	return serveAuxiliary("operators", address, 16, log, &http.Server{
 		Handler: control.Handler(n), ReadTimeout: 10 * time.Second, WriteTimeout: 20 * time.Second,
 	})
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -117,7 +117,7 @@
 
 // Release returns machines to the cloud. If it returns no error, they are gone.
 func (c *Client) Release(ctx context.Context, names []string) error {
-	status, _, err := c.do(ctx, http.MethodPost, wire.MachineReturnPath, &wire.MachineNames{Machines: names})
+	status, _, err := c.do(ctx, http.MethodPost, wire.MachineReleasePath, &wire.MachineNames{Machines: names})
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("return: status %d", status)
 	}
--- a/internal/clusterconfig/clusterconfig.go
+++ b/internal/clusterconfig/clusterconfig.go
@@ -19,9 +19,9 @@
 
 // Team is what is configured for a team.
 type Team struct {
-	Min, Max core.Resources // CPU and GPU, in thousandths; 0 in Max: no limit
-	Cap      core.Priority  // the highest that it may ask for
-	Draining bool           // it takes no new jobs
+	Min, Max    core.Resources // CPU and GPU, in thousandths; 0 in Max: no limit
+	PriorityCap core.Priority  // the highest that it may ask for
+	Draining    bool           // it takes no new jobs
 }
 
 // Tuning are the settings that may change while the cluster serves; nil: as the controllers
@@ -61,26 +61,26 @@
 // Over lays a configuration over the base. It is total: a configuration that was checked
 // against another base is cut back to this one's limits, so that a limit that the platform
 // sets is never passed.
-func (c *Config) Over(b *Base) Effective {
-	e := Effective{Teams: maps.Clone(b.Teams), Tuning: c.Tuning.over(b.Tuning)}
+func (c *Config) OverlayOn(b *Base) Effective {
+	e := Effective{Teams: maps.Clone(b.Teams), Tuning: c.Tuning.overlayOn(b.Tuning)}
 	if e.Teams == nil {
 		e.Teams = map[string]Team{}
 	}
 	for name, t := range c.Teams {
 		if outer, ok := b.Teams[name]; ok {
-			t.Max.CPU = limitWithin(t.Max.CPU, outer.Max.CPU)
-			t.Max.GPU = limitWithin(t.Max.GPU, outer.Max.GPU)
-			t.Cap = min(t.Cap, outer.Cap)
+			t.Max.CPU = clampLimit(t.Max.CPU, outer.Max.CPU)
+			t.Max.GPU = clampLimit(t.Max.GPU, outer.Max.GPU)
+			t.PriorityCap = min(t.PriorityCap, outer.PriorityCap)
 		}
-		t.Min.CPU = guaranteeWithin(t.Min.CPU, t.Max.CPU)
-		t.Min.GPU = guaranteeWithin(t.Min.GPU, t.Max.GPU)
+		t.Min.CPU = clampGuarantee(t.Min.CPU, t.Max.CPU)
+		t.Min.GPU = clampGuarantee(t.Min.GPU, t.Max.GPU)
 		e.Teams[name] = t
 	}
 	return e
 }
 
 // limitWithin cuts a limit back to an outer one; 0 is none for either.
-func limitWithin(limit, outer int64) int64 {
+func clampLimit(limit, outer int64) int64 {
 	if outer > 0 && (limit == 0 || limit > outer) {
 		return outer
 	}
@@ -88,14 +88,14 @@
 }
 
 // guaranteeWithin cuts a guarantee back to a limit, of which 0 is none.
-func guaranteeWithin(guarantee, limit int64) int64 {
+func clampGuarantee(guarantee, limit int64) int64 {
 	if limit > 0 {
 		return min(guarantee, limit)
 	}
 	return guarantee
 }
 
-func (t Tuning) over(b core.Tuning) core.Tuning {
+func (t Tuning) overlayOn(b core.Tuning) core.Tuning {
 	seconds := func(s *float64, d *core.Micros) {
 		if s != nil {
 			*d = core.Seconds(*s)
@@ -120,12 +120,12 @@
 // Error says it in one line.
 func (p *Problem) Error() string { return strings.Join(p.Path, " ") + ": " + p.Reason }
 
-func problem(team, field, format string, args ...any) *Problem {
+func teamProblem(team, field, format string, args ...any) *Problem {
 	return &Problem{Path: []string{":teams", fmt.Sprintf("%q", team), field}, Reason: fmt.Sprintf(format, args...)}
 }
 
 // MaxTeamName is the longest name of a team that is added, in bytes.
-const MaxTeamName = 64
+const MaxTeamNameBytes = 64
 
 // Check holds a configuration against the base; nil if it may be written.
 func (c *Config) Check(b *Base) *Problem {
@@ -138,8 +138,8 @@
 }
 
 func checkTeam(name string, t Team, b *Base) *Problem {
-	if name == "" || len(name) > MaxTeamName || strings.ContainsAny(name, " \t\n") {
-		return &Problem{Path: []string{":teams", fmt.Sprintf("%q", name)}, Reason: fmt.Sprintf("want a name of 1 to %d bytes without spaces", MaxTeamName)}
+	if name == "" || len(name) > MaxTeamNameBytes || strings.ContainsAny(name, " \t\n") {
+		return &Problem{Path: []string{":teams", fmt.Sprintf("%q", name)}, Reason: fmt.Sprintf("want a name of 1 to %d bytes without spaces", MaxTeamNameBytes)}
 	}
 	outer, known := b.Teams[name]
 	for _, r := range []struct {
@@ -150,41 +150,41 @@
 	} {
 		switch {
 		case r.min < 0 || r.max < 0:
-			return problem(name, r.field, "negative")
+			return teamProblem(name, r.field, "negative")
 		case r.max > 0 && r.min > r.max:
-			return problem(name, r.field, "the guarantee %v is over the limit %v", Amount(r.min), Amount(r.max))
+			return teamProblem(name, r.field, "the guarantee %v is over the limit %v", Units(r.min), Units(r.max))
 		case known && r.outer > 0 && (r.max == 0 || r.max > r.outer):
-			return problem(name, r.field+"-max", "the limit is over the platform's, %v", Amount(r.outer))
+			return teamProblem(name, r.field+"-max", "the limit is over the platform's, %v", Units(r.outer))
 		}
 	}
-	if known && t.Cap > outer.Cap {
-		return problem(name, ":cap", "higher than the settings' cap, :%v", outer.Cap)
+	if known && t.PriorityCap > outer.PriorityCap {
+		return teamProblem(name, ":cap", "higher than the settings' cap, :%v", outer.PriorityCap)
 	}
 	return nil
 }
 
 // Amount is what thousandths of a resource make.
-func Amount(thousandths int64) float64 { return float64(thousandths) / 1000 }
+func Units(thousandths int64) float64 { return float64(thousandths) / 1000 }
 
 // Warnings say what is allowed and may not be meant: room is what the fleet can have.
 func (c *Config) Warnings(b *Base, room core.Resources) []string {
 	var sum core.Resources
-	for _, t := range c.Over(b).Teams {
+	for _, t := range c.OverlayOn(b).Teams {
 		sum = sum.Add(t.Min)
 	}
 	var out []string
 	if room.CPU > 0 && sum.CPU > room.CPU {
-		out = append(out, fmt.Sprintf("the guarantees add up to %v CPUs, the fleet has %v", Amount(sum.CPU), Amount(room.CPU)))
+		out = append(out, fmt.Sprintf("the guarantees add up to %v CPUs, the fleet has %v", Units(sum.CPU), Units(room.CPU)))
 	}
 	if room.GPU > 0 && sum.GPU > room.GPU {
-		out = append(out, fmt.Sprintf("the guarantees add up to %v GPUs, the fleet has %v", Amount(sum.GPU), Amount(room.GPU)))
+		out = append(out, fmt.Sprintf("the guarantees add up to %v GPUs, the fleet has %v", Units(sum.GPU), Units(room.GPU)))
 	}
 	return out
 }
 
 // Removed lists the teams that only the former configuration knows: their jobs would have
 // no team. A team of the base is never removed.
-func Removed(from, to *Config, b *Base) []string {
+func RemovedTeams(from, to *Config, b *Base) []string {
 	var out []string
 	for name := range from.Teams {
 		_, stays := to.Teams[name]
@@ -220,7 +220,7 @@
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		a, inA := from.Teams[name]
 		b, inB := to.Teams[name]
-		before, after := fieldsOf(a, inA), fieldsOf(b, inB)
+		before, after := teamFields(a, inA), teamFields(b, inB)
 		for i := range before {
 			if before[i].value != after[i].value {
 				out = append(out, Difference{name, before[i].name, before[i].value, after[i].value})
@@ -238,11 +238,11 @@
 
 type field struct{ name, value string }
 
-func fieldsOf(t Team, known bool) []field {
+func teamFields(t Team, known bool) []field {
 	f := []field{
-		{":cpus", fmt.Sprint(Amount(t.Min.CPU))}, {":cpus-max", limitText(t.Max.CPU)},
-		{":gpus", fmt.Sprint(Amount(t.Min.GPU))}, {":gpus-max", limitText(t.Max.GPU)},
-		{":cap", ":" + t.Cap.String()}, {":draining", fmt.Sprint(t.Draining)},
+		{":cpus", fmt.Sprint(Units(t.Min.CPU))}, {":cpus-max", formatLimit(t.Max.CPU)},
+		{":gpus", fmt.Sprint(Units(t.Min.GPU))}, {":gpus-max", formatLimit(t.Max.GPU)},
+		{":cap", ":" + t.PriorityCap.String()}, {":draining", fmt.Sprint(t.Draining)},
 	}
 	if !known {
 		for i := range f {
@@ -252,11 +252,11 @@
 	return f
 }
 
-func limitText(thousandths int64) string {
+func formatLimit(thousandths int64) string {
 	if thousandths == 0 {
 		return "unlimited"
 	}
-	return fmt.Sprint(Amount(thousandths))
+	return fmt.Sprint(Units(thousandths))
 }
 
 func tuningFields(t core.Tuning) []field {
--- a/internal/clusterconfig/clusterconfig_test.go
+++ b/internal/clusterconfig/clusterconfig_test.go
@@ -17,7 +17,7 @@
 )
 
 func cpus(least, most int64) clusterconfig.Team {
-	return clusterconfig.Team{Min: core.Resources{CPU: least}, Max: core.Resources{CPU: most}, Cap: core.Production}
+	return clusterconfig.Team{Min: core.Resources{CPU: least}, Max: core.Resources{CPU: most}, PriorityCap: core.Production}
 }
 
 var base = clusterconfig.Base{
@@ -25,7 +25,7 @@
 	Tuning: core.Tuning{IdleTimeout: 10 * core.Second, SpareTasks: 3},
 }
 
-func TestOver(t *testing.T) {
+func TestOverlayOn(t *testing.T) {
 	idle := 2.5
 	for _, c := range []struct {
 		name   string
@@ -47,7 +47,7 @@
 			map[string]clusterconfig.Team{"blue": cpus(4000, 8000), "free": cpus(0, 0), "red": cpus(1, 2)}, 2500 * core.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := c.config.Over(&base)
+			e := c.config.OverlayOn(&base)
 			if !maps.Equal(e.Teams, c.want) || e.Tuning.IdleTimeout != c.idle || e.Tuning.SpareTasks != 3 {
 				t.Errorf("got %+v", e)
 			}
@@ -57,7 +57,7 @@
 
 func TestCheck(t *testing.T) {
 	low := cpus(0, 8000)
-	low.Cap = core.Normal
+	low.PriorityCap = core.Normal
 	capped := clusterconfig.Base{Teams: map[string]clusterconfig.Team{"blue": low}}
 	for _, c := range []struct {
 		name, team string
@@ -90,7 +90,7 @@
 func TestDiffAndWarnings(t *testing.T) {
 	to := clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": cpus(4000, 6000), "red": cpus(90_000, 0)}}
 	var got []string
-	for _, d := range clusterconfig.Diff((&clusterconfig.Config{}).Over(&base), to.Over(&base)) {
+	for _, d := range clusterconfig.Diff((&clusterconfig.Config{}).OverlayOn(&base), to.OverlayOn(&base)) {
 		got = append(got, d.String())
 	}
 	want := []string{
@@ -103,36 +103,36 @@
 	if w := to.Warnings(&base, core.Resources{CPU: 50_000}); len(w) != 1 || !strings.Contains(w[0], "94 CPUs") {
 		t.Errorf("warnings %q", w)
 	}
-	if gone := clusterconfig.Removed(&to, &clusterconfig.Config{}, &base); !slices.Equal(gone, []string{"red"}) {
+	if gone := clusterconfig.RemovedTeams(&to, &clusterconfig.Config{}, &base); !slices.Equal(gone, []string{"red"}) {
 		t.Errorf("removed %q: a team of the platform never is", gone)
 	}
 }
 
 // store is a state service for the records alone.
-type store struct {
+type fakeStore struct {
 	revision uint64
 	keys     map[string]entry
 	log      []change
 }
 
 type entry struct {
-	value []byte
-	stamp uint64
+	value    []byte
+	revision uint64
 }
 
 type change struct {
-	key   string
-	value []byte // nil: dropped
-	stamp uint64
+	key      string
+	value    []byte // nil: dropped
+	revision uint64
 }
 
 // commit carries out a transaction of a plan.
-func (s *store) commit(t *testing.T, head uint64, writes []clusterconfig.Write, limits clusterconfig.Limits) bool {
+func (s *fakeStore) commit(t *testing.T, head uint64, writes []clusterconfig.Write, limits clusterconfig.Limits) bool {
 	t.Helper()
 	if len(writes) > limits.TxnOps {
 		t.Fatalf("%d changes in a transaction of %d", len(writes), limits.TxnOps)
 	}
-	if s.keys[clusterconfig.HeadKey].stamp != head {
+	if s.keys[clusterconfig.HeadKey].revision != head {
 		return false
 	}
 	s.revision++
@@ -155,14 +155,14 @@
 	return true
 }
 
-func (s *store) records(t *testing.T) *clusterconfig.Records {
+func (s *fakeStore) records(t *testing.T) *clusterconfig.Records {
 	t.Helper()
 	r := &clusterconfig.Records{Pages: map[string]clusterconfig.Page{}}
 	for key, e := range s.keys {
 		var err error
 		if key == clusterconfig.HeadKey {
 			r.Head, err = wire.DecodeConfigHead(e.value)
-			r.Stamp = e.stamp
+			r.HeadRevision = e.revision
 		} else {
 			r.Pages[key], err = wire.DecodeConfigPage(e.value)
 		}
@@ -174,29 +174,29 @@
 }
 
 // tell gives a follower one record as it was read.
-func tell(f *clusterconfig.Follower, c change) {
+func feedFollower(f *clusterconfig.Follower, c change) {
 	switch {
 	case c.value == nil:
-		f.Drop(c.key, c.stamp)
+		f.DropPage(c.key, c.revision)
 	case c.key == clusterconfig.HeadKey:
 		h, err := wire.DecodeConfigHead(c.value)
-		f.Head(h, c.stamp, err)
+		f.UpdateHead(h, c.revision, err)
 	default:
 		p, err := wire.DecodeConfigPage(c.value)
 		if err == nil {
-			f.Page(c.key, p, c.stamp)
+			f.UpdatePage(c.key, p, c.revision)
 		}
 	}
 }
 
 // walker is an operator whose transactions are carried out one by one, late or never.
-type walker struct {
+type operator struct {
 	plan *clusterconfig.Plan
 	to   *clusterconfig.Config
 	next int
 }
 
-var walks = flag.Int("walks", 60, "how many random walks TestRandomWalk does")
+var walkCount = flag.Int("walks", 60, "how many random walks TestRandomWalk does")
 
 // TestRandomWalk has three operators change the configuration, with their transactions
 // interleaved, lost, late and repeated, and three followers read it in pieces, from the
@@ -207,11 +207,11 @@
 func TestRandomWalk(t *testing.T) {
 	limits := clusterconfig.Limits{ValueBytes: 400, TxnOps: 3}
 	made, conflicts, spanned := 0, 0, 0
-	for seed := range *walks {
+	for seed := range *walkCount {
 		r := rand.New(rand.NewPCG(uint64(seed), 1))
-		s := &store{keys: map[string]entry{}}
+		s := &fakeStore{keys: map[string]entry{}}
 		versions := map[uint64]*clusterconfig.Config{} // by the head's stamp
-		var walkers [3]*walker
+		var walkers [3]*operator
 		var late []func()
 		followers := make([]*clusterconfig.Follower, 3)
 		read := make([]int, 3) // of the log
@@ -219,8 +219,8 @@
 		for i := range followers {
 			followers[i] = clusterconfig.NewFollower()
 		}
-		carryOut := func(w *walker, n int) bool {
-			ok := s.commit(t, w.plan.Stamp, w.plan.Transactions[n], limits)
+		carryOut := func(w *operator, n int) bool {
+			ok := s.commit(t, w.plan.HeadRevision, w.plan.Transactions[n], limits)
 			if ok && n == len(w.plan.Transactions)-1 {
 				versions[s.revision] = w.to
 				made++
@@ -232,15 +232,15 @@
 		}
 		resolve := func(i int) {
 			f := followers[i]
-			if _, err := f.Resolve(); err != nil && !errors.Is(err, clusterconfig.ErrIncomplete) {
+			if _, err := f.Resolve(); err != nil && !errors.Is(err, clusterconfig.ErrPageMissing) {
 				t.Fatal(err)
 			}
-			_, stamp := f.Acted()
-			if stamp < acted[i] {
-				t.Fatalf("seed %d: a follower went back from %d to %d", seed, acted[i], stamp)
+			_, revision := f.EffectiveVersion()
+			if revision < acted[i] {
+				t.Fatalf("seed %d: a follower went back from %d to %d", seed, acted[i], revision)
 			}
-			acted[i] = stamp
-			if stamp > 0 && !sameTeams(f.Config(), versions[stamp]) {
+			acted[i] = revision
+			if revision > 0 && !sameTeams(f.Config(), versions[revision]) {
 				t.Fatalf("seed %d: a follower acts by what was never a version", seed)
 			}
 		}
@@ -252,7 +252,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				walkers[i] = &walker{plan: plan, to: to}
+				walkers[i] = &operator{plan: plan, to: to}
 			case 1, 2, 3: // its next transaction is carried out, or lost, or late; or repeated
 				w := walkers[i]
 				if w == nil || w.next >= len(w.plan.Transactions) {
@@ -284,13 +284,13 @@
 				from := max(0, read[i]-r.IntN(3))
 				to := from + r.IntN(len(s.log)-from+1)
 				for _, c := range s.log[from:to] {
-					tell(followers[i], c)
+					feedFollower(followers[i], c)
 				}
 				read[i] = max(read[i], to)
 				resolve(i)
 			case 6: // it reads everything
 				for key, e := range s.keys {
-					tell(followers[i], change{key, e.value, e.stamp})
+					feedFollower(followers[i], change{key, e.value, e.revision})
 				}
 				read[i] = len(s.log)
 				resolve(i)
@@ -300,7 +300,7 @@
 		}
 		for i, f := range followers {
 			for _, c := range s.log {
-				tell(f, c)
+				feedFollower(f, c)
 			}
 			resolve(i)
 			if !f.Current() {
@@ -312,7 +312,7 @@
 		}
 	}
 	t.Logf("%d versions, %d conflicts, %d of several transactions", made, conflicts, spanned)
-	if made < 5**walks || conflicts < *walks || spanned < *walks {
+	if made < 5**walkCount || conflicts < *walkCount || spanned < *walkCount {
 		t.Errorf("the walks lack versions (%d), conflicts (%d) or changes of several transactions (%d)", made, conflicts, spanned)
 	}
 }
@@ -333,26 +333,26 @@
 
 // TestOlderReads: what an overlapping read brings late changes nothing, and leaves the
 // follower sure of what it has.
-func TestOlderReads(t *testing.T) {
+func TestStaleReads(t *testing.T) {
 	page := clusterconfig.PagePrefix + "x"
 	of := func(number uint64) clusterconfig.Head {
-		return clusterconfig.Head{Format: clusterconfig.Format, Number: number, Pages: []string{page}}
+		return clusterconfig.Head{Format: clusterconfig.Format, Version: number, Pages: []string{page}}
 	}
 	f := clusterconfig.NewFollower()
-	f.Page(page, clusterconfig.Page{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 1)}}, 4) // dropped at 6, and written anew
-	f.Page(page, clusterconfig.Page{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 1)}}, 8)
-	f.Head(of(3), 8, nil)
+	f.UpdatePage(page, clusterconfig.Page{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 1)}}, 4) // dropped at 6, and written anew
+	f.UpdatePage(page, clusterconfig.Page{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 1)}}, 8)
+	f.UpdateHead(of(3), 8, nil)
 	if changed, err := f.Resolve(); !changed || err != nil {
 		t.Fatal(changed, err)
 	}
-	f.Head(of(1), 4, nil)
-	f.Page(page, clusterconfig.Page{}, 4)
-	f.Drop(page, 6)
+	f.UpdateHead(of(1), 4, nil)
+	f.UpdatePage(page, clusterconfig.Page{}, 4)
+	f.DropPage(page, 6)
 	changed, err := f.Resolve()
-	if number, _ := f.Acted(); changed || err != nil || number != 3 || !f.Current() {
+	if number, _ := f.EffectiveVersion(); changed || err != nil || number != 3 || !f.Current() {
 		t.Errorf("after an older read: changed %v, %v, version %d, current %v", changed, err, number, f.Current())
 	}
-	f.Head(of(4), 9, nil) // names the page that has stayed
+	f.UpdateHead(of(4), 9, nil) // names the page that has stayed
 	if changed, err := f.Resolve(); !changed || err != nil || f.Config().Teams["blue"] != cpus(0, 1) {
 		t.Errorf("the page of the next version: changed %v, %v, %+v", changed, err, f.Config())
 	}
@@ -360,23 +360,23 @@
 
 // TestNewer: a head of a newer format is refused in one line, and nothing is decided by it
 // or by what was before.
-func TestNewer(t *testing.T) {
+func TestNewerFormat(t *testing.T) {
 	f := clusterconfig.NewFollower()
 	if !f.MayDecide(100*core.Second, 0) {
 		t.Error("nothing may be decided where there is no configuration")
 	}
-	f.Head(clusterconfig.Head{Format: clusterconfig.Format}, 1, nil)
-	if changed, err := f.Resolve(); !changed || err != nil || !f.MayDecide(core.Second, 0) || f.MayDecide(clusterconfig.FreshFor, 0) {
+	f.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format}, 1, nil)
+	if changed, err := f.Resolve(); !changed || err != nil || !f.MayDecide(core.Second, 0) || f.MayDecide(clusterconfig.FreshnessTTL, 0) {
 		t.Errorf("changed %v, %v; may decide by what was read just now, and not by older", changed, err)
 	}
-	f.Head(clusterconfig.Head{Format: clusterconfig.Format + 1}, 2, nil)
-	if changed, err := f.Resolve(); changed || !errors.Is(err, clusterconfig.ErrNewer) || f.MayDecide(0, 0) {
+	f.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format + 1}, 2, nil)
+	if changed, err := f.Resolve(); changed || !errors.Is(err, clusterconfig.ErrNewerFormat) || f.MayDecide(0, 0) {
 		t.Errorf("changed %v, %v; nothing may be decided", changed, err)
 	}
 	if _, err := f.Resolve(); err != nil {
 		t.Errorf("it is said again: %v", err)
 	}
-	f.Head(clusterconfig.Head{Format: clusterconfig.Format}, 3, nil)
+	f.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format}, 3, nil)
 	if changed, err := f.Resolve(); !changed || err != nil || !f.MayDecide(0, 0) {
 		t.Errorf("after one that can be read: changed %v, %v", changed, err)
 	}
--- a/internal/clusterconfig/record.go
+++ b/internal/clusterconfig/record.go
@@ -27,29 +27,29 @@
 
 // keptChanges is how many of the last changes the head names, so that whoever got no answer
 // finds out whether its change was made.
-const keptChanges = 16
+const maxRecentChanges = 16
 
 // Head is the record that says which version there is.
 type Head struct {
-	Format int
-	Number uint64   // of the version: each is one more than the one before
-	Pages  []string // keys
-	Last   []Applied
-	Tuning Tuning
+	Format        int
+	Version       uint64   // of the version: each is one more than the one before
+	Pages         []string // keys
+	RecentChanges []AppliedChange
+	Tuning        Tuning
 }
 
 // Applied is a change that was made.
-type Applied struct {
-	ID     string
-	Number uint64
+type AppliedChange struct {
+	ID      string
+	Version uint64
 }
 
 // AppliedAs is the number of the version that a change made; false if the head does not
 // name it.
-func (h *Head) AppliedAs(id string) (number uint64, ok bool) {
-	for _, a := range h.Last {
+func (h *Head) VersionOfChange(id string) (number uint64, ok bool) {
+	for _, a := range h.RecentChanges {
 		if a.ID == id {
-			return a.Number, true
+			return a.Version, true
 		}
 	}
 	return 0, false
@@ -60,43 +60,43 @@
 
 // Ack is what a controller says of itself.
 type Ack struct {
-	Format int // the newest that it reads
-	Stamp  uint64
-	Number uint64
-	Peers  []string // the other controllers that it knows
-	Error  string   // why it can't act by the version that there is
+	Format       int // the newest that it reads
+	HeadRevision uint64
+	Version      uint64
+	Peers        []string // the other controllers that it knows
+	Error        string   // why it can't act by the version that there is
 	// Earlier are the peers whose last word was one of an earlier version of the program.
-	Earlier []string
+	OlderPeers []string
 }
 
 // Records are what is stored: the head with its version in the state service, and its pages.
 type Records struct {
-	Head  Head
-	Stamp uint64 // of the head; 0: there is none
-	Pages map[string]Page
+	Head         Head
+	HeadRevision uint64 // of the head; 0: there is none
+	Pages        map[string]Page
 }
 
 // Errors of records.
 var (
 	// ErrNewer: a newer version of the program wrote the records.
-	ErrNewer = errors.New("the configuration was written by a newer version of the program")
+	ErrNewerFormat = errors.New("the configuration was written by a newer version of the program")
 	// ErrIncomplete: a page is missing; what drops it is under way.
-	ErrIncomplete = errors.New("a page of the configuration is missing")
+	ErrPageMissing = errors.New("a page of the configuration is missing")
 )
 
 // Config puts the pages together.
 func (r *Records) Config() (*Config, error) {
 	c := &Config{Teams: map[string]Team{}}
-	if r.Stamp == 0 {
+	if r.HeadRevision == 0 {
 		return c, nil
 	}
 	if r.Head.Format > Format {
-		return nil, fmt.Errorf("%w: format %d, this one reads %d", ErrNewer, r.Head.Format, Format)
+		return nil, fmt.Errorf("%w: format %d, this one reads %d", ErrNewerFormat, r.Head.Format, Format)
 	}
 	for _, key := range r.Head.Pages {
 		p, ok := r.Pages[key]
 		if !ok {
-			return nil, fmt.Errorf("%w: %s", ErrIncomplete, key)
+			return nil, fmt.Errorf("%w: %s", ErrPageMissing, key)
 		}
 		maps.Copy(c.Teams, p.Teams)
 	}
@@ -129,37 +129,37 @@
 // last one writes the head. Pages are named by what they hold, so that a late or repeated
 // write of one can't replace another.
 type Plan struct {
-	Stamp        uint64 // of the head that was read; 0: that there is none
+	HeadRevision uint64 // of the head that was read; 0: that there is none
 	Transactions [][]Write
-	Number       uint64
+	Version      uint64
 	// Drops are pages that nothing names any more once the head is written.
-	Drops []string
+	UnusedPages []string
 }
 
 // PlanChange says how to write a configuration over records.
 func PlanChange(r *Records, to *Config, id string, limits Limits, codec Codec) (*Plan, error) {
-	head := Head{Format: Format, Number: r.Head.Number + 1, Tuning: to.Tuning}
-	if r.Stamp == 0 {
-		head.Number = 0 // what enables configuration; it has none yet
+	head := Head{Format: Format, Version: r.Head.Version + 1, Tuning: to.Tuning}
+	if r.HeadRevision == 0 {
+		head.Version = 0 // what enables configuration; it has none yet
 	}
-	head.Last = append(slices.Clone(r.Head.Last), Applied{id, head.Number})
-	head.Last = head.Last[max(len(head.Last)-keptChanges, 0):]
-	pages, writes, err := repage(r, to, limits, codec)
+	head.RecentChanges = append(slices.Clone(r.Head.RecentChanges), AppliedChange{id, head.Version})
+	head.RecentChanges = head.RecentChanges[max(len(head.RecentChanges)-maxRecentChanges, 0):]
+	pages, writes, err := assignPages(r, to, limits, codec)
 	if err != nil {
 		return nil, err
 	}
 	head.Pages = pages
 	last := Write{Key: HeadKey, Head: &head}
-	for err := fits(last, limits, codec); err != nil; err = fits(last, limits, codec) {
-		if len(head.Last) == 1 {
+	for err := checkSize(last, limits, codec); err != nil; err = checkSize(last, limits, codec) {
+		if len(head.RecentChanges) == 1 {
 			return nil, fmt.Errorf("the list of %d pages: %w", len(pages), err)
 		}
-		head.Last = head.Last[1:]
+		head.RecentChanges = head.RecentChanges[1:]
 	}
-	p := &Plan{Stamp: r.Stamp, Number: head.Number}
+	p := &Plan{HeadRevision: r.HeadRevision, Version: head.Version}
 	for _, key := range r.Head.Pages {
 		if !slices.Contains(pages, key) {
-			p.Drops = append(p.Drops, key)
+			p.UnusedPages = append(p.UnusedPages, key)
 		}
 	}
 	for len(writes) >= limits.TxnOps {
@@ -167,9 +167,9 @@
 		writes = writes[limits.TxnOps:]
 	}
 	final := append(slices.Clone(writes), last)
-	for len(p.Drops) > 0 && len(final) < limits.TxnOps {
-		final = append(final, Write{Key: p.Drops[0]})
-		p.Drops = p.Drops[1:]
+	for len(p.UnusedPages) > 0 && len(final) < limits.TxnOps {
+		final = append(final, Write{Key: p.UnusedPages[0]})
+		p.UnusedPages = p.UnusedPages[1:]
 	}
 	p.Transactions = append(p.Transactions, final)
 	return p, nil
@@ -177,17 +177,17 @@
 
 // repage distributes teams over pages: a page in which nothing changes stays as it is, the
 // teams of the others, which may need more room than they had, go onto new ones.
-func repage(r *Records, to *Config, limits Limits, codec Codec) (keys []string, writes []Write, err error) {
+func assignPages(r *Records, to *Config, limits Limits, codec Codec) (keys []string, writes []Write, err error) {
 	left := maps.Clone(to.Teams)
 	var changed []Page
 	for _, key := range r.Head.Pages {
-		if page := r.Pages[key]; page.stays(to) {
+		if page := r.Pages[key]; page.unchangedIn(to) {
 			keys = append(keys, key)
 			maps.DeleteFunc(left, func(name string, _ Team) bool { _, here := page.Teams[name]; return here })
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(left)) {
-		changed, err = place(changed, name, left[name], limits, codec)
+		changed, err = placeTeam(changed, name, left[name], limits, codec)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -198,7 +198,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		w.Key = PagePrefix + nameOf(b)
+		w.Key = PagePrefix + pageName(b)
 		if slices.Contains(keys, w.Key) {
 			continue
 		}
@@ -209,7 +209,7 @@
 }
 
 // stays reports whether a configuration has all teams of a page as they are there.
-func (p Page) stays(in *Config) bool {
+func (p Page) unchangedIn(in *Config) bool {
 	for name, t := range p.Teams {
 		if now, ok := in.Teams[name]; !ok || now != t {
 			return false
@@ -219,7 +219,7 @@
 }
 
 // nameOf names a page by its value.
-func nameOf(value []byte) string {
+func pageName(value []byte) string {
 	sum := sha256.Sum256(value)
 	return hex.EncodeToString(sum[:12])
 }
@@ -228,7 +228,7 @@
 var ErrTooLarge = errors.New("too large for the state service")
 
 // fits reports whether a write's value is within the limit.
-func fits(w Write, limits Limits, codec Codec) error {
+func checkSize(w Write, limits Limits, codec Codec) error {
 	b, err := codec.Encode(w)
 	if err != nil {
 		return err
@@ -240,16 +240,16 @@
 }
 
 // place puts a team onto the first page that has room for it, or onto one more.
-func place(pages []Page, name string, t Team, limits Limits, codec Codec) ([]Page, error) {
+func placeTeam(pages []Page, name string, t Team, limits Limits, codec Codec) ([]Page, error) {
 	for i := range pages {
 		pages[i].Teams[name] = t
-		if fits(Write{Page: &pages[i]}, limits, codec) == nil {
+		if checkSize(Write{Page: &pages[i]}, limits, codec) == nil {
 			return pages, nil
 		}
 		delete(pages[i].Teams, name)
 	}
 	p := Page{Teams: map[string]Team{name: t}}
-	if err := fits(Write{Page: &p}, limits, codec); err != nil {
+	if err := checkSize(Write{Page: &p}, limits, codec); err != nil {
 		return nil, fmt.Errorf("team %q: %w", name, err)
 	}
 	return append(pages, p), nil
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -27,65 +27,65 @@
 	}
 	c := &clusterconfig.Config{Teams: map[string]clusterconfig.Team{}}
 	var teams map[string]edn.RawMessage
-	err = ednmap.Read(b, map[string]ednmap.Setting{"teams": rawMap(&teams), "settings": clusterSettings(&c.Tuning)})
+	err = ednmap.Parse(b, map[string]ednmap.Parser{"teams": rawMap(&teams), "settings": clusterSettings(&c.Tuning)})
 	if err != nil {
-		return nil, located(path, b, err)
+		return nil, withLine(path, b, err)
 	}
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
 		t, err := readClusterTeam(teams[name], name, base)
 		if err != nil {
-			return nil, located(path, b, fmt.Errorf(":teams: %q: %w", name, err))
+			return nil, withLine(path, b, fmt.Errorf(":teams: %q: %w", name, err))
 		}
 		c.Teams[name] = t
 	}
 	if p := c.Check(base); p != nil {
-		return nil, fmt.Errorf("%s:%d: %w", path, lineOf(b, p.Path), p)
+		return nil, fmt.Errorf("%s:%d: %w", path, lineOfKeys(b, p.Path), p)
 	}
 	return c, nil
 }
 
-func clusterSettings(t *clusterconfig.Tuning) ednmap.Setting {
+func clusterSettings(t *clusterconfig.Tuning) ednmap.Parser {
 	return func(b edn.RawMessage) error {
-		number := func(lo, hi float64, to **float64) ednmap.Setting {
+		number := func(lo, hi float64, to **float64) ednmap.Parser {
 			return func(b edn.RawMessage) error {
 				*to = new(float64)
 				return ednmap.Number(lo, hi, *to)(b)
 			}
 		}
-		return ednmap.Map(b, map[string]ednmap.Setting{
+		return ednmap.ParseMap(b, map[string]ednmap.Parser{
 			"idle-return-s":   number(0, 86400, &t.IdleReturnS),
 			"refusal-pause-s": number(0, 3600, &t.RefusalPauseS),
 			"hold-s":          number(0, 86400, &t.HoldS),
 			"quarantine-s":    number(0, 86400, &t.QuarantineS),
 			"spare-tasks": func(b edn.RawMessage) error {
 				t.SpareTasks = new(int)
-				return ednmap.Whole(0, 1000, t.SpareTasks)(b)
+				return ednmap.Integer(0, 1000, t.SpareTasks)(b)
 			},
 		})
 	}
 }
 
 // maxAmount is more than any team has of a resource.
-const maxAmount = 1e9
+const maxTeamResource = 1e9
 
 func readClusterTeam(b edn.RawMessage, name string, base *clusterconfig.Base) (clusterconfig.Team, error) {
 	t, known := base.Teams[name]
 	if !known {
-		t.Cap = core.Production
+		t.PriorityCap = core.Production
 	}
-	amount := func(to *int64) ednmap.Setting {
+	amount := func(to *int64) ednmap.Parser {
 		return func(b edn.RawMessage) error {
 			var v float64
-			if err := ednmap.Number(0, maxAmount, &v)(b); err != nil {
+			if err := ednmap.Number(0, maxTeamResource, &v)(b); err != nil {
 				return err
 			}
 			*to = int64(v * 1000)
 			return nil
 		}
 	}
-	err := ednmap.Map(b, map[string]ednmap.Setting{
+	err := ednmap.ParseMap(b, map[string]ednmap.Parser{
 		"cpus": amount(&t.Min.CPU), "cpus-max": amount(&t.Max.CPU), "gpus": amount(&t.Min.GPU), "gpus-max": amount(&t.Max.GPU),
-		"cap": priority(&t.Cap), "draining": func(b edn.RawMessage) error {
+		"cap": priority(&t.PriorityCap), "draining": func(b edn.RawMessage) error {
 			if edn.Unmarshal(b, &t.Draining) != nil {
 				return fmt.Errorf("want true or false, not %s", bytes.TrimSpace(b))
 			}
@@ -95,11 +95,11 @@
 	return t, err
 }
 
-func priority(to *core.Priority) ednmap.Setting {
+func priority(to *core.Priority) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var word edn.Keyword
 		if edn.Unmarshal(b, &word) == nil {
-			if p, ok := priorityOf(word); ok {
+			if p, ok := parsePriority(word); ok {
 				*to = p
 				return nil
 			}
@@ -109,7 +109,7 @@
 }
 
 // located names the line of what an error is about, as far as the error says.
-func located(path string, text []byte, err error) error {
+func withLine(path string, text []byte, err error) error {
 	var keys []string
 	for _, part := range strings.Split(err.Error(), ": ") {
 		if !strings.HasPrefix(part, ":") && !strings.HasPrefix(part, `"`) {
@@ -117,11 +117,11 @@
 		}
 		keys = append(keys, part)
 	}
-	return fmt.Errorf("%s:%d: %w", path, lineOf(text, keys), err)
+	return fmt.Errorf("%s:%d: %w", path, lineOfKeys(text, keys), err)
 }
 
 // lineOf is the line of the last of some keys, each of which is in what the one before names.
-func lineOf(text []byte, keys []string) int {
+func lineOfKeys(text []byte, keys []string) int {
 	at := 0
 	for _, key := range keys {
 		i := bytes.Index(text[at:], []byte(key))
@@ -142,7 +142,7 @@
 		}
 		t := c.Teams[name]
 		fmt.Fprintf(w, "%q {:cpus %v :cpus-max %v :gpus %v :gpus-max %v :cap :%v :draining %v}", name,
-			clusterconfig.Amount(t.Min.CPU), clusterconfig.Amount(t.Max.CPU), clusterconfig.Amount(t.Min.GPU), clusterconfig.Amount(t.Max.GPU), t.Cap, t.Draining)
+			clusterconfig.Units(t.Min.CPU), clusterconfig.Units(t.Max.CPU), clusterconfig.Units(t.Min.GPU), clusterconfig.Units(t.Max.GPU), t.PriorityCap, t.Draining)
 	}
 	fmt.Fprint(w, "}\n :settings {")
 	sep := ""
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -76,7 +76,7 @@
 }
 
 // valueMargin is what a record leaves of a value, in bytes, for what is round it.
-const valueMargin = 200
+const recordOverheadBytes = 200
 
 // ConfigLimits are the smallest limits of the state service that can come.
 func (p *Platform) ConfigLimits() clusterconfig.Limits {
@@ -89,7 +89,7 @@
 			txnOps = min(txnOps, next.TxnOps)
 		}
 	}
-	return clusterconfig.Limits{ValueBytes: int(valueKB*1024) - valueMargin, TxnOps: txnOps}
+	return clusterconfig.Limits{ValueBytes: int(valueKB*1024) - recordOverheadBytes, TxnOps: txnOps}
 }
 
 // Team is a team's quota: what it is guaranteed, and what it may use at most; 0 for none.
@@ -130,7 +130,7 @@
 	return &p, nil
 }
 
-func address(name, a string) error {
+func checkAddress(name, a string) error {
 	host, _, err := net.SplitHostPort(a)
 	if err != nil {
 		return fmt.Errorf("%s: %q is not an address: %v", name, a, err)
@@ -149,7 +149,7 @@
 		{"listen", p.Listen}, {"cluster_listen", p.ClusterListen},
 		{"services.cloud", p.Services.Cloud}, {"services.state", p.Services.State},
 	} {
-		if err := address(a[0], a[1]); err != nil {
+		if err := checkAddress(a[0], a[1]); err != nil {
 			return err
 		}
 	}
@@ -157,7 +157,7 @@
 		if k.Member == "" {
 			return fmt.Errorf("known[%d].member: missing", i)
 		}
-		if err := address(fmt.Sprintf("known[%d].endpoint", i), k.Endpoint); err != nil {
+		if err := checkAddress(fmt.Sprintf("known[%d].endpoint", i), k.Endpoint); err != nil {
 			return err
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // Core is the core's configuration.
-func Core(p *Platform, s Settings) core.Config {
+func CoreConfig(p *Platform, s Settings) core.Config {
 	blind := core.MaxCancelStaleness(core.Seconds(p.Params.Workers.LeaseS), core.Seconds(p.Params.Workers.CancelS))
 	c := core.Config{
 		WorkerLease:    core.Seconds(p.Params.Workers.LeaseS),
@@ -205,13 +205,13 @@
 		// A third of the calls or so.
 		ReleaseInterval: core.Seconds(4 / max(p.Params.Cloud.RPS, 1)),
 		ListLag:         core.Seconds(p.Params.Cloud.ListLagS),
-		MaxRecordBytes:  int(p.Params.State.ValueKB*1024 - valueMargin),
+		MaxRecordBytes:  int(p.Params.State.ValueKB*1024 - recordOverheadBytes),
 		// Five words of a machine take about as many letters, as JSON.
-		MachinesPerRecord: max(int(p.Params.State.ValueKB*1024-valueMargin)/100, 1),
+		MachinesPerRecord: max(int(p.Params.State.ValueKB*1024-recordOverheadBytes)/100, 1),
 		// Every second task finished is the worst case: two numbers with their
 		// commas for two tasks.
-		ChunkSize: max(int(p.Params.State.ValueKB*1024-valueMargin)/8, 16),
-		Tuning:    tuning(s),
+		ChunkSize: max(int(p.Params.State.ValueKB*1024-recordOverheadBytes)/8, 16),
+		Tuning:    coreTuning(s),
 	}
 	c.StartObjectives = map[string][]core.Micros{}
 	for _, o := range p.Params.Objectives {
@@ -221,19 +221,19 @@
 		}
 		c.LateFactor = max(c.LateFactor, o.Times)
 	}
-	c.Teams = CoreTeams(ConfigBase(p, s).Teams)
+	c.Teams = CoreTeams(ClusterConfigBase(p, s).Teams)
 	return c
 }
 
 // ConfigBase is what the controllers are started with, under the configuration that operators
 // change while they serve.
-func ConfigBase(p *Platform, s Settings) clusterconfig.Base {
-	b := clusterconfig.Base{Teams: map[string]clusterconfig.Team{}, Tuning: tuning(s)}
+func ClusterConfigBase(p *Platform, s Settings) clusterconfig.Base {
+	b := clusterconfig.Base{Teams: map[string]clusterconfig.Team{}, Tuning: coreTuning(s)}
 	for _, t := range p.Params.Teams {
 		b.Teams[t.Name] = clusterconfig.Team{
-			Min: core.Resources{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000)},
-			Max: core.Resources{CPU: int64(t.CPUsMax * 1000), GPU: int64(t.GPUsMax * 1000)},
-			Cap: s.PriorityCap(t.Name),
+			Min:         core.Resources{CPU: int64(t.CPUs * 1000), GPU: int64(t.GPUs * 1000)},
+			Max:         core.Resources{CPU: int64(t.CPUsMax * 1000), GPU: int64(t.GPUsMax * 1000)},
+			PriorityCap: s.PriorityCap(t.Name),
 		}
 	}
 	return b
@@ -249,7 +249,7 @@
 	return out
 }
 
-func tuning(s Settings) core.Tuning {
+func coreTuning(s Settings) core.Tuning {
 	return core.Tuning{
 		IdleTimeout: core.Seconds(s.IdleReturnS), RefusalBackoff: core.Seconds(s.RefusalPauseS),
 		ReservationDecay: core.Seconds(s.HoldS), Quarantine: core.Seconds(s.QuarantineS), SuspectAfter: core.Seconds(s.SuspectS), SpareTasks: s.SpareTasks,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 "new_field":{"x":1},"params":{"teams":[{"name":"blue","cpus":4.0,"cpus_max":8.0}],
 "workers":{"report_s":3.0,"lease_s":16.0},"state":{"rps":10,"write_rps":5,"value_kb":4.0,"txn_ops":12}}}`
 
-func file(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -27,7 +27,7 @@
 }
 
 // verdict compares an error with what it is to say; "" for none.
-func verdict(t *testing.T, err error, path, want string) {
+func checkError(t *testing.T, err error, path, want string) {
 	t.Helper()
 	switch {
 	case want == "" && err != nil:
@@ -53,9 +53,9 @@
 		{"no value size", `"value_kb":4.0`, `"value_kb":-1`, "params.state.value_kb"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			path := file(t, strings.Replace(goodPlatform, c.from, c.to, 1))
+			path := writeFile(t, strings.Replace(goodPlatform, c.from, c.to, 1))
 			_, err := LoadPlatform(path)
-			verdict(t, err, path, c.want)
+			checkError(t, err, path, c.want)
 		})
 	}
 	if _, err := LoadPlatform("/no/such/file"); err == nil {
@@ -63,23 +63,23 @@
 	}
 }
 
-const notifyHead = `{:notify {:receivers {"r" {:url "http://127.0.0.1:1/" :keeps-keys true} "dumb" {:url "http://127.0.0.1:2/"}} :subscriptions `
+const notifyPrefix = `{:notify {:receivers {"r" {:url "http://127.0.0.1:1/" :keeps-keys true} "dumb" {:url "http://127.0.0.1:2/"}} :subscriptions `
 
 // Settings that are good by themselves may not fit the platform.
-func TestCheck(t *testing.T) {
-	p, err := LoadPlatform(file(t, goodPlatform))
+func TestSettingsAgainstPlatform(t *testing.T) {
+	p, err := LoadPlatform(writeFile(t, goodPlatform))
 	if err != nil {
 		t.Fatal(err)
 	}
 	many := &Notify{}
 	for i := range 100 {
-		many.Subs = append(many.Subs, notify.Subscription{Name: fmt.Sprintf("a-name-of-some-length-%02d", i)})
+		many.Subscriptions = append(many.Subscriptions, notify.Subscription{Name: fmt.Sprintf("a-name-of-some-length-%02d", i)})
 	}
 	for want, s := range map[string]Settings{
-		"":                                       {PriorityCaps: map[string]core.Priority{"blue": core.Low}, Nomad: &Nomad{Tokens: map[string][]Hash{"blue": nil}}, Notify: &Notify{Subs: []notify.Subscription{{Team: "blue"}, {}}}},
+		"":                                       {PriorityCaps: map[string]core.Priority{"blue": core.Low}, Nomad: &Nomad{Tokens: map[string][]Hash{"blue": nil}}, Notify: &Notify{Subscriptions: []notify.Subscription{{Team: "blue"}, {}}}},
 		`:priority-caps: there is no team "red"`: {PriorityCaps: map[string]core.Priority{"red": core.Low}},
 		`:nomad: :tokens: there is no team "red"`:                           {Nomad: &Nomad{Tokens: map[string][]Hash{"red": nil}}},
-		`:notify: :subscriptions: "s": there is no team "red"`:              {Notify: &Notify{Subs: []notify.Subscription{{Name: "s", Team: "red"}}}},
+		`:notify: :subscriptions: "s": there is no team "red"`:              {Notify: &Notify{Subscriptions: []notify.Subscription{{Name: "s", Team: "red"}}}},
 		`:notify: :subscriptions: 100 of them take 4900 bytes in the state`: {Notify: many},
 	} {
 		err := s.Check(p)
@@ -91,7 +91,7 @@
 
 func TestSettings(t *testing.T) {
 	hash := strings.Repeat("0f", 32)
-	key := file(t, "sixteen bytes or so")
+	key := writeFile(t, "sixteen bytes or so")
 	for _, c := range []struct{ name, text, want string }{
 		{"some", "{:spare-tasks 2 ; room\n :idle-return-s 15.5}", ""},
 		{"empty map", "{}", ""},
@@ -112,13 +112,13 @@
 		{"tokens without a key", "{:nomad {:listen \"127.0.0.1:4646\" :tokens {\"blue\" [\"" + hash + "\"]}}}", ": :nomad: :token-key-file: missing"},
 		{"a key beside the file", "{:nomad {:listen \"127.0.0.1:4646\" :token-key-file \"file\"}}", ""},
 		{"not a hash", "{:nomad {:tokens {\"blue\" [\"secret\"]}}}", ": :nomad: :tokens: \"blue\": want hashes"},
-		{"notifications", notifyHead + "{\"s\" {:receiver \"r\" :events [:done :accepted] :promise :exactly}}}}", ""},
-		{"no such receiver", notifyHead + "{\"s\" {:receiver \"q\" :events [:done]}}}}", ": :notify: :subscriptions: \"s\": :receiver: there is no receiver \"q\""},
-		{"no such event", notifyHead + "{\"s\" {:receiver \"r\" :events [:begun]}}}}", ": :notify: :subscriptions: \"s\": :events: want"},
-		{"no events", notifyHead + "{\"s\" {:receiver \"r\"}}}}", ":events: none"},
-		{"a promise that cannot be kept", notifyHead + "{\"s\" {:receiver \"dumb\" :events [:done]}}}}", "cannot be promised; choose :at-least or :at-most"},
-		{"one that can", notifyHead + "{\"s\" {:receiver \"dumb\" :events [:done] :promise :at-most}}}}", ""},
-		{"a name for a key", notifyHead + "{\"a/b\" {:receiver \"r\" :events [:done]}}}}", "small letters, digits and dashes"},
+		{"notifications", notifyPrefix + "{\"s\" {:receiver \"r\" :events [:done :accepted] :promise :exactly}}}}", ""},
+		{"no such receiver", notifyPrefix + "{\"s\" {:receiver \"q\" :events [:done]}}}}", ": :notify: :subscriptions: \"s\": :receiver: there is no receiver \"q\""},
+		{"no such event", notifyPrefix + "{\"s\" {:receiver \"r\" :events [:begun]}}}}", ": :notify: :subscriptions: \"s\": :events: want"},
+		{"no events", notifyPrefix + "{\"s\" {:receiver \"r\"}}}}", ":events: none"},
+		{"a promise that cannot be kept", notifyPrefix + "{\"s\" {:receiver \"dumb\" :events [:done]}}}}", "cannot be promised; choose :at-least or :at-most"},
+		{"one that can", notifyPrefix + "{\"s\" {:receiver \"dumb\" :events [:done] :promise :at-most}}}}", ""},
+		{"a name for a key", notifyPrefix + "{\"a/b\" {:receiver \"r\" :events [:done]}}}}", "small letters, digits and dashes"},
 		{"asked without an age", "{:notify {:receivers {\"r\" {:url \"http://h/\" :ask-url \"http://h/seen\"}}}}", ":ask-url and :max-age-s go together"},
 		{"operators from anywhere", "{:notify {:listen \"10.0.0.1:4650\"}}", ":notify: :listen: \"10.0.0.1:4650\": want a loopback address"},
 		{"not a URL", "{:notify {:receivers {\"r\" {:url \"desk\"}}}}", ":url: want an http or https URL"},
@@ -129,7 +129,7 @@
 			": :nomad: :tokens: teams \"blue\" and \"green\" have the same token"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			path := file(t, strings.ReplaceAll(c.text, "KEY", key))
+			path := writeFile(t, strings.ReplaceAll(c.text, "KEY", key))
 			s, err := LoadSettings(path)
 			if c.name == "unclosed" {
 				if err == nil {
@@ -137,8 +137,8 @@
 				}
 				return
 			}
-			verdict(t, err, path, c.want)
-			if c.name == "Nomad" && (s.Nomad.Watchers != 1000 || len(s.Nomad.GPUDevices) != 2) {
+			checkError(t, err, path, c.want)
+			if c.name == "Nomad" && (s.Nomad.MaxWatchers != 1000 || len(s.Nomad.GPUDevices) != 2) {
 				t.Errorf("got %+v", s.Nomad)
 			}
 			if c.name == "a cap" && (s.PriorityCap("guests") != core.Normal || s.PriorityCap("blue") != core.Production) {
@@ -152,7 +152,7 @@
 }
 
 func TestClusterConfig(t *testing.T) {
-	base := clusterconfig.Base{Teams: map[string]clusterconfig.Team{"blue": {Min: core.Resources{CPU: 4000}, Max: core.Resources{CPU: 8000}, Cap: core.High}}}
+	base := clusterconfig.Base{Teams: map[string]clusterconfig.Team{"blue": {Min: core.Resources{CPU: 4000}, Max: core.Resources{CPU: 8000}, PriorityCap: core.High}}}
 	for _, c := range []struct{ name, text, want string }{
 		{"good", `{:teams {"blue" {:cpus 2 :cap :low} "red" {:cpus 1.5 :cpus-max 3 :draining true}} :settings {:idle-return-s 5 :spare-tasks 2}}`, ""},
 		{"empty", `{}`, ""},
@@ -163,22 +163,22 @@
 		{"a setting that may not change", "{:settings\n {:leader-lease-s 9}}", ":2: :settings: :leader-lease-s: no such setting"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			path := file(t, c.text)
+			path := writeFile(t, c.text)
 			got, err := ReadClusterConfig(path, &base)
-			verdict(t, err, path, c.want)
+			checkError(t, err, path, c.want)
 			if err != nil {
 				return
 			}
 			var out strings.Builder
 			WriteClusterConfig(&out, got)
-			again, err := ReadClusterConfig(file(t, out.String()), &base)
-			if err != nil || len(clusterconfig.Diff(got.Over(&base), again.Over(&base))) > 0 {
+			again, err := ReadClusterConfig(writeFile(t, out.String()), &base)
+			if err != nil || len(clusterconfig.Diff(got.OverlayOn(&base), again.OverlayOn(&base))) > 0 {
 				t.Errorf("written and read again it differs: %s, %v", out.String(), err)
 			}
 		})
 	}
-	blue, err := ReadClusterConfig(file(t, `{:teams {"blue" {:cpus 2}}}`), &base)
-	if want := (clusterconfig.Team{Min: core.Resources{CPU: 2000}, Max: core.Resources{CPU: 8000}, Cap: core.High}); err != nil || blue.Teams["blue"] != want {
+	blue, err := ReadClusterConfig(writeFile(t, `{:teams {"blue" {:cpus 2}}}`), &base)
+	if want := (clusterconfig.Team{Min: core.Resources{CPU: 2000}, Max: core.Resources{CPU: 8000}, PriorityCap: core.High}); err != nil || blue.Teams["blue"] != want {
 		t.Errorf("what a file does not name is not the platform's: %+v, %v", blue, err)
 	}
 }
@@ -192,7 +192,7 @@
 		{`"txn_ops":12,"next":{"rps":5,"value_kb":2,"txn_ops":4}`, clusterconfig.Limits{ValueBytes: 1848, TxnOps: 4}},
 		{`"txn_ops":12,"next":{"value_kb":16}`, clusterconfig.Limits{ValueBytes: 3896, TxnOps: 12}},
 	} {
-		p, err := LoadPlatform(file(t, strings.Replace(goodPlatform, `"txn_ops":12`, c.next, 1)))
+		p, err := LoadPlatform(writeFile(t, strings.Replace(goodPlatform, `"txn_ops":12`, c.next, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -95,7 +95,7 @@
 }
 
 // certificate writes a certificate of its own and its key.
-func certificate(t *testing.T, dir string) {
+func writeCertificate(t *testing.T, dir string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -121,7 +121,7 @@
 
 func TestSettingsNames(t *testing.T) {
 	dir := t.TempDir()
-	certificate(t, dir)
+	writeCertificate(t, dir)
 	text, err := os.ReadFile("testdata/settings.sexp")
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range []any{got, got.Notify.Receivers[0].Limits, got.Notify.Receivers[0].Reach} {
+	for _, v := range []any{got, got.Notify.Receivers[0].Limits, got.Notify.Receivers[0].Delivery} {
 		v := reflect.ValueOf(v)
 		for i := range v.NumField() {
 			if v.Field(i).IsZero() {
@@ -146,7 +146,7 @@
 		}
 	}
 	allSet(t, "nomad", reflect.ValueOf(*got.Nomad))
-	reach := &got.Notify.Receivers[0].Reach
+	reach := &got.Notify.Receivers[0].Delivery
 	if reach.TLS.RootCAs == nil || len(reach.TLS.Certificates) != 1 {
 		t.Errorf("got %+v", reach.TLS)
 	}
@@ -161,20 +161,20 @@
 		LeaderLeaseS: 1.5, AnswerGraceS: 2.5, IdleReturnS: 3.5, RefusalPauseS: 4.5, HoldS: 5.5, QuarantineS: 6.5, SuspectS: 7.5, SpareTasks: 8, ListEveryS: 9.5,
 		PriorityCaps: map[string]core.Priority{"blue": 0, "green": 1, "red": 2, "white": 3},
 		Nomad: &Nomad{
-			Listen: "127.0.0.1:10", Key: []byte("sixteen bytes, and more"), Tokens: map[string][]Hash{"blue": {hash(1)}}, AgentTokens: []Hash{hash(2)},
-			Watchers: 11, Conns: 12, RequestsPerS: 13, MHzPerCPU: 14, ScratchMB: 15, GPUDevices: []string{"nvidia/gpu"},
+			Listen: "127.0.0.1:10", TokenHashKey: []byte("sixteen bytes, and more"), Tokens: map[string][]Hash{"blue": {hash(1)}}, AgentTokens: []Hash{hash(2)},
+			MaxWatchers: 11, MaxConns: 12, RequestsPerS: 13, MHzPerCPU: 14, ScratchMB: 15, GPUDevices: []string{"nvidia/gpu"},
 		},
 		Notify: &Notify{
 			Listen: "127.0.0.1:16",
 			Receivers: []NotifyReceiver{{
-				Keys:   true,
-				Limits: notify.Receiver{Name: "desk", PerSecond: 20.5, InFlight: 21, MaxAge: 19_500_000},
-				Reach: deliver.Receiver{
+				KeepsKeys: true,
+				Limits:    notify.Receiver{Name: "desk", PerSecond: 20.5, InFlight: 21, MaxAge: 19_500_000},
+				Delivery: deliver.Receiver{
 					Name: "desk", URL: "http://h/17", Ask: "http://h/18", Type: "text/plain", Timeout: 22_500 * time.Millisecond,
 					Secrets: [][]byte{[]byte("sixteen bytes, and more"), []byte("sixteen other bytes")},
 				},
 			}},
-			Subs: []notify.Subscription{
+			Subscriptions: []notify.Subscription{
 				{Name: "s1", Team: "blue", Class: "train", Receiver: "desk", Kinds: []notify.Kind{0, 5, 6}, Promise: 0, Deadline: 23_500_000},
 				{Name: "s2", Receiver: "desk", Kinds: []notify.Kind{5}, Promise: 1, Deadline: 86_400_000_000},
 				{Name: "s3", Receiver: "desk", Kinds: []notify.Kind{6}, Promise: 2, Deadline: 86_400_000_000},
@@ -188,9 +188,9 @@
 	var s Settings
 	var n Nomad
 	for _, c := range []struct {
-		known map[string]ednmap.Setting
+		known map[string]ednmap.Parser
 		path  []string
-	}{{s.all(""), nil}, {n.all(""), []string{"nomad"}}} {
+	}{{s.parsers(""), nil}, {n.parsers(""), []string{"nomad"}}} {
 		if names := keysOf(t, text, c.path...); !slices.Equal(names, slices.Sorted(maps.Keys(c.known))) {
 			t.Errorf("%v: the file has %q of %q", c.path, names, slices.Sorted(maps.Keys(c.known)))
 		}
@@ -226,7 +226,7 @@
 	spare := 13
 	want := &clusterconfig.Config{
 		Teams: map[string]clusterconfig.Team{
-			"blue": {Min: core.Resources{CPU: 1500, GPU: 3500}, Max: core.Resources{CPU: 2500, GPU: 4500}, Cap: 2, Draining: true},
+			"blue": {Min: core.Resources{CPU: 1500, GPU: 3500}, Max: core.Resources{CPU: 2500, GPU: 4500}, PriorityCap: 2, Draining: true},
 			"red":  {Min: core.Resources{CPU: 5500, GPU: 7500}, Max: core.Resources{CPU: 6500, GPU: 8500}},
 		},
 		Tuning: clusterconfig.Tuning{IdleReturnS: ptr(9.5), RefusalPauseS: ptr(10.5), HoldS: ptr(11.5), QuarantineS: ptr(12.5), SpareTasks: &spare},
--- a/internal/config/notify.go
+++ b/internal/config/notify.go
@@ -23,24 +23,24 @@
 
 // Notify are the settings of notifications.
 type Notify struct {
-	Listen    string                // loopback address and port for operators; "" for none
-	Subs      []notify.Subscription // by name
-	Receivers []NotifyReceiver      // by name
+	Listen        string                // loopback address and port for operators; "" for none
+	Subscriptions []notify.Subscription // by name
+	Receivers     []NotifyReceiver      // by name
 }
 
 // NotifyReceiver is a receiver: what the outbox and what the delivery know of it.
 type NotifyReceiver struct {
-	Limits notify.Receiver
-	Reach  deliver.Receiver
-	Keys   bool // it keeps keys
+	Limits    notify.Receiver
+	Delivery  deliver.Receiver
+	KeepsKeys bool // it keeps keys
 }
 
 // notifySettings reads the settings of notifications.
-func notifySettings(dir string, to **Notify) ednmap.Setting {
+func notifySettings(dir string, to **Notify) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		n := &Notify{}
 		var receivers, subs map[string]edn.RawMessage
-		if err := ednmap.Map(b, map[string]ednmap.Setting{"listen": loopback(&n.Listen), "receivers": rawMap(&receivers), "subscriptions": rawMap(&subs)}); err != nil {
+		if err := ednmap.ParseMap(b, map[string]ednmap.Parser{"listen": loopback(&n.Listen), "receivers": rawMap(&receivers), "subscriptions": rawMap(&subs)}); err != nil {
 			return err
 		}
 		for _, name := range slices.Sorted(maps.Keys(receivers)) {
@@ -55,7 +55,7 @@
 			if err != nil {
 				return fmt.Errorf(":subscriptions: %q: %w", name, err)
 			}
-			n.Subs = append(n.Subs, s)
+			n.Subscriptions = append(n.Subscriptions, s)
 		}
 		*to = n
 		return nil
@@ -64,12 +64,12 @@
 
 // loopback reads an address that only this machine reaches: who does is an
 // operator.
-func loopback(to *string) ednmap.Setting {
+func loopback(to *string) ednmap.Parser {
 	return func(b edn.RawMessage) error {
-		if err := ednmap.Text(to)(b); err != nil {
+		if err := ednmap.String(to)(b); err != nil {
 			return err
 		}
-		if err := address("", *to); err != nil {
+		if err := checkAddress("", *to); err != nil {
 			return err
 		}
 		if host, _, _ := net.SplitHostPort(*to); !net.ParseIP(host).IsLoopback() {
@@ -79,7 +79,7 @@
 	}
 }
 
-func rawMap(to *map[string]edn.RawMessage) ednmap.Setting {
+func rawMap(to *map[string]edn.RawMessage) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		if err := edn.Unmarshal(b, to); err != nil {
 			return errors.New("want a map from names to settings")
@@ -95,15 +95,15 @@
 }
 
 func readReceiver(dir, name string, b edn.RawMessage) (NotifyReceiver, error) {
-	r := NotifyReceiver{Limits: notify.Receiver{Name: name, InFlight: 4}, Reach: deliver.Receiver{Name: name}}
+	r := NotifyReceiver{Limits: notify.Receiver{Name: name, InFlight: 4}, Delivery: deliver.Receiver{Name: name}}
 	var timeout, maxAge float64
 	var secrets []string
 	var body, ca, cert, key string
-	err := ednmap.Map(b, map[string]ednmap.Setting{
-		"url": ednmap.Text(&r.Reach.URL), "keeps-keys": flag(&r.Keys), "ask-url": ednmap.Text(&r.Reach.Ask), "max-age-s": ednmap.Number(1, 86400, &maxAge),
-		"per-s": ednmap.Number(0.01, 10_000, &r.Limits.PerSecond), "in-flight": ednmap.Whole(1, 1000, &r.Limits.InFlight), "timeout-s": ednmap.Number(0.1, 300, &timeout),
-		"secret-files": ednmap.Texts(&secrets), "body-file": ednmap.Text(&body), "content-type": ednmap.Text(&r.Reach.Type),
-		"ca-file": ednmap.Text(&ca), "cert-file": ednmap.Text(&cert), "key-file": ednmap.Text(&key),
+	err := ednmap.ParseMap(b, map[string]ednmap.Parser{
+		"url": ednmap.String(&r.Delivery.URL), "keeps-keys": boolean(&r.KeepsKeys), "ask-url": ednmap.String(&r.Delivery.Ask), "max-age-s": ednmap.Number(1, 86400, &maxAge),
+		"per-s": ednmap.Number(0.01, 10_000, &r.Limits.PerSecond), "in-flight": ednmap.Integer(1, 1000, &r.Limits.InFlight), "timeout-s": ednmap.Number(0.1, 300, &timeout),
+		"secret-files": ednmap.Strings(&secrets), "body-file": ednmap.String(&body), "content-type": ednmap.String(&r.Delivery.Type),
+		"ca-file": ednmap.String(&ca), "cert-file": ednmap.String(&cert), "key-file": ednmap.String(&key),
 	})
 	if err != nil {
 		return r, err
@@ -111,19 +111,19 @@
 	for _, u := range []struct {
 		name, url string
 		needed    bool
-	}{{":url", r.Reach.URL, true}, {":ask-url", r.Reach.Ask, false}} {
+	}{{":url", r.Delivery.URL, true}, {":ask-url", r.Delivery.Ask, false}} {
 		if p, err := url.Parse(u.url); u.needed && u.url == "" || u.url != "" && (err != nil || p.Host == "" || p.Scheme != "http" && p.Scheme != "https") {
 			return r, fmt.Errorf("%s: want an http or https URL, not %q", u.name, u.url)
 		}
 	}
-	if (r.Reach.Ask == "") != (maxAge == 0) {
+	if (r.Delivery.Ask == "") != (maxAge == 0) {
 		return r, errors.New(":ask-url and :max-age-s go together: who is asked has to refuse what is older")
 	}
-	r.Limits.MaxAge, r.Reach.Timeout = core.Seconds(maxAge), time.Duration(timeout*float64(time.Second))
+	r.Limits.MaxAge, r.Delivery.Timeout = core.Seconds(maxAge), time.Duration(timeout*float64(time.Second))
 	if len(secrets) > 2 {
 		return r, errors.New(":secret-files: want one, or two while one is being replaced")
 	}
-	read := func(path string) ([]byte, error) { return readBeside(dir, path) }
+	read := func(path string) ([]byte, error) { return readRelative(dir, path) }
 	for _, path := range secrets {
 		s, err := read(path)
 		if err == nil {
@@ -132,9 +132,9 @@
 		if err != nil {
 			return r, err
 		}
-		r.Reach.Secrets = append(r.Reach.Secrets, s)
+		r.Delivery.Secrets = append(r.Delivery.Secrets, s)
 	}
-	if (body == "") != (r.Reach.Type == "") {
+	if (body == "") != (r.Delivery.Type == "") {
 		return r, errors.New(":body-file and :content-type go together")
 	}
 	if body != "" {
@@ -142,11 +142,11 @@
 		if err != nil {
 			return r, err
 		}
-		if r.Reach.Body, err = deliver.ParseBody(body, string(t)); err != nil {
+		if r.Delivery.Body, err = deliver.ParseBody(body, string(t)); err != nil {
 			return r, fmt.Errorf(":body-file: %w", err)
 		}
 	}
-	r.Reach.TLS, err = clientTLS(read, ca, cert, key)
+	r.Delivery.TLS, err = clientTLS(read, ca, cert, key)
 	return r, err
 }
 
@@ -188,18 +188,18 @@
 	return c, nil
 }
 
-var promises = map[string]notify.Promise{"exactly": notify.Exactly, "at-least": notify.AtLeast, "at-most": notify.AtMost}
+var promisesByName = map[string]notify.Promise{"exactly": notify.Exactly, "at-least": notify.AtLeast, "at-most": notify.AtMost}
 
 // servedKinds are the kinds that go with a record.
-var servedKinds = []notify.Kind{notify.Accepted, notify.Done, notify.Cancelled}
+var allowedKinds = []notify.Kind{notify.Accepted, notify.Done, notify.Cancelled}
 
 func readSubscription(name string, b edn.RawMessage, receivers []NotifyReceiver) (notify.Subscription, error) {
 	s := notify.Subscription{Name: name}
 	deadline := 86400.0
 	var events []string
 	promise := "exactly"
-	err := ednmap.Map(b, map[string]ednmap.Setting{
-		"team": ednmap.Text(&s.Team), "class": ednmap.Text(&s.Class), "receiver": ednmap.Text(&s.Receiver), "deadline-s": ednmap.Number(1, 30*86400, &deadline),
+	err := ednmap.ParseMap(b, map[string]ednmap.Parser{
+		"team": ednmap.String(&s.Team), "class": ednmap.String(&s.Class), "receiver": ednmap.String(&s.Receiver), "deadline-s": ednmap.Number(1, 30*86400, &deadline),
 		"events": keywords(&events), "promise": keyword(&promise),
 	})
 	if err != nil {
@@ -208,7 +208,7 @@
 	s.Deadline = core.Seconds(deadline)
 	for _, e := range events {
 		k, ok := notify.ParseKind(e)
-		if !ok || !slices.Contains(servedKinds, k) {
+		if !ok || !slices.Contains(allowedKinds, k) {
 			return s, fmt.Errorf(":events: want :accepted, :done and :cancelled, not :%s", e)
 		}
 		s.Kinds = append(s.Kinds, k)
@@ -220,18 +220,18 @@
 	if i < 0 {
 		return s, fmt.Errorf(":receiver: there is no receiver %q", s.Receiver)
 	}
-	p, ok := promises[promise]
+	p, ok := promisesByName[promise]
 	if !ok {
 		return s, fmt.Errorf(":promise: want :exactly, :at-least or :at-most, not :%s", promise)
 	}
-	if r := receivers[i]; p == notify.Exactly && !r.Keys && r.Reach.Ask == "" {
+	if r := receivers[i]; p == notify.Exactly && !r.KeepsKeys && r.Delivery.Ask == "" {
 		return s, fmt.Errorf(":promise: receiver %q neither keeps keys nor can be asked, so that :exactly cannot be promised; choose :at-least or :at-most", s.Receiver)
 	}
 	s.Promise = p
 	return s, nil
 }
 
-func flag(to *bool) ednmap.Setting {
+func boolean(to *bool) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		if err := edn.Unmarshal(b, to); err != nil {
 			return fmt.Errorf("want true or false, not %s", bytes.TrimSpace(b))
@@ -240,7 +240,7 @@
 	}
 }
 
-func keyword(to *string) ednmap.Setting {
+func keyword(to *string) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var k edn.Keyword
 		if err := edn.Unmarshal(b, &k); err != nil {
@@ -251,7 +251,7 @@
 	}
 }
 
-func keywords(to *[]string) ednmap.Setting {
+func keywords(to *[]string) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var ks []edn.Keyword
 		if err := edn.Unmarshal(b, &ks); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -36,15 +36,15 @@
 
 // Nomad are the settings of the interface for Nomad's clients.
 type Nomad struct {
-	Listen      string            // IP address and port
-	Key         []byte            // that tokens' hashes are made with
-	Tokens      map[string][]Hash // by team
-	AgentTokens []Hash            // of machines, which read the descriptions of tasks
-	Watchers    int               // blocking queries and event streams at once
-	Conns       int               // connections at once
-	MHzPerCPU   int
-	ScratchMB   int
-	GPUDevices  []string
+	Listen       string            // IP address and port
+	TokenHashKey []byte            // that tokens' hashes are made with
+	Tokens       map[string][]Hash // by team
+	AgentTokens  []Hash            // of machines, which read the descriptions of tasks
+	MaxWatchers  int               // blocking queries and event streams at once
+	MaxConns     int               // connections at once
+	MHzPerCPU    int
+	ScratchMB    int
+	GPUDevices   []string
 	// RequestsPerS is how many requests a second a team may make of this node.
 	RequestsPerS int
 }
@@ -54,7 +54,7 @@
 
 // DefaultNomad are the settings of the interface where the file names none.
 func DefaultNomad() Nomad {
-	return Nomad{Watchers: 1000, Conns: 1200, MHzPerCPU: 1000, ScratchMB: 300, GPUDevices: []string{"gpu"}, RequestsPerS: 50}
+	return Nomad{MaxWatchers: 1000, MaxConns: 1200, MHzPerCPU: 1000, ScratchMB: 300, GPUDevices: []string{"gpu"}, RequestsPerS: 50}
 }
 
 // PriorityCap is the highest priority that a team may ask for.
@@ -85,15 +85,15 @@
 	if err != nil {
 		return s, err
 	}
-	if err := ednmap.Read(b, s.all(filepath.Dir(path))); err != nil {
+	if err := ednmap.Parse(b, s.parsers(filepath.Dir(path))); err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, nil
 }
 
 // all lists the settings by name.
-func (s *Settings) all(dir string) map[string]ednmap.Setting {
-	return map[string]ednmap.Setting{
+func (s *Settings) parsers(dir string) map[string]ednmap.Parser {
+	return map[string]ednmap.Parser{
 		"leader-lease-s":  ednmap.Number(1, 60, &s.LeaderLeaseS),
 		"answer-grace-s":  ednmap.Number(0, 3600, &s.AnswerGraceS),
 		"idle-return-s":   ednmap.Number(0, 86400, &s.IdleReturnS),
@@ -101,14 +101,14 @@
 		"hold-s":          ednmap.Number(0, 86400, &s.HoldS),
 		"quarantine-s":    ednmap.Number(0, 86400, &s.QuarantineS),
 		"suspect-s":       ednmap.Number(1, 600, &s.SuspectS),
-		"spare-tasks":     ednmap.Whole(0, 1000, &s.SpareTasks),
+		"spare-tasks":     ednmap.Integer(0, 1000, &s.SpareTasks),
 		"list-every-s":    ednmap.Number(1, 3600, &s.ListEveryS),
-		"priority-caps":   caps(&s.PriorityCaps),
+		"priority-caps":   priorityCaps(&s.PriorityCaps),
 		"notify":          notifySettings(dir, &s.Notify),
 		"nomad": func(b edn.RawMessage) error {
 			n := DefaultNomad()
 			s.Nomad = &n
-			if err := ednmap.Map(b, n.all(dir)); err != nil {
+			if err := ednmap.ParseMap(b, n.parsers(dir)); err != nil {
 				return err
 			}
 			return n.check()
@@ -116,26 +116,26 @@
 	}
 }
 
-func (n *Nomad) all(dir string) map[string]ednmap.Setting {
-	return map[string]ednmap.Setting{
-		"listen":         ednmap.Text(&n.Listen),
-		"token-key-file": keyFile(dir, &n.Key),
+func (n *Nomad) parsers(dir string) map[string]ednmap.Parser {
+	return map[string]ednmap.Parser{
+		"listen":         ednmap.String(&n.Listen),
+		"token-key-file": keyFile(dir, &n.TokenHashKey),
 		"tokens":         tokens(&n.Tokens),
 		"agent-tokens":   hashes(&n.AgentTokens),
-		"watchers":       ednmap.Whole(1, 100_000, &n.Watchers),
-		"connections":    ednmap.Whole(1, 200_000, &n.Conns),
-		"requests-per-s": ednmap.Whole(1, 1_000_000, &n.RequestsPerS),
-		"mhz-per-cpu":    ednmap.Whole(1, 100_000, &n.MHzPerCPU),
-		"scratch-mb":     ednmap.Whole(0, 10_000_000, &n.ScratchMB),
-		"gpu-devices":    ednmap.Texts(&n.GPUDevices),
+		"watchers":       ednmap.Integer(1, 100_000, &n.MaxWatchers),
+		"connections":    ednmap.Integer(1, 200_000, &n.MaxConns),
+		"requests-per-s": ednmap.Integer(1, 1_000_000, &n.RequestsPerS),
+		"mhz-per-cpu":    ednmap.Integer(1, 100_000, &n.MHzPerCPU),
+		"scratch-mb":     ednmap.Integer(0, 10_000_000, &n.ScratchMB),
+		"gpu-devices":    ednmap.Strings(&n.GPUDevices),
 	}
 }
 
 func (n *Nomad) check() error {
-	if err := address(":listen", n.Listen); err != nil {
+	if err := checkAddress(":listen", n.Listen); err != nil {
 		return err
 	}
-	if n.Key == nil && (len(n.Tokens) > 0 || len(n.AgentTokens) > 0) {
+	if n.TokenHashKey == nil && (len(n.Tokens) > 0 || len(n.AgentTokens) > 0) {
 		return errors.New(":token-key-file: missing, and there are tokens")
 	}
 	teams := map[Hash]string{}
@@ -164,13 +164,13 @@
 	if s.Notify != nil {
 		// One record holds all marks: a name, a number and what is round them.
 		size := 0
-		for _, sub := range s.Notify.Subs {
+		for _, sub := range s.Notify.Subscriptions {
 			size += len(sub.Name) + 25
 		}
 		if most := int(p.Params.State.ValueKB * 1024); size > most {
-			return fmt.Errorf(":notify: :subscriptions: %d of them take %d bytes in the state service, whose values hold %d", len(s.Notify.Subs), size, most)
+			return fmt.Errorf(":notify: :subscriptions: %d of them take %d bytes in the state service, whose values hold %d", len(s.Notify.Subscriptions), size, most)
 		}
-		for _, sub := range s.Notify.Subs {
+		for _, sub := range s.Notify.Subscriptions {
 			if sub.Team != "" && !known[sub.Team] {
 				return fmt.Errorf(":notify: :subscriptions: %q: there is no team %q", sub.Name, sub.Team)
 			}
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func caps(to *map[string]core.Priority) ednmap.Setting {
+func priorityCaps(to *map[string]core.Priority) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var given map[string]edn.Keyword
 		if err := edn.Unmarshal(b, &given); err != nil {
@@ -195,7 +195,7 @@
 		}
 		*to = map[string]core.Priority{}
 		for team, word := range given {
-			p, ok := priorityOf(word)
+			p, ok := parsePriority(word)
 			if !ok {
 				return fmt.Errorf("%q: want :low, :normal, :high or :production, not %v", team, word)
 			}
@@ -206,7 +206,7 @@
 }
 
 // priorityOf is the priority of a word in the settings.
-func priorityOf(word edn.Keyword) (p core.Priority, ok bool) {
+func parsePriority(word edn.Keyword) (p core.Priority, ok bool) {
 	for p = core.Low; p <= core.Production; p++ {
 		if p.String() == string(word) {
 			return p, true
@@ -227,10 +227,10 @@
 	return out, nil
 }
 
-func hashes(to *[]Hash) ednmap.Setting {
+func hashes(to *[]Hash) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var given []string
-		err := ednmap.Texts(&given)(b)
+		err := ednmap.Strings(&given)(b)
 		if err == nil {
 			*to, err = decodeHashes(given)
 		}
@@ -238,7 +238,7 @@
 	}
 }
 
-func tokens(to *map[string][]Hash) ednmap.Setting {
+func tokens(to *map[string][]Hash) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var given map[string][]string
 		if err := edn.Unmarshal(b, &given); err != nil {
@@ -257,15 +257,15 @@
 }
 
 // minKey is the shortest key for tokens' hashes, in bytes.
-const minKey = 16
+const minKeyBytes = 16
 
-func keyFile(dir string, to *[]byte) ednmap.Setting {
+func keyFile(dir string, to *[]byte) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var path string
-		if err := ednmap.Text(&path)(b); err != nil {
+		if err := ednmap.String(&path)(b); err != nil {
 			return err
 		}
-		b, err := readBeside(dir, path)
+		b, err := readRelative(dir, path)
 		if err == nil {
 			*to, err = TokenKey(path, b)
 		}
@@ -274,7 +274,7 @@
 }
 
 // readBeside reads a file whose path counts from the settings' place.
-func readBeside(dir, path string) ([]byte, error) {
+func readRelative(dir, path string) ([]byte, error) {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(dir, path)
 	}
@@ -284,8 +284,8 @@
 // TokenKey is the key that a file holds, without the space round it.
 func TokenKey(path string, b []byte) ([]byte, error) {
 	key := bytes.TrimSpace(b)
-	if len(key) < minKey {
-		return nil, fmt.Errorf("%s: want a key of %d bytes or more", path, minKey)
+	if len(key) < minKeyBytes {
+		return nil, fmt.Errorf("%s: want a key of %d bytes or more", path, minKeyBytes)
 	}
 	return key, nil
 }
--- a/internal/configclient/await.go
+++ b/internal/configclient/await.go
@@ -16,13 +16,13 @@
 
 // readAcks reads what the controllers say, and who leads.
 func (c *Client) readAcks(ctx context.Context, v *View) error {
-	entries, _, err := c.Store.List(ctx, ackPrefixes)
+	entries, _, err := c.Store.List(ctx, ackCommonPrefix)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
 		if name, ok := strings.CutPrefix(e.Key, clusterconfig.KnownPrefix); ok {
-			v.Known[name] = true
+			v.SupportsConfig[name] = true
 			continue
 		}
 		name, ok := strings.CutPrefix(e.Key, clusterconfig.AckPrefix)
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	var l wire.Leader
+	var l wire.LeaderRecord
 	err = wire.Unmarshal(e.Value, &l)
 	v.Leader = l.Node
 	return err
@@ -53,12 +53,12 @@
 // down for good counts where it leads or a peer has heard it.
 func (c *Client) NotReady(v *View) []string {
 	var out []string
-	for _, name := range c.all(v) {
+	for _, name := range c.allControllers(v) {
 		a, heard := v.Acks[name]
-		known := v.Known[name] || slices.Contains(c.Absent, name)
+		known := v.SupportsConfig[name] || slices.Contains(c.Absent, name)
 		switch {
 		case heard && a.Format >= clusterconfig.Format:
-		case heard, !known, earlier(v, name), name == v.Leader && !v.Known[name]:
+		case heard, !known, reportedOlder(v, name), name == v.Leader && !v.SupportsConfig[name]:
 			out = append(out, name)
 		}
 	}
@@ -66,9 +66,9 @@
 }
 
 // earlier reports whether a controller says of another that it is of an earlier version.
-func earlier(v *View, name string) bool {
+func reportedOlder(v *View, name string) bool {
 	for _, a := range v.Acks {
-		if slices.Contains(a.Earlier, name) {
+		if slices.Contains(a.OlderPeers, name) {
 			return true
 		}
 	}
@@ -76,15 +76,15 @@
 }
 
 // Unheard lists the controllers that say nothing now.
-func (c *Client) Unheard(v *View) []string {
-	return slices.DeleteFunc(c.members(v), func(name string) bool {
+func (c *Client) NotReporting(v *View) []string {
+	return slices.DeleteFunc(c.expectedControllers(v), func(name string) bool {
 		_, heard := v.Acks[name]
 		return heard
 	})
 }
 
 // all are the controllers that the caller or a controller knows.
-func (c *Client) all(v *View) []string {
+func (c *Client) allControllers(v *View) []string {
 	all := slices.Clone(c.Controllers)
 	for name, a := range v.Acks {
 		all = append(append(all, name), a.Peers...)
@@ -94,46 +94,46 @@
 }
 
 // members are all controllers but for those that are known to be down.
-func (c *Client) members(v *View) []string {
-	return slices.DeleteFunc(c.all(v), func(name string) bool { return slices.Contains(c.Absent, name) })
+func (c *Client) expectedControllers(v *View) []string {
+	return slices.DeleteFunc(c.allControllers(v), func(name string) bool { return slices.Contains(c.Absent, name) })
 }
 
 // Forced is where and when a change was in force.
-type Forced struct {
-	After map[string]time.Duration // by controller that said so
+type Rollout struct {
+	ConfirmedAfter map[string]time.Duration // by controller that said so
 	// All is until no controller could decide by an older version: all said so, or the time
 	// was over in which one that says nothing can.
-	All time.Duration
+	EverywhereAfter time.Duration
 	// ByTime lists the controllers that said nothing.
-	ByTime []string
+	Unconfirmed []string
 }
 
 // Await waits until a change is in force everywhere. before is what was read before it was
 // made, and begun when it began.
-func (c *Client) Await(ctx context.Context, before *View, m *Made, begun time.Time) (*Forced, error) {
-	bound := m.Answered.Add(time.Duration(clusterconfig.InForceAfter) * time.Microsecond)
-	out := &Forced{After: map[string]time.Duration{}}
+func (c *Client) AwaitInForce(ctx context.Context, before *View, m *ApplyResult, begun time.Time) (*Rollout, error) {
+	bound := m.AnsweredAt.Add(time.Duration(clusterconfig.InForceAfter) * time.Microsecond)
+	out := &Rollout{ConfirmedAfter: map[string]time.Duration{}}
 	late := ErrNotInForce
 	for {
 		v := newView()
 		err := c.readAcks(ctx, v)
 		if err == nil {
 			for name, a := range v.Acks {
-				if _, said := out.After[name]; !said && a.Stamp >= m.Stamp {
-					out.After[name] = time.Since(begun)
+				if _, said := out.ConfirmedAfter[name]; !said && a.HeadRevision >= m.HeadRevision {
+					out.ConfirmedAfter[name] = time.Since(begun)
 				}
 			}
-			out.All, out.ByTime = time.Since(begun), c.silent(v, out)
-			if len(out.ByTime) == 0 && len(c.Unheard(v)) == 0 {
+			out.EverywhereAfter, out.Unconfirmed = time.Since(begun), c.unconfirmed(v, out)
+			if len(out.Unconfirmed) == 0 && len(c.NotReporting(v)) == 0 {
 				return out, nil
 			}
 			if time.Now().After(bound) {
-				if late = byTime(before, v); late == nil {
+				if late = checkTimeBound(before, v); late == nil {
 					return out, nil
 				}
 			}
 		}
-		if !wait.For(ctx, pollEvery) {
+		if !wait.For(ctx, pollInterval) {
 			return out, late
 		}
 	}
@@ -141,7 +141,7 @@
 
 // byTime says whether the bound holds for who says nothing: not for one of an earlier version,
 // which goes by its files. Such a one can't be told from one that is down, but if it leads.
-func byTime(before, now *View) error {
+func checkTimeBound(before, now *View) error {
 	_, said := before.Acks[now.Leader]
 	_, says := now.Acks[now.Leader]
 	if now.Leader != "" && !said && !says {
@@ -151,13 +151,13 @@
 }
 
 // ackPrefixes is what the prefixes of what controllers say have in common.
-const ackPrefixes = "d/"
+const ackCommonPrefix = "d/"
 
 // silent lists the controllers that have not said that they act by a change.
-func (c *Client) silent(v *View, f *Forced) []string {
+func (c *Client) unconfirmed(v *View, f *Rollout) []string {
 	var out []string
-	for _, name := range c.members(v) {
-		if _, said := f.After[name]; !said {
+	for _, name := range c.expectedControllers(v) {
+		if _, said := f.ConfirmedAfter[name]; !said {
 			out = append(out, name)
 		}
 	}
@@ -165,9 +165,9 @@
 }
 
 // inForce reports whether every controller says that it acts by a version.
-func (c *Client) inForce(v *View, stamp uint64) bool {
-	for _, name := range c.members(v) {
-		if v.Acks[name].Stamp < stamp {
+func (c *Client) inForceEverywhere(v *View, stamp uint64) bool {
+	for _, name := range c.expectedControllers(v) {
+		if v.Acks[name].HeadRevision < stamp {
 			return false
 		}
 	}
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -24,11 +24,11 @@
 	// ErrConflict: somebody else changed the configuration meanwhile.
 	ErrConflict = errors.New("the configuration was changed meanwhile")
 	// ErrUnknown: whether the change was made could not be found out.
-	ErrUnknown = errors.New("whether the change was made is not known")
+	ErrOutcomeUnknown = errors.New("whether the change was made is not known")
 	// ErrNotInForce: the change is made and could not be seen to be in force.
 	ErrNotInForce = errors.New("the change is made, and not known to be in force")
 	// ErrLive: a team that is to be removed has jobs that are not over.
-	ErrLive = errors.New("the team has jobs that are not over")
+	ErrTeamHasJobs = errors.New("the team has jobs that are not over")
 )
 
 // Client changes the configuration. Its store's budget of requests is the caller's.
@@ -43,15 +43,15 @@
 
 // View is what the state service holds.
 type View struct {
-	Records clusterconfig.Records
-	Config  *clusterconfig.Config
-	Acks    map[string]clusterconfig.Ack // by controller, of those that are heard
-	Known   map[string]bool              // controllers that have said that they know configuration
-	Leader  string                       // "" if nobody leads
+	Records        clusterconfig.Records
+	Config         *clusterconfig.Config
+	Acks           map[string]clusterconfig.Ack // by controller, of those that are heard
+	SupportsConfig map[string]bool              // controllers that have said that they know configuration
+	Leader         string                       // "" if nobody leads
 }
 
 // pollEvery is between two looks at the state service.
-const pollEvery = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
 // Read reads the configuration and what the controllers say of it.
 func (c *Client) Read(ctx context.Context) (*View, error) {
@@ -64,7 +64,7 @@
 		switch {
 		case e.Key == clusterconfig.HeadKey:
 			v.Records.Head, err = wire.DecodeConfigHead(e.Value)
-			v.Records.Stamp = e.Version
+			v.Records.HeadRevision = e.ModRevision
 		case strings.HasPrefix(e.Key, clusterconfig.PagePrefix):
 			v.Records.Pages[e.Key], err = wire.DecodeConfigPage(e.Value)
 		}
@@ -81,25 +81,25 @@
 func newView() *View {
 	return &View{
 		Records: clusterconfig.Records{Pages: map[string]clusterconfig.Page{}},
-		Acks:    map[string]clusterconfig.Ack{}, Known: map[string]bool{},
+		Acks:    map[string]clusterconfig.Ack{}, SupportsConfig: map[string]bool{},
 	}
 }
 
 // Ready makes sure that every controller knows configuration records: the first time it
 // writes a head that changes nothing, which controllers of an earlier version ignore.
-func (c *Client) Ready(ctx context.Context) (*View, error) {
+func (c *Client) EnsureReady(ctx context.Context) (*View, error) {
 	var last *View // that was read
 	var failed error
 	for {
 		v, err := c.Read(ctx)
-		if err == nil && v.Records.Stamp == 0 {
+		if err == nil && v.Records.HeadRevision == 0 {
 			_, err = c.write(ctx, v, &clusterconfig.Config{}, "enable")
 			if err == nil {
 				continue
 			}
 		}
 		switch {
-		case errors.Is(err, clusterconfig.ErrNewer), errors.Is(err, clusterconfig.ErrTooLarge):
+		case errors.Is(err, clusterconfig.ErrNewerFormat), errors.Is(err, clusterconfig.ErrTooLarge):
 			return nil, err
 		case err != nil:
 			failed = err
@@ -108,35 +108,35 @@
 		default:
 			last = v
 		}
-		if !wait.For(ctx, pollEvery) {
+		if !wait.For(ctx, pollInterval) {
 			break
 		}
 	}
 	if last != nil {
 		return last, fmt.Errorf("%w: %s", ErrNotReady, strings.Join(c.NotReady(last), ", "))
 	}
-	return nil, fmt.Errorf("%w: %w", ErrUnknown, failed)
+	return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, failed)
 }
 
 // Made is a change that was made.
-type Made struct {
-	Number uint64
-	Stamp  uint64
+type ApplyResult struct {
+	Version      uint64
+	HeadRevision uint64
 	// Answered is when the write was answered, or found out to have been carried out before:
 	// it was made by then.
-	Answered time.Time
+	AnsweredAt time.Time
 }
 
 // Apply writes a configuration over what was read. id names the change: one that was made
 // already, as its answer was lost, is not made again.
-func (c *Client) Apply(ctx context.Context, v *View, to *clusterconfig.Config, id string) (*Made, error) {
-	if n, ok := v.Records.Head.AppliedAs(id); ok {
-		return &Made{Number: n, Stamp: v.Records.Stamp, Answered: time.Now()}, nil
+func (c *Client) Apply(ctx context.Context, v *View, to *clusterconfig.Config, id string) (*ApplyResult, error) {
+	if n, ok := v.Records.Head.VersionOfChange(id); ok {
+		return &ApplyResult{Version: n, HeadRevision: v.Records.HeadRevision, AnsweredAt: time.Now()}, nil
 	}
 	if p := to.Check(&c.Base); p != nil {
 		return nil, p
 	}
-	if err := c.mayRemove(ctx, v, to); err != nil {
+	if err := c.checkRemovals(ctx, v, to); err != nil {
 		return nil, err
 	}
 	return c.write(ctx, v, to, id)
@@ -144,17 +144,17 @@
 
 // mayRemove fails if a team that is removed may have jobs: it has to be draining in the
 // version that is in force, so that none can come, and all its jobs have to be over.
-func (c *Client) mayRemove(ctx context.Context, v *View, to *clusterconfig.Config) error {
-	gone := clusterconfig.Removed(v.Config, to, &c.Base)
+func (c *Client) checkRemovals(ctx context.Context, v *View, to *clusterconfig.Config) error {
+	gone := clusterconfig.RemovedTeams(v.Config, to, &c.Base)
 	if len(gone) == 0 {
 		return nil
 	}
 	for _, name := range gone {
 		if !v.Config.Teams[name].Draining {
-			return fmt.Errorf("%w: team %q is not draining: first let it, until its jobs are over", ErrLive, name)
+			return fmt.Errorf("%w: team %q is not draining: first let it, until its jobs are over", ErrTeamHasJobs, name)
 		}
 	}
-	if !c.inForce(v, v.Records.Stamp) {
+	if !c.inForceEverywhere(v, v.Records.HeadRevision) {
 		return fmt.Errorf("%w: that team %q is draining", ErrNotInForce, gone[0])
 	}
 	entries, _, err := c.Store.List(ctx, wire.JobPrefix)
@@ -162,12 +162,12 @@
 		return err
 	}
 	for _, e := range entries {
-		rec, err := wire.DecodeJob(strings.TrimPrefix(e.Key, wire.JobPrefix), e.Value, e.Version)
+		rec, err := wire.DecodeJob(strings.TrimPrefix(e.Key, wire.JobPrefix), e.Value, e.ModRevision)
 		if err != nil {
 			return err
 		}
 		if rec.Phase == core.Pending && slices.Contains(gone, rec.Spec.Team) {
-			return fmt.Errorf("%w: %s of team %q", ErrLive, rec.Spec.ID, rec.Spec.Team)
+			return fmt.Errorf("%w: %s of team %q", ErrTeamHasJobs, rec.Spec.ID, rec.Spec.Team)
 		}
 	}
 	return nil
@@ -175,32 +175,32 @@
 
 // write writes a version, until it is known whether that was done: the same transaction
 // again has no effect once it was carried out, and voids one that is still under way.
-func (c *Client) write(ctx context.Context, v *View, to *clusterconfig.Config, id string) (*Made, error) {
+func (c *Client) write(ctx context.Context, v *View, to *clusterconfig.Config, id string) (*ApplyResult, error) {
 	plan, err := clusterconfig.PlanChange(&v.Records, to, id, c.Limits, wire.ConfigCodec{})
 	if err != nil {
 		return nil, err
 	}
 	for i, writes := range plan.Transactions {
-		stamp, err := c.commit(ctx, plan.Stamp, writes)
+		stamp, err := c.commit(ctx, plan.HeadRevision, writes)
 		if errors.Is(err, statestore.ErrConflict) {
-			return c.find(ctx, id)
+			return c.findChange(ctx, id)
 		}
 		if err != nil {
 			return nil, err
 		}
 		if i == len(plan.Transactions)-1 {
-			made := &Made{Number: plan.Number, Stamp: stamp, Answered: time.Now()}
-			c.dropOld(ctx, stamp, plan.Drops)
+			made := &ApplyResult{Version: plan.Version, HeadRevision: stamp, AnsweredAt: time.Now()}
+			c.deleteUnusedPages(ctx, stamp, plan.UnusedPages)
 			return made, nil
 		}
 	}
-	return nil, ErrUnknown
+	return nil, ErrOutcomeUnknown
 }
 
 // commit carries out a transaction on condition that the head is the one that was read. It
 // goes on trying while there is no answer.
 func (c *Client) commit(ctx context.Context, head uint64, writes []clusterconfig.Write) (uint64, error) {
-	txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, Version: head}}}
+	txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, ModRevision: head}}}
 	for _, w := range writes {
 		if w.Head == nil && w.Page == nil {
 			txn.Then = append(txn.Then, wire.Write{Delete: w.Key})
@@ -217,34 +217,34 @@
 		if err == nil || errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid) {
 			return stamp, err
 		}
-		if !wait.For(ctx, pollEvery) {
-			return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		if !wait.For(ctx, pollInterval) {
+			return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 	}
 }
 
 // find finds out whether a change was made by an earlier try, or lost to another.
-func (c *Client) find(ctx context.Context, id string) (*Made, error) {
+func (c *Client) findChange(ctx context.Context, id string) (*ApplyResult, error) {
 	for {
 		v, err := c.Read(ctx)
 		if err == nil {
-			if n, ok := v.Records.Head.AppliedAs(id); ok {
-				return &Made{Number: n, Stamp: v.Records.Stamp, Answered: time.Now()}, nil
+			if n, ok := v.Records.Head.VersionOfChange(id); ok {
+				return &ApplyResult{Version: n, HeadRevision: v.Records.HeadRevision, AnsweredAt: time.Now()}, nil
 			}
-			return nil, fmt.Errorf("%w: it is version %d now", ErrConflict, v.Records.Head.Number)
+			return nil, fmt.Errorf("%w: it is version %d now", ErrConflict, v.Records.Head.Version)
 		}
-		if !wait.For(ctx, pollEvery) {
-			return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		if !wait.For(ctx, pollInterval) {
+			return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 	}
 }
 
 // dropOld drops pages that nothing names any more, as far as that can be done now: the next
 // change's are dropped with it.
-func (c *Client) dropOld(ctx context.Context, head uint64, keys []string) {
+func (c *Client) deleteUnusedPages(ctx context.Context, head uint64, keys []string) {
 	for len(keys) > 0 {
 		n := min(len(keys), c.Limits.TxnOps)
-		txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, Version: head}}}
+		txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, ModRevision: head}}}
 		for _, key := range keys[:n] {
 			txn.Then = append(txn.Then, wire.Write{Delete: key})
 		}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -43,12 +43,12 @@
 
 // Rent requests machines from the cloud. Its result is passed to HandleRentalResult.
 type Rent struct {
-	Request string
-	Type    string
-	Zone    string
-	Spot    bool
-	Count   int
-	Reason  string
+	RequestID string
+	Type      string
+	Zone      string
+	Spot      bool
+	Count     int
+	Reason    string
 }
 
 // Release releases machines to the cloud. Its result is passed to HandleReleaseResult.
@@ -97,13 +97,13 @@
 
 // RentalRecord is a rental that the cloud has granted. It is deleted when its machines are up.
 type RentalRecord struct {
-	Request  string
-	Type     string
-	Zone     string
-	Spot     bool
-	Count    int
-	Machines []string
-	RentedAt Micros // wall clock
+	RequestID string
+	Type      string
+	Zone      string
+	Spot      bool
+	Count     int
+	Machines  []string
+	RentedAt  Micros // wall clock
 }
 
 // CompletionRecord holds the completed tasks of one chunk of a job's tasks. Ranges contains pairs of
--- a/internal/core/boot_stats_test.go
+++ b/internal/core/boot_stats_test.go
@@ -44,7 +44,7 @@
 							f.status.Type, f.status.Spot = r.Type, r.Spot
 							workers = append(workers, f)
 						}
-						w.c.RentResult(w.now, w.now, r.Request, RentGranted, names)
+						w.c.HandleRentalResult(w.now, w.now, r.RequestID, RentGranted, names)
 					}
 					w.rentals = nil
 					for _, f := range workers {
@@ -59,7 +59,7 @@
 			runs := func(id string) func() bool {
 				return func() bool { return w.c.jobs[id].running == 10 }
 			}
-			job := JobSpec{ID: "job-1", Kind: Array, Tasks: 10, Request: Resources{8000, 0, 8000}}
+			job := JobSpec{ID: "job-1", Kind: Array, Tasks: 10, Resources: Resources{8000, 0, 8000}}
 			w.submit(job)
 			if took := advanceUntil(runs("job-1"), 200*Second); took > c.within {
 				t.Errorf("all tasks run after %d s, want at most %d", took/Second, c.within/Second)
--- a/internal/core/candidates.go
+++ b/internal/core/candidates.go
@@ -24,7 +24,7 @@
 
 // newSearchKey returns the key of a search for free capacity for a task of the job.
 func newSearchKey(j *job) searchKey {
-	return searchKey{need: j.spec.Request, image: j.imageID, types: j.typesKey, spot: j.spec.Spot, service: j.spec.Kind == Service, starving: j.starving}
+	return searchKey{need: j.spec.Resources, image: j.imageID, types: j.typesKey, spot: j.spec.Spot, service: j.spec.Kind == Service, starving: j.starving}
 }
 
 // candidate is a machine with its cost at the time it was last examined.
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -153,7 +153,7 @@
 
 // HandleCommandResult handles the result of a SendCommands action that was sent with the token. r is
 // the report of the worker, nil if there was no answer.
-func (c *Core) CommandResult(now Micros, machine string, token uint64, o CommandOutcome, r *Report) {
+func (c *Core) HandleCommandResult(now Micros, machine string, token uint64, o CommandOutcome, r *Report) {
 	if !c.leading {
 		return
 	}
--- a/internal/core/commands_test.go
+++ b/internal/core/commands_test.go
@@ -20,7 +20,7 @@
 	}
 	w.want("still counted", w.c.team("blue").used, Resources{2000, 0, 2000})
 	w.want("requests a new token", w.tokenRaises > 0, true)
-	w.c.TokenRaised(w.now, 200)
+	w.c.HandleTokenRaised(w.now, 200)
 	w.step()
 	f.executeDirect()
 	f.report()
@@ -43,7 +43,7 @@
 	w.advance(3 * Second)
 	f.report()
 	w.want("kept", len(f.status.Tasks), 1)
-	w.c.TokenRaised(w.now, 300)
+	w.c.HandleTokenRaised(w.now, 300)
 	w.step()
 	f.executeDirect()
 	w.advance(3 * Second)
--- a/internal/core/completions.go
+++ b/internal/core/completions.go
@@ -58,7 +58,7 @@
 		j.nextWriteAt = now
 		if j.deadline > 0 && now > j.deadline {
 			c.log("job missed its deadline", "job", j.spec.ID, "class", j.spec.Class, "tasks", len(j.status),
-				"cpus", j.spec.Request.CPU/1000, "estimate_s", j.spec.EstimatedRun/Second, "ran_s", j.longestRun/Second, "due_s", j.spec.Deadline/Second,
+				"cpus", j.spec.Resources.CPU/1000, "estimate_s", j.spec.EstimatedRun/Second, "ran_s", j.longestRun/Second, "due_s", j.spec.Deadline/Second,
 				"late_s", (now-j.deadline)/Second, "first_start_s", (j.firstStart-j.submitted)/Second, "last_start_s", (j.lastStart-j.submitted)/Second)
 		}
 	}
--- a/internal/core/completions_test.go
+++ b/internal/core/completions_test.go
@@ -53,14 +53,14 @@
 	_, ok = w.puts[""]
 	w.want("final record while a write of completions is in flight", ok, true)
 	for _, id := range w.heldWrites {
-		w.c.WriteResult(w.now, id, WriteRefused)
+		w.c.HandleWriteResult(w.now, id, WriteRefused)
 	}
 	w.advance(3 * Second)
 	f.report()
 	w.want("forgotten", len(w.heldWrites) > 0 && len(f.status.Tasks) == 0, true)
 
 	// A new leader reads the ranges and runs only the remaining tasks.
-	spec := JobSpec{ID: "job-9", Team: "blue", Tasks: 20, Request: Resources{1000, 0, 1000}, Image: "im"}
+	spec := JobSpec{ID: "job-9", Team: "blue", Tasks: 20, Resources: Resources{1000, 0, 1000}, Image: "im"}
 	next := newWorld(t, Team{Name: "blue"})
 	next.beginTerm(200, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{Completions: []CompletionRecord{{CompletionKey("job-9", 0, 0), "job-9", 0, []int{0, 14}}, {CompletionKey("job-9", 1, 0), "job-9", 1, []int{1, 2}}}, Started: []string{"job-9"}})
 	next.want("left", next.c.jobs["job-9"].pending, 3)
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -21,7 +21,7 @@
 
 // SetPlacementEnabled sets whether tasks may be placed and others preempted for them. Placement is
 // disabled while this node cannot know the quotas that are in force. Everything else continues.
-func (c *Core) SetPlacing(enabled bool) {
+func (c *Core) SetPlacementEnabled(enabled bool) {
 	if enabled && c.placementSuspended {
 		c.needsPlacement = true
 	}
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -185,14 +185,14 @@
 	if len(services) == 0 || !c.planMoves(plan, services, true) {
 		return false
 	}
-	if c.spareTaskRequest == (Resources{}) {
+	if c.spareTaskResources == (Resources{}) {
 		return true
 	}
 	// The remaining capacity has to suffice for the expected services.
 	spareLeft := 0
 	for _, o := range c.sortedMachines {
 		if o != m && !o.spot && !o.vacating && c.schedulable(o, now) {
-			spareLeft += c.spareTaskRequest.countIn(plan.freeOn(o))
+			spareLeft += c.spareTaskResources.countIn(plan.freeOn(o))
 		}
 	}
 	return spareLeft >= c.spareTarget
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -73,7 +73,7 @@
 	imageIDs            map[string]int
 	nextRankingAt       Micros
 	spareByZone         map[string]int // number of service tasks that could start immediately, by zone
-	spareTaskRequest    Resources      // resources of one service task that spare capacity is kept for
+	spareTaskResources  Resources      // resources of one service task that spare capacity is kept for
 	spareTarget         int            // number of service tasks to keep spare capacity for
 	spareTargetPerZone  int            // the same in each zone
 	spareFetchRate      float64        // MB/s at which an image is fetched in time
@@ -160,7 +160,7 @@
 		c.nextFleetReviewAt = now + Second
 		c.updateFleet(now)
 	}
-	c.sendRelease(now)
+	c.sendReleases(now)
 	c.flushCompletions(now)
 	c.flushGroups(now)
 	c.sendDirectCommands(now)
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -114,7 +114,7 @@
 	if j.deadline == 0 || j.spec.Kind == Service || d.deadlineCPUs <= 0 {
 		return false
 	}
-	d.workAhead += float64(j.spec.Request.CPU) * float64(j.correctedEstimate()) * float64(j.pending)
+	d.workAhead += float64(j.spec.Resources.CPU) * float64(j.correctedEstimate()) * float64(j.pending)
 	wait := Micros(d.workAhead / float64(d.deadlineCPUs))
 	wait += Micros(float64(d.slowestBoot) * float64(d.incomingCPUs) / float64(d.deadlineCPUs))
 	// Tasks often run for twice their estimate. The margin also leaves time to rent a machine
@@ -158,10 +158,10 @@
 	}
 	next := 0 // incoming machines before this index have no room for the job
 	for n := min(j.pending, 400); n > 0; n-- {
-		if overMax(usage, j.spec.Request, t.Max) {
+		if overMax(usage, j.spec.Resources, t.Max) {
 			return
 		}
-		usage = usage.Add(j.spec.Request)
+		usage = usage.Add(j.spec.Resources)
 		var m *incomingMachine
 		for ; next < len(d.incoming); next++ {
 			if d.fits(j, d.incoming[next], zoneOK) {
@@ -175,14 +175,14 @@
 		if m == nil {
 			return
 		}
-		m.free = m.free.Sub(j.spec.Request)
+		m.free = m.free.Sub(j.spec.Resources)
 		zones[m.zone]++
 	}
 }
 
 // fits reports whether a task of the job can run on the incoming machine.
 func (d *demand) fits(j *job, m *incomingMachine, zoneOK func(string) bool) bool {
-	return j.spec.Request.Fits(m.free) && (!m.spot || j.spec.Spot) && j.spec.typeAllowed(m.machineType) && zoneOK(m.zone)
+	return j.spec.Resources.Fits(m.free) && (!m.spot || j.spec.Spot) && j.spec.typeAllowed(m.machineType) && zoneOK(m.zone)
 }
 
 // rentForJob adds a rental of one machine for n tasks of the job, or returns nil if no suitable
@@ -209,7 +209,7 @@
 func (d *demand) cheapestOffer(s *JobSpec, n int, zoneOK func(string) bool) (best offer, ok bool) {
 	bestPrice := 0.0
 	for _, t := range d.c.machineTypeList {
-		fits := s.Request.countIn(t.Capacity)
+		fits := s.Resources.countIn(t.Capacity)
 		if fits == 0 || !s.typeAllowed(t.Name) {
 			continue
 		}
--- a/internal/core/duplicate_task_test.go
+++ b/internal/core/duplicate_task_test.go
@@ -12,7 +12,7 @@
 // the machine with the task was told to stop it, the other machine reported that it had no task,
 // and the task was started a second time while it still ran.
 func TestTaskOnTwoMachines(t *testing.T) {
-	spec := JobSpec{ID: "job-1", Tasks: 1, Team: "blue", Request: Resources{2000, 0, 2000}, Image: "im"}
+	spec := JobSpec{ID: "job-1", Tasks: 1, Team: "blue", Resources: Resources{2000, 0, 2000}, Image: "im"}
 	const earlier, later = 90<<24 | 1, 95<<24 | 1
 	for _, c := range []struct {
 		what           string
--- a/internal/core/evacuation.go
+++ b/internal/core/evacuation.go
@@ -186,7 +186,7 @@
 	for _, j := range c.queue {
 		if j.unaccounted && j.spec.Kind == Service {
 			for range j.pending {
-				out = append(out, &placement{job: j, need: j.spec.Request, machine: noMachine})
+				out = append(out, &placement{job: j, need: j.spec.Resources, machine: noMachine})
 			}
 		}
 	}
--- a/internal/core/failure_attribution_test.go
+++ b/internal/core/failure_attribution_test.go
@@ -36,7 +36,7 @@
 				w.submit(JobSpec{ID: fmt.Sprintf("bad-%d", i), Kind: Array, Tasks: 12})
 			}
 			for i := range c.good {
-				w.submit(JobSpec{ID: fmt.Sprintf("good-%d", i), Kind: Array, Tasks: 6, Request: Resources{1000, 0, 1000}})
+				w.submit(JobSpec{ID: fmt.Sprintf("good-%d", i), Kind: Array, Tasks: 6, Resources: Resources{1000, 0, 1000}})
 			}
 			starts, atOnce := 0, 0
 			for s := range 300 {
--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -58,7 +58,7 @@
 	}
 	w.advance(3 * Second)
 	w.want("refused again", f.reportRefused(), true)
-	w.c.TokenRaised(w.now, 200)
+	w.c.HandleTokenRaised(w.now, 200)
 	w.want("refused with a new token", f.reportRefused(), false)
 }
 
@@ -83,7 +83,7 @@
 	raised := w.tokenRaises
 	w.want("refused", f.reportRefused(), true)
 	w.want("requests for a new token", w.tokenRaises, raised+1)
-	w.c.TokenRaised(w.now, 200)
+	w.c.HandleTokenRaised(w.now, 200)
 	w.want("refused with the new token", f.reportRefused(), false)
 	w.want("tasks that keep running", f.liveTasks(), "job-1/0 ")
 }
@@ -135,7 +135,7 @@
 func TestInboundLossTakeover(t *testing.T) {
 	w := newWorld(t, blue)
 	w.c.cfg.AnswerGrace = 20 * Second
-	spec := JobSpec{ID: "job-1", Tasks: 2, Team: "blue", Request: Resources{2000, 0, 2000}, Image: "im"}
+	spec := JobSpec{ID: "job-1", Tasks: 2, Team: "blue", Resources: Resources{2000, 0, 2000}, Image: "im"}
 	w.beginTerm(200, []JobRecord{{Spec: spec, Revision: 3}}, Snapshot{MachineGroups: recordedMachines("n-1", "n-2"), Started: []string{"job-1"}})
 	began := w.now
 	healthy := w.newWorker("n-2", "a")
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -32,7 +32,7 @@
 	}
 	if now >= c.nextSummaryAt {
 		c.nextSummaryAt = now + 10*Second
-		c.logSummary(now)
+		c.logFleetSummary(now)
 	}
 }
 
@@ -41,7 +41,7 @@
 func (c *Core) fastestType(s *JobSpec) *MachineType {
 	var best *MachineType
 	for _, t := range c.machineTypeList {
-		if s.typeAllowed(t.Name) && s.Request.Fits(t.Capacity) && (best == nil || t.BootTime < best.BootTime) {
+		if s.typeAllowed(t.Name) && s.Resources.Fits(t.Capacity) && (best == nil || t.BootTime < best.BootTime) {
 			best = t
 		}
 	}
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -14,7 +14,7 @@
 		w.advance(2 * Second)
 		w.want("requests", len(w.rentals), 1)
 		w.want("rented", fmt.Sprint(w.rentals[0].Spot, w.rentals[0].Count), "true 2")
-		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1", "n-2"})
+		w.c.HandleRentalResult(w.now, w.now, w.rentals[0].RequestID, RentGranted, []string{"n-1", "n-2"})
 		w.advance(5 * Second)
 		w.want("requests after the grant", len(w.rentals), 1)
 	})
@@ -23,7 +23,7 @@
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1, Zone: "b"})
 		w.advance(Second)
-		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1"})
+		w.c.HandleRentalResult(w.now, w.now, w.rentals[0].RequestID, RentGranted, []string{"n-1"})
 		w.advance(25 * Second)
 		w.want("requests while the machine is incoming", len(w.rentals), 1)
 		w.advance(10 * Second)
@@ -34,27 +34,27 @@
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1, Zone: "b"})
 		w.advance(Second)
-		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentRefused, nil)
+		w.c.HandleRentalResult(w.now, w.now, w.rentals[0].RequestID, RentRefused, nil)
 		w.advance(5 * Second)
 		w.want("requests while refused", len(w.rentals), 1)
 		w.advance(15 * Second)
-		w.want("requested again", len(w.rentals) == 2 && w.rentals[0].Request != w.rentals[1].Request, true)
+		w.want("requested again", len(w.rentals) == 2 && w.rentals[0].RequestID != w.rentals[1].RequestID, true)
 	})
 	t.Run("an unanswered request is repeated under its name", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1})
 		w.advance(Second)
-		name := w.rentals[0].Request
-		w.c.RentResult(w.now, w.now, name, RentUnknown, nil)
+		name := w.rentals[0].RequestID
+		w.c.HandleRentalResult(w.now, w.now, name, RentUnknown, nil)
 		w.advance(2 * Second)
-		w.want("repeated", len(w.rentals) == 2 && w.rentals[1].Request == name, true)
+		w.want("repeated", len(w.rentals) == 2 && w.rentals[1].RequestID == name, true)
 	})
 	t.Run("machines rented by a former leader count as incoming until they are not listed in time", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
-		job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 4, Request: Resources{2000, 0, 2000}, Image: "im", Zone: "b"}, Revision: 5}
+		job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 4, Resources: Resources{2000, 0, 2000}, Image: "im", Zone: "b"}, Revision: 5}
 		w.now = 100 * Second
-		w.beginTerm(200, []JobRecord{job}, Snapshot{Rentals: []RentalRecord{{Request: "r-1", Type: "m", Zone: "b", Count: 1, Machines: []string{"n-1"}, RentedAt: 96 * Second}}})
+		w.beginTerm(200, []JobRecord{job}, Snapshot{Rentals: []RentalRecord{{RequestID: "r-1", Type: "m", Zone: "b", Count: 1, Machines: []string{"n-1"}, RentedAt: 96 * Second}}})
 		w.advance(2 * Second)
 		w.want("rented", len(w.rentals), 0)
 		w.c.HandleMachineList(w.now, nil)
@@ -80,7 +80,7 @@
 		g.report()
 		w.advance(Second)
 		w.want("back", fmt.Sprint(w.releases), "[{[n-2] drained}]")
-		w.c.ReleaseResult(w.now, []string{"n-2"}, true)
+		w.c.HandleReleaseResult(w.now, []string{"n-2"}, true)
 		for range 35 {
 			w.advance(Second)
 			f.report()
@@ -104,10 +104,10 @@
 		w.step()
 		w.want("one request at a time", fmt.Sprint(w.releases), "[{[n-0] idle}]")
 		workers[2].report()
-		w.c.ReleaseResult(w.now, []string{"n-0"}, true)
+		w.c.HandleReleaseResult(w.now, []string{"n-0"}, true)
 		w.step()
 		w.want("the other machines together", fmt.Sprint(w.releases[1:]), "[{[n-1 n-3] silent}]")
-		w.c.ReleaseResult(w.now, []string{"n-1", "n-3"}, false)
+		w.c.HandleReleaseResult(w.now, []string{"n-1", "n-3"}, false)
 		w.advance(2 * Second)
 		w.want("requested again", fmt.Sprint(w.releases[2:]), "[{[n-1 n-3] silent}]")
 	})
@@ -174,8 +174,8 @@
 			for i := range machines {
 				workers = append(workers, w.newWorker(fmt.Sprintf("n-%03d", i), "a").report())
 			}
-			w.submit(JobSpec{ID: "job-1", Tasks: machines, Request: Resources{7000, 0, 1000}})
-			w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: machines, Request: Resources{1000, 0, 1000}})
+			w.submit(JobSpec{ID: "job-1", Tasks: machines, Resources: Resources{7000, 0, 1000}})
+			w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: machines, Resources: Resources{1000, 0, 1000}})
 			round := func() {
 				for _, f := range workers {
 					f.executeDirect()
@@ -223,7 +223,7 @@
 			for _, f := range workers {
 				f.status.Type = "g" // one task uses all GPUs but few CPUs
 			}
-			sweep := JobSpec{Class: "sweep", Tasks: 2, Request: Resources{1000, 2000, 1000}}
+			sweep := JobSpec{Class: "sweep", Tasks: 2, Resources: Resources{1000, 2000, 1000}}
 			n := 0
 			// With jobs, one job is submitted in every other round and cancelled in the next.
 			rounds := func(count int, jobs bool) {
@@ -261,7 +261,7 @@
 			w.want("released by the next leader", len(w.releases), 0)
 			// A lost machine is replaced before any task waits.
 			w.rentals = nil
-			w.c.ReleaseResult(w.now, []string{"n-2"}, true)
+			w.c.HandleReleaseResult(w.now, []string{"n-2"}, true)
 			w.advance(2 * Second)
 			w.want("requests for a replacement", len(w.rentals), 1)
 			w.advance(2 * Second)
@@ -294,7 +294,7 @@
 		w.beginTerm(100, nil, Snapshot{})
 		w.submit(JobSpec{ID: "job-1", Tasks: 1})
 		w.advance(Second)
-		w.c.RentResult(w.now, w.now, w.rentals[0].Request, RentGranted, []string{"n-1"})
+		w.c.HandleRentalResult(w.now, w.now, w.rentals[0].RequestID, RentGranted, []string{"n-1"})
 		w.c.HandleMachineList(w.now, []ListedMachine{{Name: "n-1", Type: "m", Zone: "a", Booting: true}})
 		w.advance(75 * Second)
 		w.want("back", len(w.releases) > 0 && w.releases[0].Reason == "never came up", true)
@@ -319,7 +319,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
 			names := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6", "n-7"}
-			job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Image: "im", Tasks: 2, Request: Resources{2000, 0, 2000}}}
+			job := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Image: "im", Tasks: 2, Resources: Resources{2000, 0, 2000}}}
 			w.beginTerm(100, []JobRecord{job}, Snapshot{MachineGroups: recordedMachines(names...), Started: []string{"job-1"}})
 			list := []ListedMachine{{Name: "n-7", Type: "m", Zone: "a", Age: 100 * Second}}
 			if c.listed {
@@ -336,7 +336,7 @@
 			w.step()
 			w.want("released machines", w.releasedMachines(), c.wantReleased)
 			if c.wantReleased > 0 {
-				w.c.ReleaseResult(w.now, names[:6], true)
+				w.c.HandleReleaseResult(w.now, names[:6], true)
 				w.reportRounds(2, []*fakeWorker{f})
 				w.want("running tasks", w.c.jobs["job-1"].running, 2)
 			}
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -24,7 +24,7 @@
 func (c *Core) placeGang(j *job, attempt uint64, now Micros) bool {
 	t := j.team
 	usage := c.teamUsage(t)
-	if overMax(usage, j.spec.Request.Times(j.pending), t.Max) {
+	if overMax(usage, j.spec.Resources.Times(j.pending), t.Max) {
 		return true
 	}
 	zones := []string{""}
@@ -89,7 +89,7 @@
 		plan.slowestFetch = max(plan.slowestFetch, c.imageFetchDelay(j, m))
 		c.adjustTentative(j, m, 1)
 		chosen = append(chosen, m)
-		usage = usage.Add(j.spec.Request)
+		usage = usage.Add(j.spec.Resources)
 	}
 	for _, m := range chosen {
 		c.adjustTentative(j, m, -1)
@@ -171,7 +171,7 @@
 // -1. It changes nothing else, such as the machine's image cache, so a plan that is dropped leaves
 // no trace.
 func (c *Core) adjustTentative(j *job, m *machine, sign int) {
-	c.updateUsage(m, func() { m.used = m.used.Add(j.spec.Request.Times(sign)) })
+	c.updateUsage(m, func() { m.used = m.used.Add(j.spec.Resources.Times(sign)) })
 	j.placedByZone[m.zone] += sign
 }
 
--- a/internal/core/gang_test.go
+++ b/internal/core/gang_test.go
@@ -9,7 +9,7 @@
 // TestGang checks that all tasks of a gang are placed or none, that they share one attempt, and that
 // a stopped task stops its gang.
 func TestGang(t *testing.T) {
-	spec := JobSpec{ID: "job-1", Kind: Gang, Tasks: 6, Request: Resources{2000, 0, 1000}}
+	spec := JobSpec{ID: "job-1", Kind: Gang, Tasks: 6, Resources: Resources{2000, 0, 1000}}
 	setup := func(t *testing.T) (*world, []*fakeWorker) {
 		w := newWorld(t, Team{Name: "blue"})
 		w.beginTerm(100, nil, Snapshot{})
@@ -38,7 +38,7 @@
 		w.submit(big)
 		round(w, workers)
 		w.want("running", len(workers[0].liveTasks())+len(workers[1].liveTasks()) > 0 && w.c.jobs["job-0"].occupying == 8, true)
-		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 6, Request: Resources{2000, 0, 1000}, Priority: High})
+		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 6, Resources: Resources{2000, 0, 1000}, Priority: High})
 		round(w, workers)
 		round(w, workers)
 		w.want("gang after eviction", w.c.jobs["job-2"].running, 6)
@@ -75,10 +75,10 @@
 			}
 			w.beginTerm(100, nil, Snapshot{})
 			workers := []*fakeWorker{w.newWorker("n-1", "a").report()}
-			w.submit(JobSpec{ID: "job-0", Tasks: 1, Request: Resources{8000, 0, 1000}, Image: "big", ImageMB: 8000})
+			w.submit(JobSpec{ID: "job-0", Tasks: 1, Resources: Resources{8000, 0, 1000}, Image: "big", ImageMB: 8000})
 			round(w, workers)
 			workers = append(workers, w.newWorker("n-2", "a").report())
-			w.submit(JobSpec{ID: "job-1", Class: "train", Kind: Gang, Tasks: 1, Request: Resources{8000, 0, 1000}, Image: "big", ImageMB: 8000, EstimatedRun: Second})
+			w.submit(JobSpec{ID: "job-1", Class: "train", Kind: Gang, Tasks: 1, Resources: Resources{8000, 0, 1000}, Image: "big", ImageMB: 8000, EstimatedRun: Second})
 			if c.frees {
 				workers[0].exitTask(0, CauseDone)
 			}
@@ -98,9 +98,9 @@
 			w := newWorld(t, Team{Name: "blue", Min: Resources{CPU: c.min}}, Team{Name: "green", Min: Resources{CPU: 16000}})
 			w.beginTerm(100, nil, Snapshot{})
 			workers := []*fakeWorker{w.newWorker("n-1", "a").report(), w.newWorker("n-2", "b").report()}
-			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Request: Resources{8000, 0, 1000}})
+			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Resources: Resources{8000, 0, 1000}})
 			round(w, workers)
-			w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 4, Request: Resources{4000, 0, 1000}, Team: "green"})
+			w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 4, Resources: Resources{4000, 0, 1000}, Team: "green"})
 			for range 4 {
 				w.advance(Second)
 				round(w, workers)
@@ -115,7 +115,7 @@
 		w.submit(JobSpec{ID: "job-1", Tasks: 8, Zone: "b", Priority: Low, CheckpointInterval: Second, CheckpointCost: 6 * Second})
 		round(w, workers)
 		// The victims in zone a cost less, but only zone b has room for all tasks.
-		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 2, Request: Resources{8000, 0, 1000}, Priority: High, OneZone: true})
+		w.submit(JobSpec{ID: "job-2", Kind: Gang, Tasks: 2, Resources: Resources{8000, 0, 1000}, Priority: High, OneZone: true})
 		for range 3 {
 			w.advance(Second)
 			round(w, workers)
@@ -174,14 +174,14 @@
 			w.c.HandleReport(w.now, &r)
 		}, "[f f ]"},
 		{"a lost machine is replaced", func(w *world, workers []*fakeWorker) {
-			w.c.ReleaseResult(w.now, []string{"n-0"}, true)
+			w.c.HandleReleaseResult(w.now, []string{"n-0"}, true)
 			workers[0].status.Tasks = nil
 		}, "[ f f]"},
 		{"a machine with a spot notice is replaced once its task is gone", func(w *world, workers []*fakeWorker) {
 			workers[0].status.SpotNotice = 20 * Second
 		}, "[ f f]"},
 		{"no room for the missing task", func(w *world, workers []*fakeWorker) {
-			w.c.ReleaseResult(w.now, []string{"n-2"}, true)
+			w.c.HandleReleaseResult(w.now, []string{"n-2"}, true)
 			workers[0].status.SpotNotice = 20 * Second
 			for range 4 {
 				workers[0].report()
@@ -221,7 +221,7 @@
 					}
 				}
 			}
-			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Request: Resources{8000, 0, 1000}, OneZone: true})
+			w.submit(JobSpec{ID: "job-1", Kind: Gang, Tasks: 2, Resources: Resources{8000, 0, 1000}, OneZone: true})
 			round()
 			first := w.c.jobs["job-1"].gangAttempt
 			for _, f := range workers[:2] {
--- a/internal/core/job_stats_test.go
+++ b/internal/core/job_stats_test.go
@@ -14,7 +14,7 @@
 	f := w.newWorker("n-1", "a").report()
 	var recs []JobRecord
 	job := func(id, team, class string, tasks int, phase Phase) {
-		s := JobSpec{ID: id, Team: team, Class: class, Tasks: tasks, Request: Resources{8000, 0, 1000}, Image: "im"}
+		s := JobSpec{ID: id, Team: team, Class: class, Tasks: tasks, Resources: Resources{8000, 0, 1000}, Image: "im"}
 		if phase == Pending {
 			w.submit(s)
 		}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -3,7 +3,7 @@
 import "sort"
 
 // HandleJob applies a new or changed job record. wall is the wall-clock time at now.
-func (c *Core) UpdateJob(now, wall Micros, rec JobRecord) {
+func (c *Core) HandleJob(now, wall Micros, rec JobRecord) {
 	if !c.leading {
 		return
 	}
--- a/internal/core/partition_record_test.go
+++ b/internal/core/partition_record_test.go
@@ -18,7 +18,7 @@
 	for i := range 12 {
 		b = append(b, w.newWorker(fmt.Sprintf("b-%02d", i), "b").report())
 	}
-	w.submit(JobSpec{ID: "job-1", Kind: Service, Tasks: 12, Request: Resources{8000, 0, 2000}})
+	w.submit(JobSpec{ID: "job-1", Kind: Service, Tasks: 12, Resources: Resources{8000, 0, 2000}})
 	w.reportRounds(4, b)
 	for i := range 12 {
 		a = append(a, w.newWorker(fmt.Sprintf("a-%02d", i), "a").report())
@@ -104,7 +104,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w, a, b := setupServicesInZoneB(t)
 			if c.capacity < 12 {
-				w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: 12 - c.capacity, Request: Resources{8000, 0, 2000}})
+				w.submit(JobSpec{ID: "job-2", Kind: Service, Tasks: 12 - c.capacity, Resources: Resources{8000, 0, 2000}})
 				w.reportRounds(4, append(a[:12:12], b...))
 			}
 			w.rentals, w.c.rentals = nil, map[string]*rental{}
@@ -282,7 +282,7 @@
 			}
 			specs := []JobSpec{w.c.jobs["job-1"].spec}
 			if c.more > 0 {
-				specs = append(specs, JobSpec{ID: "job-2", Kind: Service, Tasks: c.more, Request: Resources{8000, 0, 2000}, Image: "im", Team: "blue"})
+				specs = append(specs, JobSpec{ID: "job-2", Kind: Service, Tasks: c.more, Resources: Resources{8000, 0, 2000}, Image: "im", Team: "blue"})
 			}
 			next := w.nextLeader(specs...)
 			for _, s := range specs {
@@ -317,7 +317,7 @@
 			w.reportRounds(4, append(append(all[:12:12], a...), b...))
 			w.c.SetDelegates("c", []*Delegate{{lastMessage: w.now}})
 			w.c.SetDelegates("a", []*Delegate{{lastMessage: w.now}})
-			w.submit(JobSpec{ID: "job-9", Tasks: 60, Request: Resources{8000, 0, 2000}})
+			w.submit(JobSpec{ID: "job-9", Tasks: 60, Resources: Resources{8000, 0, 2000}})
 			w.c.rentals, w.c.refusedUntil = map[string]*rental{}, map[offer]Micros{}
 			silent := append(a[:12:12], all...)
 			w.runWithSilentWorkers(1, silent, b)
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -18,7 +18,7 @@
 // equivalenceKey returns the job's key without the fields that apply to gangs only.
 
 func (j *job) equivalenceKey() equivalenceKey {
-	return equivalenceKey{need: j.spec.Request, spot: j.spec.Spot, service: j.spec.Kind == Service, team: j.spec.Team,
+	return equivalenceKey{need: j.spec.Resources, spot: j.spec.Spot, service: j.spec.Kind == Service, team: j.spec.Team,
 		priority: j.spec.Priority, types: j.typesKey, zone: j.spec.Zone, starving: j.starving}
 }
 
@@ -77,7 +77,7 @@
 		usage := c.teamUsage(t)
 		for {
 			i := j.nextPending()
-			if i < 0 || overMax(usage, j.spec.Request, t.Max) || j.suspect() && j.occupying > 0 || c.borrowsReserved(j, usage) {
+			if i < 0 || overMax(usage, j.spec.Resources, t.Max) || j.suspect() && j.occupying > 0 || c.borrowsReserved(j, usage) {
 				break
 			}
 			m := c.pickMachine(j, now, "", false)
@@ -90,7 +90,7 @@
 				c.evict(&plan, j, now)
 			}
 			c.place(j, i, m, c.nextAttempt(), now)
-			usage = usage.Add(j.spec.Request)
+			usage = usage.Add(j.spec.Resources)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		}
 		usage := c.teamUsage(j.team)
 		i := j.nextPending()
-		if i < 0 || infeasible[j.equivalenceKey()] || overMax(usage, j.spec.Request, j.team.Max) || c.borrowsReserved(j, usage) {
+		if i < 0 || infeasible[j.equivalenceKey()] || overMax(usage, j.spec.Resources, j.team.Max) || c.borrowsReserved(j, usage) {
 			continue
 		}
 		if m := c.pickMachine(j, now, "", false); m != nil {
@@ -142,8 +142,8 @@
 
 // place puts task i of the job on a machine and returns the placement.
 func (c *Core) place(j *job, i int, m *machine, attempt uint64, now Micros) *placement {
-	p := &placement{job: j, jobID: j.spec.ID, index: i, attempt: attempt, machine: m, need: j.spec.Request, placedAt: now}
-	fromSpare := j.starving && j.spec.Kind != Service && c.takesSpare(j.spec.Request, m)
+	p := &placement{job: j, jobID: j.spec.ID, index: i, attempt: attempt, machine: m, need: j.spec.Resources, placedAt: now}
+	fromSpare := j.starving && j.spec.Kind != Service && c.takesSpare(j.spec.Resources, m)
 	c.updateUsage(m, func() {
 		c.addPlacement(p)
 		if fromSpare {
@@ -152,7 +152,7 @@
 	})
 	j.lastPlacedAt, j.starving = now, false
 	if !slices.Contains(c.reservedClasses, j.class) {
-		c.lendable = c.lendable.Sub(j.spec.Request)
+		c.lendable = c.lendable.Sub(j.spec.Resources)
 	}
 	m.markImageUsed(j.imageID, j.spec.ImageMB)
 	c.queueCommands(m)
@@ -166,9 +166,9 @@
 	smallest, waiting := Resources{}, false
 	for _, j := range c.queue {
 		if j.pending > 0 && waiting {
-			smallest = smallest.min(j.spec.Request)
+			smallest = smallest.min(j.spec.Resources)
 		} else if j.pending > 0 {
-			smallest, waiting = j.spec.Request, true
+			smallest, waiting = j.spec.Resources, true
 		}
 	}
 	if !waiting {
@@ -204,17 +204,17 @@
 	key.cachedOnly = requireCached
 	cost := func(m *machine) (int64, bool) {
 		free := m.free()
-		if !j.spec.Request.Fits(free) || !c.machineTypeAllowed(j, m) || requireCached && !m.hasImage(j.imageID) || m.vacating || !c.schedulable(m, now) {
+		if !j.spec.Resources.Fits(free) || !c.machineTypeAllowed(j, m) || requireCached && !m.hasImage(j.imageID) || m.vacating || !c.schedulable(m, now) {
 			return 0, false
 		}
-		if j.spec.Kind != Service && !j.starving && c.takesSpare(j.spec.Request, m) {
+		if j.spec.Kind != Service && !j.starving && c.takesSpare(j.spec.Resources, m) {
 			return 0, false
 		}
 		cost := c.imageFetchDelay(j, m)
 		if j.spec.Spot && !m.spot {
 			cost += int64(5 * Second)
 		}
-		remaining := free.Sub(j.spec.Request)
+		remaining := free.Sub(j.spec.Resources)
 		return cost + remaining.CPU*int64(20*Millisecond)/1000, true
 	}
 	best := c.cheapestCandidate(key, c.candidates, j, zoneFilter, cost, func(m *machine) bool { return j.failedOn[m.name] })
@@ -237,7 +237,7 @@
 // count of spare slots.
 func (c *Core) updateUsage(m *machine, change func()) {
 	c.changedMachines = append(c.changedMachines, m)
-	if m.spot || c.spareTaskRequest == (Resources{}) {
+	if m.spot || c.spareTaskResources == (Resources{}) {
 		change()
 		return
 	}
--- a/internal/core/place_test.go
+++ b/internal/core/place_test.go
@@ -21,7 +21,7 @@
 		{"gang in one zone or not at all", JobSpec{Tasks: 5, Kind: Gang, OneZone: true}, "0 0 0"},
 		{"gang in one zone with spot", JobSpec{Tasks: 5, Kind: Gang, OneZone: true, Spot: true}, "1 4 0"},
 		{"no such type", JobSpec{Tasks: 1, Types: []string{"g"}}, "0 0 0"},
-		{"no machine with GPUs", JobSpec{Tasks: 1, Request: Resources{1000, 1000, 1000}}, "0 0 0"},
+		{"no machine with GPUs", JobSpec{Tasks: 1, Resources: Resources{1000, 1000, 1000}}, "0 0 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, Team{Name: "blue"})
@@ -83,11 +83,11 @@
 	}
 	w.step()
 	for i := range 100 {
-		w.c.UpdateJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: fmt.Sprintf("job-%d", i), Team: "blue", Tasks: 100, Request: Resources{800, 0, 1000}, Image: "im"}, Revision: 5})
+		w.c.HandleJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: fmt.Sprintf("job-%d", i), Team: "blue", Tasks: 100, Resources: Resources{800, 0, 1000}, Image: "im"}, Revision: 5})
 	}
 	w.step()
 	for _, s := range w.sent {
-		w.c.CommandResult(w.now, s.Machine, s.Token, Executed, nil)
+		w.c.HandleCommandResult(w.now, s.Machine, s.Token, Executed, nil)
 	}
 	w.step()
 	w.want("jobs placed", w.c.jobs["job-99"].pending, 0)
@@ -108,7 +108,7 @@
 	w.step()
 
 	// The waiting tasks fit only on the machine where the task completed.
-	w.c.UpdateJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: "job-100", Team: "blue", Tasks: 500, Request: Resources{800, 0, 1000}, Image: "im"}, Revision: 5})
+	w.c.HandleJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: "job-100", Team: "blue", Tasks: 500, Resources: Resources{800, 0, 1000}, Image: "im"}, Revision: 5})
 	w.c.collectCandidates(w.now)
 	w.want("machines examined for each task", len(w.c.candidates), 1)
 	w.want("victims are searched where there can be none", w.c.mayReclaim(w.c.jobs["job-100"], false), false)
@@ -116,8 +116,8 @@
 	// Of gangs with the same equivalence key that find neither room nor victims, only one is
 	// examined in a pass, and not again before something changes.
 	for i := range 50 {
-		w.c.UpdateJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: fmt.Sprintf("job-2%02d", i), Team: "blue", Kind: Gang, Tasks: 4, Priority: High,
-			Request: Resources{8000, 0, 1000}, Types: []string{"g"}, OneZone: true, Image: "im"}, Revision: 5})
+		w.c.HandleJob(w.now, w.now, JobRecord{Spec: JobSpec{ID: fmt.Sprintf("job-2%02d", i), Team: "blue", Kind: Gang, Tasks: 4, Priority: High,
+			Resources: Resources{8000, 0, 1000}, Types: []string{"g"}, OneZone: true, Image: "im"}, Revision: 5})
 	}
 	w.advance(Second / 2)
 	w.c.machinesExamined = 0
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -70,7 +70,7 @@
 	}
 	for _, j := range c.jobs {
 		if j.unaccounted {
-			j.team.unaccounted = j.team.unaccounted.Add(j.spec.Request.Times(j.pending))
+			j.team.unaccounted = j.team.unaccounted.Add(j.spec.Resources.Times(j.pending))
 		}
 	}
 }
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -21,11 +21,11 @@
 		{"unused min is lent", 1, JobSpec{ID: "job-1", Tasks: 4}, JobSpec{ID: "job-2", Tasks: 1}, 4, 0},
 		{"reclaim within min, down to the lender's min", 1, JobSpec{ID: "job-1", Tasks: 4}, JobSpec{ID: "job-2", Team: "green", Tasks: 4}, 2, 2},
 		{"no reclaim from other teams beyond min", 2, JobSpec{ID: "job-1", Tasks: 6},
-			JobSpec{ID: "job-2", Team: "green", Tasks: 3, Request: Resources{6000, 0, 1000}}, 5, 1},
+			JobSpec{ID: "job-2", Team: "green", Tasks: 3, Resources: Resources{6000, 0, 1000}}, 5, 1},
 		{"beyond min, victims are the team's tasks of lower priority", 1, JobSpec{ID: "job-1", Tasks: 4, Priority: Low}, JobSpec{ID: "job-2", Tasks: 2, Priority: High}, 2, 2},
 		{"no victims of equal priority", 1, JobSpec{ID: "job-1", Tasks: 4, Priority: High}, JobSpec{ID: "job-2", Tasks: 2, Priority: High}, 4, 0},
 		{"no victims if they would not make room", 1, JobSpec{ID: "job-1", Tasks: 3},
-			JobSpec{ID: "job-2", Team: "green", Tasks: 1, Request: Resources{8000, 0, 1000}}, 3, 0},
+			JobSpec{ID: "job-2", Team: "green", Tasks: 1, Resources: Resources{8000, 0, 1000}}, 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, blue, green)
@@ -65,7 +65,7 @@
 		}
 		workers = append(workers, f.report())
 	}
-	w.submit(JobSpec{ID: "job-1", Tasks: 6, Request: Resources{1000, 1000, 1000}})
+	w.submit(JobSpec{ID: "job-1", Tasks: 6, Resources: Resources{1000, 1000, 1000}})
 	n := [3]int{}
 	for range 3 {
 		for i, f := range workers {
@@ -90,16 +90,16 @@
 		workers = append(workers, f.report())
 	}
 	round := func() { w.reportRounds(4, workers) }
-	w.submit(JobSpec{ID: "job-1", Tasks: 4, Request: Resources{1000, 1000, 1000}})
+	w.submit(JobSpec{ID: "job-1", Tasks: 4, Resources: Resources{1000, 1000, 1000}})
 	round()
 	w.want("borrowed", w.c.jobs["job-1"].running, 4)
-	w.submit(JobSpec{ID: "job-2", Team: "green", Tasks: 4, Request: Resources{1000, 1000, 1000}})
+	w.submit(JobSpec{ID: "job-2", Team: "green", Tasks: 4, Resources: Resources{1000, 1000, 1000}})
 	round()
 	w.want("tasks of the lender", w.c.jobs["job-2"].running, 2)
 	w.want("tasks of the borrower", w.c.jobs["job-1"].running, 2)
-	w.submit(JobSpec{ID: "job-3", Team: "green", Tasks: 4, Request: Resources{1000, 0, 1000}})
+	w.submit(JobSpec{ID: "job-3", Team: "green", Tasks: 4, Resources: Resources{1000, 0, 1000}})
 	round()
-	w.submit(JobSpec{ID: "job-4", Tasks: 16, Request: Resources{1000, 0, 1000}})
+	w.submit(JobSpec{ID: "job-4", Tasks: 16, Resources: Resources{1000, 0, 1000}})
 	round()
 	w.want("tasks that need only CPUs, which are not guaranteed", w.c.jobs["job-3"].running, 4)
 }
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -183,5 +183,5 @@
 	if j.suspect() {
 		tasks = min(tasks, 1) // a suspect job has one task at a time
 	}
-	return tasks * float64(j.spec.Request.CPU) * float64(j.correctedEstimate())
+	return tasks * float64(j.spec.Resources.CPU) * float64(j.correctedEstimate())
 }
--- a/internal/core/rank_test.go
+++ b/internal/core/rank_test.go
@@ -12,7 +12,7 @@
 	w.beginTerm(100, nil, Snapshot{})
 	w.newWorker("n-1", "a").report()
 	job := func(id string, tasks int, due Micros) {
-		w.submit(JobSpec{ID: id, Tasks: tasks, EstimatedRun: 20 * Second, Deadline: due, Request: Resources{8000, 0, 1000}})
+		w.submit(JobSpec{ID: id, Tasks: tasks, EstimatedRun: 20 * Second, Deadline: due, Resources: Resources{8000, 0, 1000}})
 	}
 	job("job-1", 1, 45*Second)
 	job("job-2", 4, 60*Second) // 80 s of work: it cannot meet its deadline
@@ -36,7 +36,7 @@
 func TestOrderLateJobs(t *testing.T) {
 	k := &jobClass{}
 	make := func(id, tasks int, submitted Micros) *job {
-		return newJob(JobRecord{Spec: JobSpec{ID: fmt.Sprint("job-", id), Tasks: tasks, EstimatedRun: Second, Request: Resources{CPU: 1000}}}, submitted)
+		return newJob(JobRecord{Spec: JobSpec{ID: fmt.Sprint("job-", id), Tasks: tasks, EstimatedRun: Second, Resources: Resources{CPU: 1000}}}, submitted)
 	}
 	for _, c := range []struct {
 		tasks []int // number of tasks of each job, the oldest first
@@ -71,7 +71,7 @@
 	w.beginTerm(100, nil, Snapshot{})
 	f := w.newWorker("n-1", "a").report()
 	submit := func(id string, tasks int, p Priority) {
-		w.submit(JobSpec{ID: id, Tasks: tasks, Priority: p, EstimatedRun: 10 * Second, Deadline: 20 * Second, Request: Resources{8000, 0, 1000}})
+		w.submit(JobSpec{ID: id, Tasks: tasks, Priority: p, EstimatedRun: 10 * Second, Deadline: 20 * Second, Resources: Resources{8000, 0, 1000}})
 	}
 	startedAt := map[string]Micros{}
 	for s := range 250 {
--- a/internal/core/reclaim.go
+++ b/internal/core/reclaim.go
@@ -23,7 +23,7 @@
 		// A job that fails wherever it runs would evict borrowers on every retry.
 		return nil
 	}
-	guaranteed := withinGuarantee(usage, j.spec.Request, j.team.Min)
+	guaranteed := withinGuarantee(usage, j.spec.Resources, j.team.Min)
 	if !c.mayReclaim(j, guaranteed) {
 		return nil
 	}
@@ -53,7 +53,7 @@
 // for a task of the job, and false if that is not possible. It ignores the zone constraints, which
 // depend on the job's other tasks.
 func (c *Core) evictionCost(j *job, m *machine, guaranteed bool, now Micros, plan *reclaimPlan) (int64, bool) {
-	if m.vacating || !c.schedulable(m, now) || !c.machineTypeAllowed(j, m) || !j.spec.Request.Fits(m.typ.Capacity) {
+	if m.vacating || !c.schedulable(m, now) || !c.machineTypeAllowed(j, m) || !j.spec.Resources.Fits(m.typ.Capacity) {
 		return 0, false
 	}
 	victims, cost := c.selectVictims(j, m, guaranteed, now, plan)
@@ -131,7 +131,7 @@
 			potential = potential.Add(p.need)
 		}
 	}
-	if !j.spec.Request.Fits(potential) {
+	if !j.spec.Resources.Fits(potential) {
 		return nil, 0
 	}
 	var eligible []*placement
@@ -154,7 +154,7 @@
 	}
 	var cost int64
 	for _, p := range eligible {
-		if j.spec.Request.Fits(free) {
+		if j.spec.Resources.Fits(free) {
 			break
 		}
 		if p.job.spec.Kind == Gang && slices.Contains(selected, p) {
@@ -176,7 +176,7 @@
 		}
 		selected = append(selected, group...)
 	}
-	if !j.spec.Request.Fits(free) {
+	if !j.spec.Resources.Fits(free) {
 		return nil, 0
 	}
 	return selected, cost
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -45,7 +45,7 @@
 }
 
 // HandleWriteResult handles the result of the Write with the ID.
-func (c *Core) WriteResult(now Micros, id uint64, o WriteOutcome) {
+func (c *Core) HandleWriteResult(now Micros, id uint64, o WriteOutcome) {
 	if !c.leading {
 		return
 	}
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -59,12 +59,12 @@
 	w.want("recorded", w.c.machines["n-0"].recorded && w.c.machines["n-4"].recorded, true)
 	first := w.c.machines["n-0"].record.key
 	for _, n := range []string{"n-0", "n-1", "n-2"} {
-		w.c.ReleaseResult(w.now, []string{n}, true)
+		w.c.HandleReleaseResult(w.now, []string{n}, true)
 	}
 	w.advance(3 * Second)
 	r, _ := w.puts[first].(MachineGroupRecord)
 	w.want("machines left in the first record", fmt.Sprint(r.Machines), "[{n-3 n-3:1 m a false}]")
-	w.c.ReleaseResult(w.now, []string{"n-3"}, true)
+	w.c.HandleReleaseResult(w.now, []string{"n-3"}, true)
 	w.advance(3 * Second)
 	w.want("an empty record is deleted", w.deletes[first], true)
 }
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		*shortfall = shortfall.Add(m.typ.Capacity)
-		if !m.spot && c.spareTaskRequest != (Resources{}) {
+		if !m.spot && c.spareTaskResources != (Resources{}) {
 			c.spareByZone[m.zone] -= c.spareSlots(m)
 		}
 		c.queueRelease(m, now, "idle")
@@ -105,7 +105,7 @@
 // sendReleases requests the release of queued machines. It sends many machines per request, one
 // request at a time and with a delay between two: during a mass failure a few machines are queued at
 // a time, the cloud allows few requests, and rentals have precedence.
-func (c *Core) sendRelease(now Micros) {
+func (c *Core) sendReleases(now Micros) {
 	if c.releaseInFlight || len(c.releaseQueue) == 0 || now < c.nextReleaseAt {
 		return
 	}
@@ -124,7 +124,7 @@
 
 // HandleReleaseResult handles the result of a Release. If ok is true, the machines and all tasks on
 // them are gone; otherwise the machines are queued again.
-func (c *Core) ReleaseResult(now Micros, names []string, ok bool) {
+func (c *Core) HandleReleaseResult(now Micros, names []string, ok bool) {
 	if !c.leading {
 		return
 	}
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -42,7 +42,7 @@
 // requestRental adds a Rent action.
 func (c *Core) requestRental(r *rental) {
 	r.inFlight = true
-	c.actions = append(c.actions, Rent{r.Request, r.Type, r.Zone, r.Spot, r.Count, r.reason})
+	c.actions = append(c.actions, Rent{r.RequestID, r.Type, r.Zone, r.Spot, r.Count, r.reason})
 }
 
 // sortedRentals returns the rentals ordered by request ID.
@@ -51,7 +51,7 @@
 	for _, r := range c.rentals {
 		out = append(out, r)
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Request < out[b].Request })
+	sort.Slice(out, func(a, b int) bool { return out[a].RequestID < out[b].RequestID })
 	return out
 }
 
@@ -59,11 +59,11 @@
 func (c *Core) rent(now Micros, of offer, n int, why string) {
 	c.rentalCount++
 	r := &rental{
-		RentalRecord: RentalRecord{Request: fmt.Sprintf("r-%d-%d", c.token, c.rentalCount), Type: of.machineType, Zone: of.zone, Spot: of.spot, Count: n},
+		RentalRecord: RentalRecord{RequestID: fmt.Sprintf("r-%d-%d", c.token, c.rentalCount), Type: of.machineType, Zone: of.zone, Spot: of.spot, Count: n},
 		reason:       why, decidedAt: now,
 	}
-	c.rentals[r.Request] = r
-	c.log("renting", "request", r.Request, "type", of.machineType, "zone", of.zone, "spot", of.spot, "count", n, "reason", why)
+	c.rentals[r.RequestID] = r
+	c.log("renting", "request", r.RequestID, "type", of.machineType, "zone", of.zone, "spot", of.spot, "count", n, "reason", why)
 	c.requestRental(r)
 }
 
@@ -79,7 +79,7 @@
 
 // HandleRentalResult handles the result of a Rent with the request ID. machines are the names of the
 // rented machines, and wall is the wall-clock time at now.
-func (c *Core) RentResult(now, wall Micros, request string, o RentOutcome, machines []string) {
+func (c *Core) HandleRentalResult(now, wall Micros, request string, o RentOutcome, machines []string) {
 	if !c.leading {
 		return
 	}
@@ -149,6 +149,6 @@
 
 // deleteRental deletes a rental and its record.
 func (c *Core) deleteRental(r *rental) {
-	delete(c.rentals, r.Request)
-	c.write(Write{Deletes: []string{RentalPrefix + r.Request}}, nil)
+	delete(c.rentals, r.RequestID)
+	c.write(Write{Deletes: []string{RentalPrefix + r.RequestID}}, nil)
 }
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -273,7 +273,7 @@
 		c.queueCommands(m)
 		return p
 	}
-	p.job, p.need = j, j.spec.Request
+	p.job, p.need = j, j.spec.Resources
 	j.mayHaveStarted = true
 	switch {
 	case j.cancelled, j.status[t.Index] == taskDone:
--- a/internal/core/report_test.go
+++ b/internal/core/report_test.go
@@ -60,14 +60,14 @@
 // from the report and place none on the machine: the task would wait for a lease that no worker
 // holds. A machine that still exists reports the leader's token with its next report.
 func TestDuplicateReportOfReleasedMachine(t *testing.T) {
-	spec := JobSpec{ID: "job-1", Tasks: 2, Team: "blue", Request: Resources{2000, 0, 2000}, Image: "im"}
+	spec := JobSpec{ID: "job-1", Tasks: 2, Team: "blue", Resources: Resources{2000, 0, 2000}, Image: "im"}
 	for _, source := range []string{"unknown machine", "machine from the list", "machine from a rental"} {
 		for _, tasks := range []int{0, 1} {
 			t.Run(fmt.Sprint(source, ", tasks ", tasks), func(t *testing.T) {
 				w := newWorld(t, Team{Name: "blue"})
 				snap := Snapshot{Started: []string{"job-1"}}
 				if source == "machine from a rental" {
-					snap.Rentals = []RentalRecord{{Request: "r-50-1", Type: "m", Zone: "a", Count: 1, Machines: []string{"n-1"}, RentedAt: w.now - 9*Second}}
+					snap.Rentals = []RentalRecord{{RequestID: "r-50-1", Type: "m", Zone: "a", Count: 1, Machines: []string{"n-1"}, RentedAt: w.now - 9*Second}}
 				}
 				w.beginTerm(100, []JobRecord{{Spec: spec, Revision: 3}}, snap)
 				if source == "machine from the list" {
@@ -104,7 +104,7 @@
 // in a partition record does not end the record: the machine gets no task before it reports this
 // leader's token.
 func TestDuplicateReportOfRetainedMachine(t *testing.T) {
-	spec := JobSpec{ID: "job-1", Kind: Service, Tasks: 2, Team: "blue", Request: Resources{2000, 0, 2000}, Image: "im"}
+	spec := JobSpec{ID: "job-1", Kind: Service, Tasks: 2, Team: "blue", Resources: Resources{2000, 0, 2000}, Image: "im"}
 	w := newWorld(t, Team{Name: "blue"})
 	attempt := uint64(50<<24 | 1)
 	record := PartitionRecord{Key: PartitionPrefix + "50-1", Zone: "a", BeganAt: w.now - 2*Second, Machines: []RetainedMachine{{Name: "n-1", Tasks: []RetainedTask{{"job-1", 0, attempt}}}}}
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -78,7 +78,7 @@
 				r.window = []usageSample{{at: now}}
 			}
 			r.sample = &j.spec
-			r.usage = r.usage.Add(j.spec.Request.Times(j.pending + len(j.live)))
+			r.usage = r.usage.Add(j.spec.Resources.Times(j.pending + len(j.live)))
 		}
 	}
 	c.reservedClasses = c.reservedClasses[:0]
@@ -108,7 +108,7 @@
 	c.usageUpdatedAt = now
 	for _, k := range c.objectiveClasses {
 		r := &k.reservation
-		provisioning := c.provisioningTime(&JobSpec{Request: r.sample.Request})
+		provisioning := c.provisioningTime(&JobSpec{Resources: r.sample.Resources})
 		if now-c.termBeganAt < provisioning {
 			r.window = nil // jobs that were pending when the term began are no rise
 		}
@@ -148,13 +148,13 @@
 // belongs to another team without a minimum. Tasks of the class have to start at once, while a
 // borrower may keep the capacity for minutes. usage is what the job's team uses.
 func (c *Core) borrowsReserved(j *job, usage Resources) bool {
-	if j.starving || slices.Contains(c.reservedClasses, j.class) || withinGuarantee(usage, j.spec.Request, j.team.Min) {
+	if j.starving || slices.Contains(c.reservedClasses, j.class) || withinGuarantee(usage, j.spec.Resources, j.team.Min) {
 		return false
 	}
 	for _, k := range c.reservedClasses {
 		s := k.reservation.sample
-		if s.Priority > j.spec.Priority && s.Team != j.spec.Team && !withinGuarantee(Resources{}, s.Request, c.team(s.Team).Min) {
-			return c.lendable.CPU < j.spec.Request.CPU || c.lendable.GPU < j.spec.Request.GPU
+		if s.Priority > j.spec.Priority && s.Team != j.spec.Team && !withinGuarantee(Resources{}, s.Resources, c.team(s.Team).Min) {
+			return c.lendable.CPU < j.spec.Resources.CPU || c.lendable.GPU < j.spec.Resources.GPU
 		}
 	}
 	return false
@@ -167,7 +167,7 @@
 // a few services is of use then.
 func (c *Core) hasReservations(now Micros) bool {
 	return slices.ContainsFunc(c.reservedClasses, func(k *jobClass) bool {
-		return k.reservation.sample.Request.Fits(c.reservationTarget(k, now))
+		return k.reservation.sample.Resources.Fits(c.reservationTarget(k, now))
 	})
 }
 
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -69,10 +69,10 @@
 func (f *benchFleet) submit(tasks int, team string, run Micros) {
 	f.jobs++
 	rec := JobRecord{SubmittedAt: f.now, Revision: 5, Spec: JobSpec{
-		ID: fmt.Sprintf("job-%06d", f.jobs), Team: team, Class: team, Priority: Normal, Tasks: tasks, Request: Resources{CPU: 1000, Mem: 2000},
+		ID: fmt.Sprintf("job-%06d", f.jobs), Team: team, Class: team, Priority: Normal, Tasks: tasks, Resources: Resources{CPU: 1000, Mem: 2000},
 		Image: "im", ImageMB: 1000, EstimatedRun: run, Deadline: 10 * run,
 	}}
-	f.timed(func() { f.c.UpdateJob(f.now, f.now, rec) })
+	f.timed(func() { f.c.HandleJob(f.now, f.now, rec) })
 }
 
 func (w *benchWorker) execute(cmds []Command, f *benchFleet) {
@@ -114,18 +114,18 @@
 			w.status.Token = max(w.status.Token, a.Token)
 			w.execute(a.Commands, f)
 			r := w.report()
-			f.timed(func() { f.c.CommandResult(f.now, a.Machine, a.Token, Executed, r) })
+			f.timed(func() { f.c.HandleCommandResult(f.now, a.Machine, a.Token, Executed, r) })
 		case Write:
-			f.timed(func() { f.c.WriteResult(f.now, a.ID, Stored) })
+			f.timed(func() { f.c.HandleWriteResult(f.now, a.ID, Stored) })
 			for _, p := range a.Puts {
 				if d, ok := p.Value.(FinalRecord); ok {
-					f.timed(func() { f.c.UpdateJob(f.now, f.now, d.Record) })
+					f.timed(func() { f.c.HandleJob(f.now, f.now, d.Record) })
 				}
 			}
 		case Rent:
-			f.timed(func() { f.c.RentResult(f.now, f.now, a.Request, RentRefused, nil) })
+			f.timed(func() { f.c.HandleRentalResult(f.now, f.now, a.RequestID, RentRefused, nil) })
 		case Release:
-			f.timed(func() { f.c.ReleaseResult(f.now, a.Machines, false) })
+			f.timed(func() { f.c.HandleReleaseResult(f.now, a.Machines, false) })
 		}
 	}
 }
--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -32,7 +32,7 @@
 		a.firstAt, a.lastAt, a.meanTasks, a.meanImageMB = j.submitted, j.submitted, tasks, float64(j.spec.ImageMB)
 	}
 	a.meanImageMB += (float64(j.spec.ImageMB) - a.meanImageMB) / 8
-	a.need = j.spec.Request
+	a.need = j.spec.Resources
 	a.meanTasks += (tasks - a.meanTasks) / 8
 	a.firstAt = min(a.firstAt, j.submitted)
 	if j.submitted > a.lastAt {
@@ -64,31 +64,31 @@
 // updateSpare computes for how many service tasks spare capacity is wanted and counts, by zone, how
 // many could start at once.
 func (c *Core) updateSpare(now Micros) {
-	c.spareTaskRequest, c.spareTarget, c.spareTargetPerZone, c.spareFetchRate = Resources{}, 0, 0, 0
+	c.spareTaskResources, c.spareTarget, c.spareTargetPerZone, c.spareFetchRate = Resources{}, 0, 0, 0
 	target := 0.0
 	for _, k := range c.classes {
 		a := &k.serviceArrivals
 		if !a.moreExpected(now) {
 			continue
 		}
-		c.spareTaskRequest.CPU = max(c.spareTaskRequest.CPU, a.need.CPU)
-		c.spareTaskRequest.GPU = max(c.spareTaskRequest.GPU, a.need.GPU)
-		c.spareTaskRequest.Mem = max(c.spareTaskRequest.Mem, a.need.Mem)
+		c.spareTaskResources.CPU = max(c.spareTaskResources.CPU, a.need.CPU)
+		c.spareTaskResources.GPU = max(c.spareTaskResources.GPU, a.need.GPU)
+		c.spareTaskResources.Mem = max(c.spareTaskResources.Mem, a.need.Mem)
 		if len(k.startObjectives) > 0 {
 			c.spareFetchRate = max(c.spareFetchRate, a.meanImageMB/(float64(k.startObjectives[0])/float64(Second)))
 		}
-		target += spareShare*a.rateAt(now)*float64(c.provisioningTime(&JobSpec{Request: a.need})) + a.meanTasks
+		target += spareShare*a.rateAt(now)*float64(c.provisioningTime(&JobSpec{Resources: a.need})) + a.meanTasks
 	}
 	need, tasks := c.evacuationDemand(now)
-	c.spareTaskRequest = c.spareTaskRequest.max(need)
+	c.spareTaskResources = c.spareTaskResources.max(need)
 	target += float64(tasks)
 	clear(c.spareByZone)
-	if c.spareTaskRequest == (Resources{}) {
+	if c.spareTaskResources == (Resources{}) {
 		return
 	}
 	zones := map[string]bool{}
 	for _, t := range c.machineTypeList {
-		if c.spareTaskRequest.Fits(t.Capacity) {
+		if c.spareTaskResources.Fits(t.Capacity) {
 			for _, z := range t.Zones {
 				if !c.partitioned(z, now) {
 					zones[z] = true
@@ -109,7 +109,7 @@
 // starving jobs use counts as free. Otherwise it would be replaced from capacity that becomes free,
 // at the cost of jobs that are still on time.
 func (c *Core) spareSlots(m *machine) int {
-	return c.spareTaskRequest.countIn(m.free().Add(m.spareUsed))
+	return c.spareTaskResources.countIn(m.free().Add(m.spareUsed))
 }
 
 // takesSpare reports whether a batch task on the machine would use capacity that is kept for
@@ -117,10 +117,10 @@
 // different images in its cache, if the zone has little spare capacity or if a service that has to
 // fetch its image would start too late.
 func (c *Core) takesSpare(need Resources, m *machine) bool {
-	if m.spot || c.spareTaskRequest == (Resources{}) {
+	if m.spot || c.spareTaskResources == (Resources{}) {
 		return false
 	}
-	remaining := c.spareTaskRequest.countIn(m.free().Add(m.spareUsed).Sub(need))
+	remaining := c.spareTaskResources.countIn(m.free().Add(m.spareUsed).Sub(need))
 	inZone := c.spareByZone[m.zone] - c.spareSlots(m) + remaining
 	if inZone < c.spareTargetPerZone || remaining > 0 {
 		return inZone < c.spareTargetPerZone
@@ -134,7 +134,7 @@
 // neededForSpare reports whether there could be too little spare capacity for services without the
 // machine.
 func (c *Core) neededForSpare(m *machine) bool {
-	if m.spot || c.spareTaskRequest == (Resources{}) {
+	if m.spot || c.spareTaskResources == (Resources{}) {
 		return false
 	}
 	total := 0
@@ -151,7 +151,7 @@
 // rentSpare rents the missing spare capacity, in at least two zones.
 func (d *demand) rentSpare() {
 	c := d.c
-	if c.spareTaskRequest == (Resources{}) {
+	if c.spareTaskResources == (Resources{}) {
 		return
 	}
 	slots, total := map[string]int{}, 0
@@ -161,17 +161,17 @@
 	}
 	for _, m := range d.incoming {
 		if !m.spot {
-			n := c.spareTaskRequest.countIn(m.free)
+			n := c.spareTaskResources.countIn(m.free)
 			slots[m.zone] += n
 			total += n
 		}
 	}
 	price := func(t *MachineType, missing int) float64 {
-		return t.Price / float64(min(c.spareTaskRequest.countIn(t.Capacity), missing))
+		return t.Price / float64(min(c.spareTaskResources.countIn(t.Capacity), missing))
 	}
 	cheapest := math.Inf(1)
 	for _, t := range c.machineTypeList {
-		if c.spareTaskRequest.Fits(t.Capacity) {
+		if c.spareTaskResources.Fits(t.Capacity) {
 			cheapest = min(cheapest, price(t, c.spareTargetPerZone))
 		}
 	}
@@ -190,7 +190,7 @@
 		// size. It is rented later, when the cheap machines are no longer refused.
 		bestPrice := maxSparePriceRatio * cheapest
 		for _, t := range c.machineTypeList {
-			if !c.spareTaskRequest.Fits(t.Capacity) {
+			if !c.spareTaskResources.Fits(t.Capacity) {
 				continue
 			}
 			for _, z := range t.Zones {
@@ -207,7 +207,7 @@
 		if best == (offer{}) {
 			return
 		}
-		n := c.spareTaskRequest.countIn(d.addRental(best, "spare capacity for services").free)
+		n := c.spareTaskResources.countIn(d.addRental(best, "spare capacity for services").free)
 		slots[best.zone] += n
 		total += n
 	}
--- a/internal/core/starvation_test.go
+++ b/internal/core/starvation_test.go
@@ -33,7 +33,7 @@
 				n++
 				s := JobSpec{ID: "job-9" + string(rune('0'+n/10)) + string(rune('0'+n%10)), Tasks: 1, Kind: Service, Team: "green", Class: "web", Priority: Production}
 				if c.reserved {
-					s.Kind, s.Class, s.Priority, s.Tasks, s.Request, s.EstimatedRun = Array, "urgent", High, 1, Resources{8000, 0, 2000}, 5*Second
+					s.Kind, s.Class, s.Priority, s.Tasks, s.Resources, s.EstimatedRun = Array, "urgent", High, 1, Resources{8000, 0, 2000}, 5*Second
 				}
 				w.submit(s)
 				f.executeDirect()
@@ -49,7 +49,7 @@
 			arrive()
 			w.reportRounds(3, []*fakeWorker{f})
 			arrive()
-			w.submit(JobSpec{ID: "job-1", Kind: c.kind, Tasks: 1, Team: "guest", Class: "visit", Request: Resources{4000, 0, 2000}})
+			w.submit(JobSpec{ID: "job-1", Kind: c.kind, Tasks: 1, Team: "guest", Class: "visit", Resources: Resources{4000, 0, 2000}})
 			if c.fail {
 				f.executeDirect()
 				f.exitTask(f.taskIndex("job-1", 0, w.c.jobs["job-1"].live[0].attempt), CauseError)
@@ -94,7 +94,7 @@
 	submitService("job-90")
 	w.reportRounds(10, []*fakeWorker{f})
 	submitService("job-91")
-	w.submit(JobSpec{ID: "job-1", Tasks: 1, Request: Resources{4000, 0, 2000}})
+	w.submit(JobSpec{ID: "job-1", Tasks: 1, Resources: Resources{4000, 0, 2000}})
 	for i := range 7 {
 		w.reportRounds(9, []*fakeWorker{f})
 		submitService(fmt.Sprint("job-8", i))
@@ -118,7 +118,7 @@
 	w := newWorld(t, Team{Name: "blue"}, Team{Name: "green"})
 	w.c.cfg.Tuning.SpareTasks = 4
 	w.now = 200 * Second
-	old := JobSpec{ID: "job-1", Tasks: 1, Team: "blue", Request: Resources{4000, 0, 2000}, Image: "im"}
+	old := JobSpec{ID: "job-1", Tasks: 1, Team: "blue", Resources: Resources{4000, 0, 2000}, Image: "im"}
 	w.beginTerm(100, []JobRecord{{Spec: old, SubmittedAt: 10 * Second, Revision: 3}}, Snapshot{})
 	f := w.newWorker("n-1", "a")
 	for i := range 24 {
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -41,7 +41,7 @@
 }
 
 // logFleetSummary logs the utilisation and the cost of the fleet.
-func (c *Core) logSummary(now Micros) {
+func (c *Core) logFleetSummary(now Micros) {
 	var up, booting, idle int
 	var cpus, used [2]int64
 	var cost fleetCost
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -96,7 +96,7 @@
 	}
 	for _, r := range snap.Rentals {
 		restored := &rental{RentalRecord: r, granted: true, decidedAt: now - max(wall-r.RentedAt, 0)}
-		c.rentals[r.Request] = restored
+		c.rentals[r.RequestID] = restored
 		if c.awaitMachines(restored, false); restored.awaited == 0 {
 			c.deleteRental(restored)
 		}
@@ -161,7 +161,7 @@
 
 // HandleTokenRaised applies the result of RaiseToken: the leader key was written again, and token
 // is the new token.
-func (c *Core) TokenRaised(now Micros, token uint64) {
+func (c *Core) HandleTokenRaised(now Micros, token uint64) {
 	c.nextTokenRaiseAt = 0
 	if token > c.token {
 		c.log("token raised", "from", c.token, "to", token)
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -5,7 +5,7 @@
 // TestTakeover checks that a new leader starts no task that may still run on a machine before every
 // recorded machine has reported the new token or its lease has expired.
 func TestTakeover(t *testing.T) {
-	rec := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 2, Request: Resources{2000, 0, 1000}, Image: "im"}, Revision: 5}
+	rec := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 2, Resources: Resources{2000, 0, 1000}, Image: "im"}, Revision: 5}
 	fresh := rec
 	fresh.Spec.ID = "job-2"
 	snap := func() Snapshot {
@@ -88,7 +88,7 @@
 
 	w = newWorld(t, blue)
 	w.c.cfg.AnswerGrace = 60 * Second
-	rec := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 1, Request: Resources{2000, 0, 1000}, Image: "im"}, Revision: 5}
+	rec := JobRecord{Spec: JobSpec{ID: "job-1", Team: "blue", Tasks: 1, Resources: Resources{2000, 0, 1000}, Image: "im"}, Revision: 5}
 	w.beginTerm(100, []JobRecord{rec}, Snapshot{MachineGroups: recordedMachines("n-1"), Started: []string{"job-1"}})
 	w.advance(70 * Second)
 	w.want("unaccounted while the former leader may answer", w.c.jobs["job-1"].unaccounted, true)
--- a/internal/core/term_test.go
+++ b/internal/core/term_test.go
@@ -58,8 +58,8 @@
 			w.c.HandleReport(w.now, &r)
 			w.step()
 		}, false},
-		{"release failed", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, false); w.step() }, false},
-		{"release succeeded", func(w *world, f *fakeWorker) { w.c.ReleaseResult(w.now, []string{"n-1"}, true); w.step() }, true},
+		{"release failed", func(w *world, f *fakeWorker) { w.c.HandleReleaseResult(w.now, []string{"n-1"}, false); w.step() }, false},
+		{"release succeeded", func(w *world, f *fakeWorker) { w.c.HandleReleaseResult(w.now, []string{"n-1"}, true); w.step() }, true},
 		{"listed as failed", func(w *world, f *fakeWorker) {
 			w.c.HandleMachineList(w.now, []ListedMachine{{Name: "n-1", Failed: true}})
 			w.step()
@@ -94,7 +94,7 @@
 	// The worker refuses a direct command: it is in its next session.
 	r := f.status
 	r.Session, r.Seq = 2, 1
-	w.c.CommandResult(w.now, "n-1", 100, Refused, &r)
+	w.c.HandleCommandResult(w.now, "n-1", 100, Refused, &r)
 	f.status = r
 	w.submit(JobSpec{ID: "job-1", Tasks: 1})
 	f.executeDirect()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -114,7 +114,7 @@
 	Kind               Kind
 	Priority           Priority
 	Tasks              int
-	Request            Resources // for each task
+	Resources          Resources // for each task
 	Types              []string
 	Zone               string // "": any zone
 	OneZone            bool   // all tasks have to be in the same zone
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -92,7 +92,7 @@
 				if fail {
 					o = w.failOutcome
 				}
-				w.c.WriteResult(w.now, a.ID, o)
+				w.c.HandleWriteResult(w.now, a.ID, o)
 			}
 		}
 	}
@@ -106,8 +106,8 @@
 
 // submit submits a job, with defaults for resources, image and team.
 func (w *world) submit(s JobSpec) {
-	if s.Request == (Resources{}) {
-		s.Request = Resources{2000, 0, 2000}
+	if s.Resources == (Resources{}) {
+		s.Resources = Resources{2000, 0, 2000}
 	}
 	if s.Image == "" {
 		s.Image = "im"
@@ -115,14 +115,14 @@
 	if s.Team == "" {
 		s.Team = "blue"
 	}
-	w.c.UpdateJob(w.now, w.now, JobRecord{Spec: s, SubmittedAt: w.now, Revision: 5})
+	w.c.HandleJob(w.now, w.now, JobRecord{Spec: s, SubmittedAt: w.now, Revision: 5})
 	w.step()
 }
 
 func (w *world) cancel(id string) {
 	rec := w.c.jobs[id].record
 	rec.Phase = Cancelled
-	w.c.UpdateJob(w.now, w.now, rec)
+	w.c.HandleJob(w.now, w.now, rec)
 	w.step()
 }
 
@@ -212,7 +212,7 @@
 		w.sent = append(w.sent[:n], w.sent[n+1:]...)
 		n--
 		if f.losesCommands {
-			w.c.CommandResult(w.now, s.Machine, s.Token, Unanswered, nil)
+			w.c.HandleCommandResult(w.now, s.Machine, s.Token, Unanswered, nil)
 			continue
 		}
 		f.status.Token = max(f.status.Token, s.Token)
@@ -220,7 +220,7 @@
 		f.status.Seq++
 		r := f.status
 		r.Tasks = append([]TaskReport(nil), f.status.Tasks...)
-		w.c.CommandResult(w.now, s.Machine, s.Token, Executed, &r)
+		w.c.HandleCommandResult(w.now, s.Machine, s.Token, Executed, &r)
 		w.step()
 		n = -1
 	}
--- a/internal/core/zone_test.go
+++ b/internal/core/zone_test.go
@@ -17,7 +17,7 @@
 		a = append(a, w.newWorker(fmt.Sprintf("a-%d", i), "a").report())
 		b = append(b, w.newWorker(fmt.Sprintf("b-%d", i), "b").report())
 	}
-	w.submit(JobSpec{ID: "job-1", Kind: kind, Tasks: 24, Request: Resources{8000, 0, 2000}})
+	w.submit(JobSpec{ID: "job-1", Kind: kind, Tasks: 24, Resources: Resources{8000, 0, 2000}})
 	w.reportRounds(4, append(a[:12:12], b...))
 	w.want("placed", len(w.c.jobs["job-1"].live), 24)
 	return w, d, a, b
@@ -253,7 +253,7 @@
 	w, _, a, b := setupTasksInBothZones(t, Array)
 	w.runWithSilentWorkers(4, append(a[:12:12], b...), nil)
 	w.rentals = nil
-	w.submit(JobSpec{ID: "job-2", Kind: Array, Tasks: 24, Request: Resources{8000, 0, 2000}})
+	w.submit(JobSpec{ID: "job-2", Kind: Array, Tasks: 24, Resources: Resources{8000, 0, 2000}})
 	w.runWithSilentWorkers(4, append(a[:12:12], b...), nil)
 	w.want("rental requests while a peer may receive reports", len(w.rentals), 0)
 	w.runWithSilentWorkers(8, append(a[:12:12], b...), nil)
--- a/internal/ednmap/ednmap.go
+++ b/internal/ednmap/ednmap.go
@@ -15,10 +15,10 @@
 )
 
 // Setting reads one setting's value.
-type Setting func(edn.RawMessage) error
+type Parser func(edn.RawMessage) error
 
 // Read reads a file's text, which is one map and nothing more.
-func Read(b []byte, known map[string]Setting) error {
+func Parse(b []byte, known map[string]Parser) error {
 	var whole edn.RawMessage
 	dec := edn.NewDecoder(bytes.NewReader(b))
 	if err := dec.Decode(&whole); err != nil {
@@ -28,12 +28,12 @@
 	if err := dec.Decode(&extra); !errors.Is(err, io.EOF) {
 		return errors.New("more than one expression")
 	}
-	return Map(whole, known)
+	return ParseMap(whole, known)
 }
 
 // Map reads a map of settings. One that is misspelt and silently ignored would be worse
 // than a refusal.
-func Map(b edn.RawMessage, known map[string]Setting) error {
+func ParseMap(b edn.RawMessage, known map[string]Parser) error {
 	var given map[edn.Keyword]edn.RawMessage
 	if err := edn.Unmarshal(b, &given); err != nil {
 		return fmt.Errorf("not a map of settings: %w", err)
@@ -51,7 +51,7 @@
 }
 
 // Number reads a number in a range.
-func Number(lo, hi float64, to *float64) Setting {
+func Number(lo, hi float64, to *float64) Parser {
 	return func(b edn.RawMessage) error {
 		var n float64
 		if err := edn.Unmarshal(b, &n); err != nil || math.IsNaN(n) || n < lo || n > hi {
@@ -63,7 +63,7 @@
 }
 
 // Whole reads a whole number in a range.
-func Whole(lo, hi float64, to *int) Setting {
+func Integer(lo, hi float64, to *int) Parser {
 	return func(b edn.RawMessage) error {
 		var n float64
 		if err := Number(lo, hi, &n)(b); err != nil {
@@ -78,7 +78,7 @@
 }
 
 // Text reads a text that is not empty.
-func Text(to *string) Setting {
+func String(to *string) Parser {
 	return func(b edn.RawMessage) error {
 		if err := edn.Unmarshal(b, to); err != nil || *to == "" {
 			return fmt.Errorf("want a text, not %s", bytes.TrimSpace(b))
@@ -88,7 +88,7 @@
 }
 
 // Texts reads a list of texts.
-func Texts(to *[]string) Setting {
+func Strings(to *[]string) Parser {
 	return func(b edn.RawMessage) error {
 		*to = nil
 		if err := edn.Unmarshal(b, to); err != nil {
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -72,7 +72,7 @@
 // readBody reads a request's body. ok is false if the body is too long or truncated; the request
 // then needs no further response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err == nil {
 		return b, true
 	}
@@ -116,7 +116,7 @@
 		ctx, cancel := context.WithTimeout(r.Context(), pollDeadline)
 		defer cancel()
 		writeResponse(w, h.service.Poll(ctx, id))
-	case suffix == wire.CancelEnd && r.Method == http.MethodPost:
+	case suffix == wire.CancelSuffix && r.Method == http.MethodPost:
 		ctx, cancel := context.WithTimeout(r.Context(), submitDeadline)
 		defer cancel()
 		writeResponse(w, h.service.Cancel(ctx, id))
@@ -126,7 +126,7 @@
 }
 
 func (h *handler) handleReport(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16*wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16*wire.MaxBodyBytes))
 	if err != nil {
 		return
 	}
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -25,7 +25,7 @@
 // TestStaleResponse checks that a response that is no longer fresh is replaced by 503 with
 // Retry-After.
 func TestStaleResponse(t *testing.T) {
-	for _, path := range []string{wire.JobsPath + "/job-000001", wire.JobsPath + "/job-000001/" + wire.CancelEnd} {
+	for _, path := range []string{wire.JobsPath + "/job-000001", wire.JobsPath + "/job-000001/" + wire.CancelSuffix} {
 		method := http.MethodGet
 		if path != wire.JobsPath+"/job-000001" {
 			method = http.MethodPost
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -66,7 +66,7 @@
 	n.cancellations.add(k) // even if this node does not know the job: a worker may have tasks of it
 	if rec, known := n.view.jobs[k.Job]; known && rec.Phase == core.Pending {
 		n.log.Info("cancelled, by a peer's word", "job", k.Job, "revision", k.Revision)
-		n.core.UpdateJob(n.now(), wallClock(), rec.Final(core.Cancelled, core.Micros(k.At)))
+		n.core.HandleJob(n.now(), wallClock(), rec.Final(core.Cancelled, core.Micros(k.At)))
 	}
 }
 
--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -44,8 +44,8 @@
 )
 
 func (c *clusterConfig) init(p *config.Platform, s config.Settings) {
-	c.base, c.follower = config.ConfigBase(p, s), clusterconfig.NewFollower()
-	c.setEffective(c.follower.Config().Over(&c.base))
+	c.base, c.follower = config.ClusterConfigBase(p, s), clusterconfig.NewFollower()
+	c.setEffective(c.follower.Config().OverlayOn(&c.base))
 	c.freshUntil.Store(int64(c.follower.FreshUntil(0)))
 	c.peers = []string{}
 	for _, k := range p.Peers {
@@ -61,7 +61,7 @@
 // priorityCap returns the highest priority that a team may use. Any goroutine may call it.
 func (n *Node) priorityCap(team string) core.Priority {
 	if t, ok := n.clusterConfig.effectiveShared.Load().Teams[team]; ok {
-		return t.Cap
+		return t.PriorityCap
 	}
 	return core.Production
 }
@@ -70,7 +70,7 @@
 func (n *Node) putConfig(key string, value []byte, revision uint64) {
 	if key == clusterconfig.HeadKey {
 		h, err := wire.DecodeConfigHead(value)
-		n.clusterConfig.follower.Head(h, revision, err)
+		n.clusterConfig.follower.UpdateHead(h, revision, err)
 		return
 	}
 	p, err := wire.DecodeConfigPage(value)
@@ -78,13 +78,13 @@
 		n.log.Error("configuration", "record", key, "err", err)
 		return // a head that names this page does not take effect
 	}
-	n.clusterConfig.follower.Page(key, p, revision)
+	n.clusterConfig.follower.UpdatePage(key, p, revision)
 }
 
 // dropConfig applies the deletion of a record of the configuration at a revision.
 func (n *Node) dropConfig(key string, revision uint64) {
 	if key != clusterconfig.HeadKey { // the head is never deleted
-		n.clusterConfig.follower.Drop(key, revision)
+		n.clusterConfig.follower.DropPage(key, revision)
 	}
 }
 
@@ -94,14 +94,14 @@
 	changed, err := c.follower.Resolve()
 	if err != nil {
 		n.log.Error("the configuration can't take effect; until it does, no task is placed and no job is accepted or refused by it", "err", err)
-		if t := n.term; t != nil && errors.Is(err, clusterconfig.ErrNewer) {
+		if t := n.term; t != nil && errors.Is(err, clusterconfig.ErrNewerFormat) {
 			n.resign("the configuration can't be read")
 		}
 	}
 	if changed {
-		c.setEffective(c.follower.Config().Over(&c.base))
+		c.setEffective(c.follower.Config().OverlayOn(&c.base))
 		n.core.Configure(config.CoreTeams(c.effective.Teams), c.effective.Tuning)
-		version, revision := c.follower.Acted()
+		version, revision := c.follower.EffectiveVersion()
 		c.headRevision.Store(revision)
 		n.log.Info("configuration", "version", version, "revision", revision)
 	}
@@ -129,8 +129,8 @@
 // configConditions returns the conditions of a write that accepts a job: the configuration by
 // which the job was checked is still in force.
 func (n *Node) configConditions() []wire.Cond {
-	if _, revision := n.clusterConfig.follower.Acted(); revision > 0 {
-		return []wire.Cond{{Key: clusterconfig.HeadKey, Version: revision}}
+	if _, revision := n.clusterConfig.follower.EffectiveVersion(); revision > 0 {
+		return []wire.Cond{{Key: clusterconfig.HeadKey, ModRevision: revision}}
 	}
 	return nil
 }
@@ -149,8 +149,8 @@
 	if !c.follower.Enabled() || c.ackInFlight || n.now() < c.ackNotBefore {
 		return
 	}
-	version, revision := c.follower.Acted()
-	ack := clusterconfig.Ack{Format: clusterconfig.Format, Stamp: revision, Number: version, Peers: c.peers, Earlier: n.olderVersionPeers()}
+	version, revision := c.follower.EffectiveVersion()
+	ack := clusterconfig.Ack{Format: clusterconfig.Format, HeadRevision: revision, Version: version, Peers: c.peers, OlderPeers: n.olderVersionPeers()}
 	if !c.follower.Current() {
 		ack.Error = "it can't put the latest version into effect"
 	}
--- a/internal/node/clusterconfig_test.go
+++ b/internal/node/clusterconfig_test.go
@@ -27,7 +27,7 @@
 	}{
 		{"no configuration, nothing read", false, 0, 100 * core.Second, true, true, true},
 		{"read just now", true, clusterconfig.Format, 0, true, true, true},
-		{"read long ago", true, clusterconfig.Format, clusterconfig.FreshFor + core.Millisecond, true, false, true},
+		{"read long ago", true, clusterconfig.Format, clusterconfig.FreshnessTTL + core.Millisecond, true, false, true},
 		{"of a newer format", true, clusterconfig.Format + 1, 0, true, false, true},
 		{"does not lead", true, clusterconfig.Format, 0, false, false, false},
 	} {
@@ -38,7 +38,7 @@
 				n.leaseValidUntil.Store(int64(now + 100*core.Second))
 			}
 			if c.hasConfig {
-				n.clusterConfig.follower.Head(clusterconfig.Head{Format: c.format}, 7, nil)
+				n.clusterConfig.follower.UpdateHead(clusterconfig.Head{Format: c.format}, 7, nil)
 			}
 			n.currentAsOf = now - c.sinceRead
 			n.resolveConfig()
@@ -56,15 +56,15 @@
 // configuration that has been read since it arrived, and that the refusal is not written once the
 // configuration has changed again: the operator may already know that the new one is in force.
 func TestRefusalAfterConfigChange(t *testing.T) {
-	spec := core.JobSpec{ID: "job-1", Team: "red", Tasks: 1, Request: core.Resources{CPU: 1000}}
+	spec := core.JobSpec{ID: "job-1", Team: "red", Tasks: 1, Resources: core.Resources{CPU: 1000}}
 	put := func(n *Node, teams map[string]clusterconfig.Team, revision uint64) {
 		key := fmt.Sprint(clusterconfig.PagePrefix, revision)
-		n.clusterConfig.follower.Page(key, clusterconfig.Page{Teams: teams}, revision)
-		n.clusterConfig.follower.Head(clusterconfig.Head{Format: clusterconfig.Format, Pages: []string{key}}, revision, nil)
+		n.clusterConfig.follower.UpdatePage(key, clusterconfig.Page{Teams: teams}, revision)
+		n.clusterConfig.follower.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format, Pages: []string{key}}, revision, nil)
 		n.currentAsOf = n.now()
 		n.resolveConfig()
 	}
-	red := map[string]clusterconfig.Team{"red": {Cap: core.Production}}
+	red := map[string]clusterconfig.Team{"red": {PriorityCap: core.Production}}
 	for _, c := range []struct {
 		name          string
 		before, after map[string]clusterconfig.Team // before the refusal, and between refusal and writing
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -153,7 +153,7 @@
 		conds := req.conds
 		if req.term != nil {
 			// The token may have been raised since the request was queued.
-			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, Version: req.term.token})
+			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, ModRevision: req.term.token})
 		}
 		for _, cond := range conds {
 			if !included[cond] {
@@ -197,7 +197,7 @@
 	n := c.n
 	req := &writeRequest{term: t}
 	fail := func() {
-		n.post(func() { n.ifCurrentTerm(t, func() { n.core.WriteResult(n.now(), w.ID, core.WriteRefused) }) })
+		n.post(func() { n.ifCurrentTerm(t, func() { n.core.HandleWriteResult(n.now(), w.ID, core.WriteRefused) }) })
 	}
 	for i, p := range w.Puts {
 		key := p.Key
@@ -228,7 +228,7 @@
 	leftover := req.ops[min(len(req.ops), limit):]
 	req.ops = req.ops[:len(req.ops)-len(leftover)]
 	if w.IfJob != "" {
-		req.conds = append(req.conds, wire.Cond{Key: jobPrefix + w.IfJob, Version: w.IfRevision})
+		req.conds = append(req.conds, wire.Cond{Key: jobPrefix + w.IfJob, ModRevision: w.IfRevision})
 	}
 	if w.IfAbsent != "" {
 		req.conds = append(req.conds, wire.Cond{Key: w.IfAbsent})
@@ -237,7 +237,7 @@
 		if err != nil {
 			n.log.Debug("write failed", "err", err, "job", w.IfJob)
 		}
-		n.ifCurrentTerm(t, func() { n.core.WriteResult(n.now(), w.ID, writeOutcome(err)) })
+		n.ifCurrentTerm(t, func() { n.core.HandleWriteResult(n.now(), w.ID, writeOutcome(err)) })
 		if err == nil && w.IfJob != "" {
 			n.applyFinalRecords(w, rev)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,7 +94,7 @@
 		incarnation:  rand.Uint64(),
 		started:      time.Now(),
 		inbox:        make(chan func(), 1024),
-		core:         core.New(config.Core(p, s)),
+		core:         core.New(config.CoreConfig(p, s)),
 		electorWake:  make(chan struct{}, 1),
 	}
 	n.answerGrace = core.Seconds(s.AnswerGraceS)
@@ -290,7 +290,7 @@
 	if !n.isActiveLeader() {
 		return
 	}
-	n.core.SetPlacing(n.mayDecide())
+	n.core.SetPlacementEnabled(n.mayDecide())
 	for _, a := range n.core.Step(n.now()) {
 		n.execute(a)
 	}
@@ -318,7 +318,7 @@
 	case core.SendCommands:
 		go func() {
 			o, r := n.workerClient.Send(n.ctx, a, n.sendCheck(a.Commands))
-			n.post(func() { n.ifCurrentTerm(t, func() { n.core.CommandResult(n.now(), a.Machine, a.Token, o, r) }) })
+			n.post(func() { n.ifCurrentTerm(t, func() { n.core.HandleCommandResult(n.now(), a.Machine, a.Token, o, r) }) })
 		}()
 	case core.Rent:
 		go n.rent(t, a)
@@ -329,7 +329,7 @@
 			if err != nil {
 				n.log.Info("machine release failed", "machines", a.Machines, "err", err)
 			}
-			n.post(func() { n.ifCurrentTerm(t, func() { n.core.ReleaseResult(n.now(), a.Machines, err == nil) }) })
+			n.post(func() { n.ifCurrentTerm(t, func() { n.core.HandleReleaseResult(n.now(), a.Machines, err == nil) }) })
 		}()
 	}
 }
@@ -347,17 +347,17 @@
 	outcome := core.RentUnknown
 	if n.leaseValid() {
 		var err error
-		names, err = n.cloudClient.Rent(n.ctx, wire.RentRequest{Request: a.Request, Type: a.Type, Zone: a.Zone, Spot: a.Spot, Count: a.Count})
+		names, err = n.cloudClient.Rent(n.ctx, wire.RentRequest{Request: a.RequestID, Type: a.Type, Zone: a.Zone, Spot: a.Spot, Count: a.Count})
 		switch {
 		case err == nil:
 			outcome = core.RentGranted
 		case errors.Is(err, cloud.ErrNoCapacity):
 			outcome = core.RentRefused
 		default:
-			n.log.Info("rental failed", "request", a.Request, "err", err)
+			n.log.Info("rental failed", "request", a.RequestID, "err", err)
 		}
 	}
 	n.post(func() {
-		n.ifCurrentTerm(t, func() { n.core.RentResult(n.now(), wallClock(), a.Request, outcome, names) })
+		n.ifCurrentTerm(t, func() { n.core.HandleRentalResult(n.now(), wallClock(), a.RequestID, outcome, names) })
 	})
 }
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -56,7 +56,7 @@
 	state := n.platform.Params.State
 	return &nomadState{
 		registry:   registry.New(registry.Limits{Ops: state.TxnOps, ValueLen: int(state.ValueKB * 1024)}, nativeJobs{n}),
-		maxWaiters: n.settings.Nomad.Watchers,
+		maxWaiters: n.settings.Nomad.MaxWatchers,
 		waiters:    map[registry.Name]map[*waiter]bool{}, progressWaiters: map[string]map[*waiter]bool{},
 		countsChangedAt: map[string]core.Micros{},
 	}
@@ -483,7 +483,7 @@
 	put := func(rec core.JobRecord) error {
 		key := jobPrefix + rec.Spec.ID
 		b, err := wire.EncodeJob(&rec)
-		req.conds = append(req.conds, wire.Cond{Key: key, Version: rec.Revision})
+		req.conds = append(req.conds, wire.Cond{Key: key, ModRevision: rec.Revision})
 		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 		recs = append(recs, rec)
 		return err
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -39,15 +39,15 @@
 
 func newNotifier(n *Node) *notifier {
 	s := n.settings.Notify
-	if s == nil || len(s.Subs) == 0 {
+	if s == nil || len(s.Subscriptions) == 0 {
 		return nil
 	}
 	v := &notifier{senders: map[string]*deliver.Sender{}}
 	byName := map[string]*deliver.Sender{}
 	for _, r := range s.Receivers {
-		byName[r.Limits.Name] = deliver.New(r.Reach, n.dial)
+		byName[r.Limits.Name] = deliver.New(r.Delivery, n.dial)
 	}
-	for _, sub := range s.Subs {
+	for _, sub := range s.Subscriptions {
 		v.subscriptions = append(v.subscriptions, sub.Name)
 		v.senders[sub.Name] = byName[sub.Receiver]
 	}
@@ -57,7 +57,7 @@
 // outboxConfig returns the outbox's configuration.
 func (n *Node) outboxConfig() notify.Config {
 	c := notify.Config{
-		Begin: n.now(), Subs: n.settings.Notify.Subs, Window: 1000, SaveGap: 5 * core.Second, ChunkGap: 15 * core.Second,
+		Begin: n.now(), Subs: n.settings.Notify.Subscriptions, Window: 1000, SaveGap: 5 * core.Second, ChunkGap: 15 * core.Second,
 		// The rest of the transaction is left to writes that jobs wait for.
 		ChunksPerSave: max(n.platform.Params.State.TxnOps/2, 2),
 		FirstRetry:    core.Second, LastRetry: 120 * core.Second,
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		marksRevision = e.Version
+		marksRevision = e.ModRevision
 		if err := wire.Unmarshal(e.Value, &marks); err != nil {
 			return fmt.Errorf("record %s: %w", e.Key, err)
 		}
@@ -122,7 +122,7 @@
 			return err
 		}
 		_, err = n.stateClient.Commit(ctx, &wire.Txn{
-			If:   []wire.Cond{{Key: leaderKey, Version: start.token}, {Key: marksKey, Version: marksRevision}},
+			If:   []wire.Cond{{Key: leaderKey, ModRevision: start.token}, {Key: marksKey, ModRevision: marksRevision}},
 			Then: []wire.Write{{Put: marksKey, Value: v}},
 		})
 		if err != nil {
@@ -359,7 +359,7 @@
 		if a.Op == control.Retry || a.Op == control.Drop {
 			n.log.Info("operator request on notifications", "op", string(a.Op), "subscription", a.Sub, "job", a.Job, "event", a.Kind)
 		}
-		reply(control.Do(n.notifier.outbox, n.settings.Notify.Subs, n.now(), a))
+		reply(control.Do(n.notifier.outbox, n.settings.Notify.Subscriptions, n.now(), a))
 	})
 }
 
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -141,7 +141,7 @@
 			case err == nil:
 				rec.Revision = rev
 				n.applyJob(rec)
-				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.Accepted{ID: spec.ID, State: wire.StatePending},
+				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.AcceptedResponse{ID: spec.ID, State: wire.StatePending},
 					Fresh: n.freshSince(n.now())}) // it may be cancelled by then through another node
 			case errors.Is(err, statestore.ErrConflict):
 				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, configRevision, reply) })
@@ -178,12 +178,12 @@
 	if team.Draining {
 		return fmt.Sprintf("team %s accepts no new jobs", s.Team)
 	}
-	if s.Priority > team.Cap {
-		return fmt.Sprintf("team %s may use %v priority at most, not %v", s.Team, team.Cap, s.Priority)
+	if s.Priority > team.PriorityCap {
+		return fmt.Sprintf("team %s may use %v priority at most, not %v", s.Team, team.PriorityCap, s.Priority)
 	}
-	total := s.Request
+	total := s.Resources
 	if s.Kind != core.Array {
-		total = s.Request.Times(s.Tasks)
+		total = s.Resources.Times(s.Tasks)
 	}
 	if team.Max.CPU > 0 && total.CPU > team.Max.CPU || team.Max.GPU > 0 && total.GPU > team.Max.GPU {
 		return fmt.Sprintf("the job requests more than the limit of team %s", s.Team)
@@ -192,7 +192,7 @@
 		return fmt.Sprintf("there is no zone %q", s.Zone)
 	}
 	for i := range n.catalog {
-		if s.Request.Fits(n.catalog[i].Capacity) && (s.Types == nil || slices.Contains(s.Types, n.catalog[i].Name)) {
+		if s.Resources.Fits(n.catalog[i].Capacity) && (s.Types == nil || slices.Contains(s.Types, n.catalog[i].Name)) {
 			return ""
 		}
 	}
@@ -257,7 +257,7 @@
 	}
 	key := jobPrefix + id
 	req := &writeRequest{
-		conds: []wire.Cond{{Key: key, Version: revision}},
+		conds: []wire.Cond{{Key: key, ModRevision: revision}},
 		ops:   []wire.Write{{Put: key, Value: b}},
 		done: func(rev uint64, err error) {
 			switch {
@@ -319,7 +319,7 @@
 
 // respondToReport replies to a worker's report with commands under a token.
 func (n *Node) respondToReport(reply func(httpapi.Response), token uint64, cmds []core.Command, fresh func() bool) {
-	b, err := wire.Commands(token, 0, cmds)
+	b, err := wire.EncodeCommands(token, 0, cmds)
 	if err != nil {
 		n.log.Error("encoding commands failed", "err", err)
 		reply(httpapi.Unavailable())
--- a/internal/node/submission_test.go
+++ b/internal/node/submission_test.go
@@ -73,7 +73,7 @@
 	}
 	n := newTestNode()
 	addTeam(n, "blue", 0)
-	spec := &core.JobSpec{ID: "job-1", Team: "blue", Tasks: 1, Request: core.Resources{CPU: 16000}}
+	spec := &core.JobSpec{ID: "job-1", Team: "blue", Tasks: 1, Resources: core.Resources{CPU: 16000}}
 	n.applyPut(catalogKey, catalog(8), 3)
 	if n.infeasibleReason(spec) == "" {
 		t.Fatal("a task of 16 CPUs fits a machine of 8")
@@ -100,7 +100,7 @@
 	addTeam(n, "blue", 16)
 	n.platform.Params.Zones = []string{"a", "b"}
 	n.catalog = []core.MachineType{{Name: "m", Capacity: core.Resources{CPU: 8000}}, {Name: "l", Capacity: core.Resources{CPU: 12000}}}
-	good := core.JobSpec{ID: "job-1", Team: "blue", Tasks: 2, Request: core.Resources{CPU: 8000}}
+	good := core.JobSpec{ID: "job-1", Team: "blue", Tasks: 2, Resources: core.Resources{CPU: 8000}}
 	for _, c := range []struct {
 		name     string
 		change   func(s *core.JobSpec)
@@ -108,9 +108,9 @@
 	}{
 		{"a feasible job", func(*core.JobSpec) {}, true},
 		{"unknown team", func(s *core.JobSpec) { s.Team = "red" }, false},
-		{"larger than any machine", func(s *core.JobSpec) { s.Request.CPU = 13000 }, false},
-		{"larger than its machine types", func(s *core.JobSpec) { s.Request.CPU, s.Types = 12000, []string{"m"} }, false},
-		{"fits one of its machine types", func(s *core.JobSpec) { s.Request.CPU, s.Types, s.Tasks = 12000, []string{"m", "l"}, 1 }, true},
+		{"larger than any machine", func(s *core.JobSpec) { s.Resources.CPU = 13000 }, false},
+		{"larger than its machine types", func(s *core.JobSpec) { s.Resources.CPU, s.Types = 12000, []string{"m"} }, false},
+		{"fits one of its machine types", func(s *core.JobSpec) { s.Resources.CPU, s.Types, s.Tasks = 12000, []string{"m", "l"}, 1 }, true},
 		{"empty list of machine types", func(s *core.JobSpec) { s.Types = []string{} }, false},
 		{"known zone", func(s *core.JobSpec) { s.Zone = "b" }, true},
 		{"unknown zone", func(s *core.JobSpec) { s.Zone = "c" }, false},
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	var l wire.Leader
+	var l wire.LeaderRecord
 	if err := wire.Unmarshal(e.Value, &l); err != nil || l.Node != n.platform.Member || e.Lease == 0 {
 		return err
 	}
@@ -119,7 +119,7 @@
 	}
 	// Renewals begin once this node holds the key. Until then the lease runs from its grant.
 	until := core.LeaseValidUntil(sent, core.Micros(ttl/time.Microsecond))
-	value, err := wire.Marshal(&wire.Leader{Node: n.platform.Member})
+	value, err := wire.Marshal(&wire.LeaderRecord{Node: n.platform.Member})
 	if err != nil {
 		return err
 	}
@@ -234,19 +234,19 @@
 		switch {
 		case strings.HasPrefix(e.Key, core.MachinePrefix):
 			var r core.MachineGroupRecord
-			r, err = wire.DecodeMachines(e.Key, e.Value)
+			r, err = wire.DecodeMachineGroup(e.Key, e.Value)
 			s.MachineGroups = append(s.MachineGroups, r)
 		case strings.HasPrefix(e.Key, core.RentalPrefix):
 			var r core.RentalRecord
-			r, err = wire.DecodeRent(e.Value)
+			r, err = wire.DecodeRental(e.Value)
 			s.Rentals = append(s.Rentals, r)
 		case strings.HasPrefix(e.Key, core.CompletionPrefix):
 			var r core.CompletionRecord
-			r, err = wire.DecodeRanges(e.Key, e.Value)
+			r, err = wire.DecodeCompletion(e.Key, e.Value)
 			s.Completions = append(s.Completions, r)
 		case strings.HasPrefix(e.Key, core.PartitionPrefix):
 			var r core.PartitionRecord
-			r, err = wire.DecodeKept(e.Key, e.Value)
+			r, err = wire.DecodePartition(e.Key, e.Value)
 			s.Partitions = append(s.Partitions, r)
 		case strings.HasPrefix(e.Key, core.StartedPrefix):
 			s.Started = append(s.Started, e.Key[len(core.StartedPrefix):])
@@ -267,13 +267,13 @@
 	t.raising = true
 	n := t.n
 	t.raiseCount++
-	value, err := wire.Marshal(&wire.Leader{Node: n.platform.Member, Nth: t.raiseCount})
+	value, err := wire.Marshal(&wire.LeaderRecord{Node: n.platform.Member, RaiseCount: t.raiseCount})
 	if err != nil {
 		n.log.Error("encoding the leader record failed", "err", err)
 		return
 	}
 	txn := &wire.Txn{
-		If:   []wire.Cond{{Key: leaderKey, Version: t.token}},
+		If:   []wire.Cond{{Key: leaderKey, ModRevision: t.token}},
 		Then: []wire.Write{{Put: leaderKey, Value: value, Lease: t.leaseID}},
 	}
 	go func() {
@@ -306,7 +306,7 @@
 func (t *term) tokenRaised(token uint64) {
 	if token > t.token {
 		t.token = token
-		t.n.core.TokenRaised(t.n.now(), token)
+		t.n.core.HandleTokenRaised(t.n.now(), token)
 		for _, f := range t.afterRaise {
 			f()
 		}
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -72,10 +72,10 @@
 	for i := range entries {
 		e := &entries[i]
 		leaderListed = leaderListed || e.Key == leaderKey
-		if n.notifier != nil && e.Version > previous && strings.HasPrefix(e.Key, jobPrefix) {
+		if n.notifier != nil && e.ModRevision > previous && strings.HasPrefix(e.Key, jobPrefix) {
 			changedJobs = append(changedJobs, e.Key[len(jobPrefix):])
 		}
-		n.applyPut(e.Key, e.Value, e.Version)
+		n.applyPut(e.Key, e.Value, e.ModRevision)
 	}
 	if rev > n.view.revision {
 		n.nomad.dropMissing(entries, rev)
@@ -107,18 +107,18 @@
 	for i := range ch.Events {
 		e := &ch.Events[i]
 		if e.Put != "" {
-			if n.notifier != nil && e.Version > previous && strings.HasPrefix(e.Put, jobPrefix) {
+			if n.notifier != nil && e.ModRevision > previous && strings.HasPrefix(e.Put, jobPrefix) {
 				changedJobs = append(changedJobs, e.Put[len(jobPrefix):])
 			}
-			n.applyPut(e.Put, e.Value, e.Version)
+			n.applyPut(e.Put, e.Value, e.ModRevision)
 		} else if clusterconfig.IsRecord(e.Delete) {
-			n.dropConfig(e.Delete, e.Version)
+			n.dropConfig(e.Delete, e.ModRevision)
 		} else if e.Delete != leaderKey {
-			if e.Version > n.view.revision {
-				n.nomad.dropRecord(e.Delete, e.Version)
+			if e.ModRevision > n.view.revision {
+				n.nomad.dropRecord(e.Delete, e.ModRevision)
 			}
-		} else if e.Version > n.view.leaderRevision {
-			n.setLeader("", e.Version)
+		} else if e.ModRevision > n.view.leaderRevision {
+			n.setLeader("", e.ModRevision)
 		}
 	}
 	n.noteRead(ch.Revision, requestedAt)
@@ -135,7 +135,7 @@
 		if revision < n.view.leaderRevision {
 			return
 		}
-		var l wire.Leader
+		var l wire.LeaderRecord
 		if err := wire.Unmarshal(value, &l); err != nil {
 			n.log.Error("leader record", "err", err)
 			return
@@ -179,7 +179,7 @@
 	if old, ok := n.view.jobs[id]; ok && old.Revision >= rec.Revision {
 		return
 	}
-	n.core.UpdateJob(n.now(), wallClock(), rec)
+	n.core.HandleJob(n.now(), wallClock(), rec)
 	n.view.jobs[id] = rec
 	if rec.Phase != core.Pending {
 		delete(n.leaderCounts, id)
--- a/internal/nomad/httpapi/server_test.go
+++ b/internal/nomad/httpapi/server_test.go
@@ -46,7 +46,7 @@
 func testServer(perSecond int) http.Handler {
 	key := []byte("a key of a few bytes")
 	s := config.DefaultNomad()
-	s.Key, s.RequestsPerS = key, perSecond
+	s.TokenHashKey, s.RequestsPerS = key, perSecond
 	s.Tokens = map[string][]config.Hash{
 		"blue":  {HashToken(key, "new of blue"), HashToken(key, "old of blue")},
 		"green": {HashToken(key, "of green")},
--- a/internal/nomad/httpapi/token.go
+++ b/internal/nomad/httpapi/token.go
@@ -29,7 +29,7 @@
 }
 
 func newTokens(s *config.Nomad) *tokens {
-	t := &tokens{key: s.Key, agents: s.AgentTokens}
+	t := &tokens{key: s.TokenHashKey, agents: s.AgentTokens}
 	for team, list := range s.Tokens {
 		for _, h := range list {
 			t.teams = append(t.teams, teamToken{team, h})
--- a/internal/nomad/registry/change.go
+++ b/internal/nomad/registry/change.go
@@ -86,7 +86,7 @@
 	cond := wire.Cond{Key: headPrefix + key}
 	if old != nil {
 		h.Version, h.Create, h.Before = old.Version+1, old.CreateIndex, old.JobModifyIndex
-		cond.Version = old.JobModifyIndex
+		cond.ModRevision = old.JobModifyIndex
 	}
 	ch.Conds = append(ch.Conds, cond)
 	kept := map[string]bool{}
@@ -187,7 +187,7 @@
 		return ch, nil
 	}
 	key := jobKey(n)
-	ch.Conds = append(ch.Conds, wire.Cond{Key: headPrefix + key, Version: old.JobModifyIndex})
+	ch.Conds = append(ch.Conds, wire.Cond{Key: headPrefix + key, ModRevision: old.JobModifyIndex})
 	r.end(ch, old, nil)
 	if purge {
 		ch.Puts = append(ch.Puts, wire.Write{Delete: headPrefix + key})
--- a/internal/nomad/registry/registry_test.go
+++ b/internal/nomad/registry/registry_test.go
@@ -44,7 +44,7 @@
 // execute executes a change as the state service does; false for a conflict.
 func (s *store) execute(ch *Change) bool {
 	for _, c := range ch.Conds {
-		if s.stamps[c.Key] != c.Version {
+		if s.stamps[c.Key] != c.ModRevision {
 			return false
 		}
 	}
--- a/internal/nomad/translate/trace_test.go
+++ b/internal/nomad/translate/trace_test.go
@@ -56,7 +56,7 @@
 
 func (s *site) submit(spec core.JobSpec) {
 	s.specs[spec.ID] = spec
-	s.c.UpdateJob(s.now, s.now, core.JobRecord{Spec: spec, SubmittedAt: s.now, Revision: 5})
+	s.c.HandleJob(s.now, s.now, core.JobRecord{Spec: spec, SubmittedAt: s.now, Revision: 5})
 }
 
 func (h *hand) report() *core.Report {
@@ -108,18 +108,18 @@
 			h := s.hands[slices.IndexFunc(s.hands, func(h *hand) bool { return h.r.Machine == a.Machine })]
 			h.r.Token = max(h.r.Token, a.Token)
 			s.do(h, a.Commands)
-			s.c.CommandResult(s.now, a.Machine, a.Token, core.Executed, h.report())
+			s.c.HandleCommandResult(s.now, a.Machine, a.Token, core.Executed, h.report())
 		case core.Write:
-			s.c.WriteResult(s.now, a.ID, core.Stored)
+			s.c.HandleWriteResult(s.now, a.ID, core.Stored)
 			for _, p := range a.Puts {
 				if d, ok := p.Value.(core.FinalRecord); ok {
-					s.c.UpdateJob(s.now, s.now, d.Record)
+					s.c.HandleJob(s.now, s.now, d.Record)
 				}
 			}
 		case core.Rent:
-			s.c.RentResult(s.now, s.now, a.Request, core.RentRefused, nil)
+			s.c.HandleRentalResult(s.now, s.now, a.RequestID, core.RentRefused, nil)
 		case core.Release:
-			s.c.ReleaseResult(s.now, a.Machines, false)
+			s.c.HandleReleaseResult(s.now, a.Machines, false)
 		}
 	}
 	used := map[string]core.Resources{}
@@ -128,7 +128,7 @@
 		for _, t := range h.r.Tasks {
 			fmt.Fprintf(&line, " %s:%s/%d#%d=%d", h.r.Machine, t.Job, t.Index, t.Attempt, t.State)
 			if spec := s.specs[t.Job]; t.State != core.Exited {
-				used[spec.Team] = used[spec.Team].Add(spec.Request)
+				used[spec.Team] = used[spec.Team].Add(spec.Resources)
 			}
 		}
 	}
--- a/internal/nomad/translate/translate.go
+++ b/internal/nomad/translate/translate.go
@@ -257,7 +257,7 @@
 	if task.Driver == "" {
 		x.refuse(taskAt, "task %q: names no driver", task.Name)
 	}
-	s.Request = x.need(&task.Resources, taskAt+"/Resources")
+	s.Resources = x.need(&task.Resources, taskAt+"/Resources")
 	x.meta(&s, g, task, at, taskAt)
 	x.where(&s, g, task, at, taskAt)
 	// The published default is in every job that was read before, and asks for nothing.
--- a/internal/nomad/translate/translate_test.go
+++ b/internal/nomad/translate/translate_test.go
@@ -343,7 +343,7 @@
 		for _, g := range groups {
 			s := g.Spec
 			if s.Team != "guests" || s.Priority > core.Normal || s.Tasks < 1 || s.Tasks > core.MaxTasks || s.Class == "" || s.Image == "" ||
-				s.Request.CPU < 0 || s.Request.CPU > core.MaxTaskResource*1000 || s.Deadline < 0 || s.EstimatedRun < 0 || s.ImageMB < 0 {
+				s.Resources.CPU < 0 || s.Resources.CPU > core.MaxTaskResource*1000 || s.Deadline < 0 || s.EstimatedRun < 0 || s.ImageMB < 0 {
 				t.Errorf("%+v", s)
 			}
 		}
