--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -31,7 +31,7 @@
 	const connections = 2
 	c := &configclient.Client{
 		Store: statestore.New(stateAddress(operatorNumber), 0, 0, connections, netdial.TCP(time.Second)),
-		Base:  config.ConfigBase(p, config.DefaultSettings()), Limits: p.ConfigLimits(),
+		Base:  config.ClusterConfigBase(p, config.DefaultSettings()), Limits: p.ConfigLimits(),
 	}
 	for _, k := range r.controllers {
 		c.Controllers = append(c.Controllers, k.name)
@@ -57,7 +57,7 @@
 		} else {
 			o.made++
 			o.forced.add(time.Since(begun))
-			if len(forced.ByTime) > 0 {
+			if len(forced.Unconfirmed) > 0 {
 				o.byTime++
 			}
 		}
@@ -67,11 +67,11 @@
 
 // one changes one team's quota, within what the platform's file allows, and waits until that
 // is in force.
-func (o *operator) one(ctx context.Context, id string) (*configclient.Forced, error) {
+func (o *operator) one(ctx context.Context, id string) (*configclient.Rollout, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	begun := time.Now()
-	v, err := o.client.Ready(ctx)
+	v, err := o.client.EnsureReady(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -85,5 +85,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return o.client.Await(ctx, v, m, begun)
+	return o.client.AwaitInForce(ctx, v, m, begun)
 }
--- a/internal/scale/follow.go
+++ b/internal/scale/follow.go
@@ -51,7 +51,7 @@
 }
 
 func (r *Run) lookForLeader() {
-	var l wire.Leader
+	var l wire.LeaderRecord
 	if e, ok := r.state.Get(wire.LeaderKey); !ok || wire.Unmarshal(e.Value, &l) != nil {
 		l.Node = ""
 	}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return s, err
 	}
-	if err := ednmap.Read(b, s.known()); err != nil {
+	if err := ednmap.Parse(b, s.known()); err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := s.check(); err != nil {
@@ -110,20 +110,20 @@
 	return s, nil
 }
 
-func (s *Settings) known() map[string]ednmap.Setting {
-	return map[string]ednmap.Setting{
-		"seed":                   ednmap.Whole(0, 1e9, &s.Seed),
-		"workers":                ednmap.Whole(1, maxWorkers, &s.Workers),
-		"real-workers":           ednmap.Whole(0, 100, &s.RealWorkers),
-		"per-process":            ednmap.Whole(1, 2000, &s.PerProcess),
-		"controllers":            ednmap.Whole(1, 10, &s.Controllers),
-		"zones":                  ednmap.Texts(&s.Zones),
-		"regions":                ednmap.Texts(&s.Regions),
-		"teams":                  ednmap.Whole(1, 1000, &s.Teams),
-		"running-tasks":          ednmap.Whole(1, 1e6, &s.RunningTasks),
+func (s *Settings) known() map[string]ednmap.Parser {
+	return map[string]ednmap.Parser{
+		"seed":                   ednmap.Integer(0, 1e9, &s.Seed),
+		"workers":                ednmap.Integer(1, maxWorkers, &s.Workers),
+		"real-workers":           ednmap.Integer(0, 100, &s.RealWorkers),
+		"per-process":            ednmap.Integer(1, 2000, &s.PerProcess),
+		"controllers":            ednmap.Integer(1, 10, &s.Controllers),
+		"zones":                  ednmap.Strings(&s.Zones),
+		"regions":                ednmap.Strings(&s.Regions),
+		"teams":                  ednmap.Integer(1, 1000, &s.Teams),
+		"running-tasks":          ednmap.Integer(1, 1e6, &s.RunningTasks),
 		"starts-per-s":           ednmap.Number(0.1, 1e4, &s.StartsPerS),
 		"service-share":          ednmap.Number(0, 0.95, &s.ServiceShare),
-		"array-tasks":            ednmap.Whole(1, 10_000, &s.ArrayTasks),
+		"array-tasks":            ednmap.Integer(1, 10_000, &s.ArrayTasks),
 		"urgent-per-s":           ednmap.Number(0, 100, &s.UrgentPerS),
 		"changes-per-s":          ednmap.Number(0, 100, &s.ChangesPerS),
 		"urgent-within-s":        ednmap.Number(0.1, 60, &s.UrgentWithinS),
@@ -137,11 +137,11 @@
 		"state-rps":              ednmap.Number(10, 1e5, &s.StateRPS),
 		"state-write-rps":        ednmap.Number(5, 1e5, &s.StateWriteRPS),
 		"state-value-kb":         ednmap.Number(1, 1024, &s.StateValueKB),
-		"state-txn-ops":          ednmap.Whole(4, 1000, &s.StateTxnOps),
+		"state-txn-ops":          ednmap.Integer(4, 1000, &s.StateTxnOps),
 		"cloud-rps":              ednmap.Number(1, 1000, &s.CloudRPS),
 		"cloud-list-lag-s":       ednmap.Number(0, 600, &s.CloudListLagS),
 		"controller-mem-mb":      ednmap.Number(64, 4096, &s.ControllerMemMB),
-		"controller-connections": ednmap.Whole(64, 100_000, &s.ControllerConnections),
+		"controller-connections": ednmap.Integer(64, 100_000, &s.ControllerConnections),
 		"region-delay-ms":        ednmap.Number(0, 1000, &s.RegionDelayMS),
 		"zone-delay-ms":          ednmap.Number(0, 1000, &s.ZoneDelayMS),
 		"loss":                   ednmap.Number(0, 0.5, &s.Loss),
@@ -150,7 +150,7 @@
 	}
 }
 
-func troubles(to *[]Trouble) ednmap.Setting {
+func troubles(to *[]Trouble) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var list []edn.RawMessage
 		if err := edn.Unmarshal(b, &list); err != nil {
@@ -159,9 +159,9 @@
 		*to = nil
 		for i, raw := range list {
 			t := Trouble{Count: 1}
-			err := ednmap.Map(raw, map[string]ednmap.Setting{
-				"kind": ednmap.Text(&t.Kind), "at-s": ednmap.Number(0, 3600, &t.AtS),
-				"for-s": ednmap.Number(0, 3600, &t.ForS), "count": ednmap.Whole(1, maxWorkers, &t.Count),
+			err := ednmap.ParseMap(raw, map[string]ednmap.Parser{
+				"kind": ednmap.String(&t.Kind), "at-s": ednmap.Number(0, 3600, &t.AtS),
+				"for-s": ednmap.Number(0, 3600, &t.ForS), "count": ednmap.Integer(1, maxWorkers, &t.Count),
 			})
 			if err == nil && !slices.Contains(troubleKinds, t.Kind) {
 				err = fmt.Errorf(":kind: want one of %q, not %q", troubleKinds, t.Kind)
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -143,7 +143,7 @@
 			c.requests[q.Request] = names
 		}
 		respond(w, http.StatusOK, &wire.MachineNames{Machines: names})
-	case r.URL.Path == wire.MachineReturnPath:
+	case r.URL.Path == wire.MachineReleasePath:
 		var q wire.MachineNames
 		_ = wire.Unmarshal(b, &q)
 		for _, n := range q.Machines {
--- a/internal/simulator/config_test.go
+++ b/internal/simulator/config_test.go
@@ -51,7 +51,7 @@
 // newOperator follows a world from its beginning: a team's limit is the highest of the
 // versions that a start which is seen now can have been decided by.
 func newOperator(t *testing.T, w *simulator.World, p config.Platform) *operator {
-	o := &operator{t: t, w: w, base: config.ConfigBase(&p, w.Settings)}
+	o := &operator{t: t, w: w, base: config.ClusterConfigBase(&p, w.Settings)}
 	o.client = o.newClient("operator", p)
 	o.history = []inForce{{config: &clusterconfig.Config{}}}
 	w.SetLimit(o.limit)
@@ -79,7 +79,7 @@
 		if !h.replaced.IsZero() && time.Since(h.replaced) > lateStart {
 			continue
 		}
-		t := h.config.Over(&o.base).Teams[team]
+		t := h.config.OverlayOn(&o.base).Teams[team]
 		cpus, gpus := float64(t.Max.CPU)/1000, float64(t.Max.GPU)/1000
 		most.CPUs, most.GPUs = unlimited(most.CPUs, cpus), unlimited(most.GPUs, gpus)
 	}
@@ -87,11 +87,11 @@
 }
 
 // change makes a configuration of the one that there is and waits until it is in force.
-func (o *operator) change(id string, within time.Duration, edit func(c *clusterconfig.Config)) (*configclient.Forced, error) {
+func (o *operator) change(id string, within time.Duration, edit func(c *clusterconfig.Config)) (*configclient.Rollout, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	begun := time.Now()
-	v, err := o.client.Ready(ctx)
+	v, err := o.client.EnsureReady(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := o.client.Await(ctx, v, m, begun)
+	f, err := o.client.AwaitInForce(ctx, v, m, begun)
 	if err != nil {
 		return f, err
 	}
@@ -116,9 +116,9 @@
 			o.history[i].replaced = time.Now()
 		}
 	}
-	o.longest = max(o.longest, time.Since(m.Answered))
+	o.longest = max(o.longest, time.Since(m.AnsweredAt))
 	o.forced++
-	o.numbers = append(o.numbers, m.Number)
+	o.numbers = append(o.numbers, m.Version)
 	o.mu.Unlock()
 	return f, nil
 }
@@ -131,7 +131,7 @@
 			t, ok = o.base.Teams[name]
 		}
 		if !ok {
-			t.Cap = core.Production
+			t.PriorityCap = core.Production
 		}
 		edit(&t)
 		c.Teams[name] = t
@@ -233,7 +233,7 @@
 			}
 			u.w.Submit(job)
 			gone := func(c *clusterconfig.Config) { delete(c.Teams, "red") }
-			if _, err := o.change("gone", 10*s, gone); !errors.Is(err, configclient.ErrLive) {
+			if _, err := o.change("gone", 10*s, gone); !errors.Is(err, configclient.ErrTeamHasJobs) {
 				t.Errorf("removed without draining: %v", err)
 			}
 			must(t, o, "drain", o.team("red", func(t *clusterconfig.Team) { t.Draining = true }))
@@ -242,7 +242,7 @@
 			if got := u.w.Post(2, &late); got != http.StatusUnprocessableEntity {
 				t.Errorf("a job of a draining team is answered %d", got)
 			}
-			if _, err := o.change("gone", 10*s, gone); !errors.Is(err, configclient.ErrLive) {
+			if _, err := o.change("gone", 10*s, gone); !errors.Is(err, configclient.ErrTeamHasJobs) {
 				t.Errorf("removed with a job that runs: %v", err)
 			}
 			u.must(job.ID, "done")
@@ -252,14 +252,14 @@
 			}
 		}},
 		{"a cap that is lowered refuses and is lifted", func(t *testing.T, o *operator, u *users) {
-			must(t, o, "cap", o.team("green", func(t *clusterconfig.Team) { t.Cap = core.Normal }))
+			must(t, o, "cap", o.team("green", func(t *clusterconfig.Team) { t.PriorityCap = core.Normal }))
 			job := service(1, 1)
 			for i := range 3 {
 				if got := u.w.Post(i, &job); got != http.StatusUnprocessableEntity {
 					t.Errorf("node %d answers %d to a production job", i, got)
 				}
 			}
-			must(t, o, "lift", o.team("green", func(t *clusterconfig.Team) { t.Cap = core.Production }))
+			must(t, o, "lift", o.team("green", func(t *clusterconfig.Team) { t.PriorityCap = core.Production }))
 			for i := range 3 {
 				if got := u.w.Post(i, &job); got != http.StatusCreated && got != http.StatusOK {
 					t.Errorf("node %d answers %d once it may", i, got)
@@ -307,14 +307,14 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 10*s)
 				defer cancel()
 				must(t, o, "first", lower(o, 50))
-				v, err := o.client.Ready(ctx)
+				v, err := o.client.EnsureReady(ctx)
 				if err != nil {
 					t.Fatal(err)
 				}
 				lost := 0
 				var wg sync.WaitGroup
 				for i, k := range []*operator{o, other} {
-					to := &clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": {Max: core.Resources{CPU: int64(30000 + i)}, Cap: core.Production}}}
+					to := &clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": {Max: core.Resources{CPU: int64(30000 + i)}, PriorityCap: core.Production}}}
 					wg.Go(func() {
 						_, err := k.client.Apply(ctx, v, to, fmt.Sprint("both-", i))
 						if errors.Is(err, configclient.ErrConflict) {
@@ -412,8 +412,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				f, err := o.client.Await(ctx, v, m, begun)
-				if err != nil || len(f.ByTime) == 0 || f.All > 4*s {
+				f, err := o.client.AwaitInForce(ctx, v, m, begun)
+				if err != nil || len(f.Unconfirmed) == 0 || f.EverywhereAfter > 4*s {
 					t.Errorf("in force by %+v, %v", f, err)
 				}
 				o.mu.Lock()
@@ -436,7 +436,7 @@
 				}
 				refuseReads(true)
 				f, err := o.change("unread", 4*s, lower(o, 10))
-				if err != nil || len(f.ByTime) != 1 {
+				if err != nil || len(f.Unconfirmed) != 1 {
 					t.Errorf("in force by %+v, %v", f, err)
 				}
 				// It still has the older version and leads on for a while: what ends is not replaced.
@@ -461,7 +461,7 @@
 				refuseReads(true)
 				ctx, cancel := context.WithTimeout(context.Background(), 4*s)
 				defer cancel()
-				v, err := o.client.Ready(ctx)
+				v, err := o.client.EnsureReady(ctx)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -492,7 +492,7 @@
 				must(t, o, "first", lower(o, 50))
 				one := (max(o.w.Leader(), 0) + 1) % 3
 				refuseOne(o.w, one, true)
-				if f, err := o.change("one", 4*s, lower(o, 20)); err != nil || len(f.ByTime) != 1 {
+				if f, err := o.change("one", 4*s, lower(o, 20)); err != nil || len(f.Unconfirmed) != 1 {
 					t.Errorf("one refused: in force by %+v, %v", f, err)
 				}
 				refuseOne(o.w, one, false)
@@ -506,8 +506,8 @@
 				time.Sleep(8 * s)
 				must(t, o, "out", lower(o, 30))
 				v, err := o.client.Read(context.Background())
-				if err != nil || v.Records.Head.Number != 3 {
-					t.Errorf("version %d after three changes, %v", v.Records.Head.Number, err)
+				if err != nil || v.Records.Head.Version != 3 {
+					t.Errorf("version %d after three changes, %v", v.Records.Head.Version, err)
 				}
 			}},
 			{"the state service is slow", func(t *testing.T, o *operator, u *users) {
@@ -604,7 +604,7 @@
 						t.Errorf("node %d answers %d to a job under a configuration that it can't read", i, got)
 					}
 				}
-				if _, err := o.change("newer", 3*s, lower(o, 20)); !errors.Is(err, clusterconfig.ErrNewer) {
+				if _, err := o.change("newer", 3*s, lower(o, 20)); !errors.Is(err, clusterconfig.ErrNewerFormat) {
 					t.Errorf("a change over it: %v", err)
 				}
 				time.Sleep(20 * s)
@@ -627,23 +627,23 @@
 				o.w.Kill(other) // what it has said ends with its lease
 				time.Sleep(8 * s)
 				v, err := o.client.Read(context.Background())
-				if err != nil || !slices.Equal(o.client.Unheard(v), []string{fmt.Sprint("node-", other)}) || len(o.client.NotReady(v)) > 0 {
-					t.Errorf("says nothing: %q, not ready: %q, %v", o.client.Unheard(v), o.client.NotReady(v), err)
+				if err != nil || !slices.Equal(o.client.NotReporting(v), []string{fmt.Sprint("node-", other)}) || len(o.client.NotReady(v)) > 0 {
+					t.Errorf("says nothing: %q, not ready: %q, %v", o.client.NotReporting(v), o.client.NotReady(v), err)
 				}
-				if f, err := o.change("again", 4*s, lower(o, 30)); err != nil || len(f.ByTime) != 1 {
+				if f, err := o.change("again", 4*s, lower(o, 30)); err != nil || len(f.Unconfirmed) != 1 {
 					t.Errorf("a change without one that knew configuration and has ended: in force by %+v, %v", f, err)
 				}
 				// It is of an earlier version now, says a peer.
 				a := v.Acks[fmt.Sprint("node-", (other+1)%3)]
-				a.Earlier = []string{fmt.Sprint("node-", other)}
+				a.OlderPeers = []string{fmt.Sprint("node-", other)}
 				v.Acks[fmt.Sprint("node-", (other+1)%3)] = a
-				if got := o.client.NotReady(v); !slices.Equal(got, a.Earlier) {
+				if got := o.client.NotReady(v); !slices.Equal(got, a.OlderPeers) {
 					t.Errorf("of an earlier version: not ready %q", got)
 				}
 				// And where it leads, whoever says that it is down, if it never knew configuration.
-				v.Acks, v.Leader, v.Known[a.Earlier[0]] = map[string]clusterconfig.Ack{}, a.Earlier[0], false
-				o.client.Absent = a.Earlier
-				if got := o.client.NotReady(v); !slices.Equal(got, a.Earlier) {
+				v.Acks, v.Leader, v.SupportsConfig[a.OlderPeers[0]] = map[string]clusterconfig.Ack{}, a.OlderPeers[0], false
+				o.client.Absent = a.OlderPeers
+				if got := o.client.NotReady(v); !slices.Equal(got, a.OlderPeers) {
 					t.Errorf("an earlier version leads: not ready %q", got)
 				}
 				o.client.Absent = nil
@@ -655,7 +655,7 @@
 				o.client.Limits = clusterconfig.Limits{ValueBytes: 1800, TxnOps: 4}
 				many := func(c *clusterconfig.Config) {
 					for i := range 150 {
-						c.Teams[fmt.Sprintf("team-with-a-long-name-%03d", i)] = clusterconfig.Team{Max: core.Resources{CPU: 1_000_000}, Cap: core.High}
+						c.Teams[fmt.Sprintf("team-with-a-long-name-%03d", i)] = clusterconfig.Team{Max: core.Resources{CPU: 1_000_000}, PriorityCap: core.High}
 					}
 				}
 				must(t, o, "many", many)
--- a/internal/simulator/nomad_bench_test.go
+++ b/internal/simulator/nomad_bench_test.go
@@ -26,7 +26,7 @@
 	w := simulator.NewWorld(1, p, machineTypes)
 	key := []byte("the key of the stand-ins' hashes")
 	n := config.DefaultNomad()
-	n.Key, n.Watchers, n.Conns, n.RequestsPerS = key, 10_000, 10_000, 1_000_000
+	n.TokenHashKey, n.MaxWatchers, n.MaxConns, n.RequestsPerS = key, 10_000, 10_000, 1_000_000
 	n.Tokens = map[string][]config.Hash{"blue": {nomadapi.HashToken(key, "token of blue")}}
 	w.Settings.Nomad = &n
 	startAll(w)
--- a/internal/simulator/nomad_test.go
+++ b/internal/simulator/nomad_test.go
@@ -39,7 +39,7 @@
 		defer w.Close()
 		key := []byte("the key of the stand-ins' hashes")
 		n := config.DefaultNomad()
-		n.Key, n.Tokens = key, map[string][]config.Hash{}
+		n.TokenHashKey, n.Tokens = key, map[string][]config.Hash{}
 		for _, team := range []string{"blue", "green", "guests"} {
 			n.Tokens[team] = []config.Hash{nomadapi.HashToken(key, "token of "+team)}
 		}
--- a/internal/simulator/notify_test.go
+++ b/internal/simulator/notify_test.go
@@ -58,7 +58,7 @@
 				hooks := map[string]*simulator.Hook{"desk": simulator.NewHook(uint64(i)), "billing": simulator.NewHook(uint64(i) + 50)}
 				hooks["desk"].LoseReply, hooks["desk"].Refuse, hooks["desk"].Slow = 0.15, 0.1, 0.1
 				hooks["billing"].Refuse = 0.3
-				w.Settings.Notify = &config.Notify{Subs: []notify.Subscription{
+				w.Settings.Notify = &config.Notify{Subscriptions: []notify.Subscription{
 					{Name: "all", Receiver: "desk", Kinds: all, Deadline: 3600 * core.Second},
 					{Name: "blue-done", Receiver: "billing", Kinds: []notify.Kind{notify.Done}, Team: "blue", Deadline: 3600 * core.Second},
 				}}
@@ -66,7 +66,7 @@
 					at := fmt.Sprintf("10.3.0.%d:80", n+1)
 					w.Net.Serve(at, hooks[name])
 					w.Settings.Notify.Receivers = append(w.Settings.Notify.Receivers, config.NotifyReceiver{
-						Limits: notify.Receiver{Name: name, InFlight: 4}, Reach: deliver.Receiver{Name: name, URL: "http://" + at + "/hook"}, Keys: true,
+						Limits: notify.Receiver{Name: name, InFlight: 4}, Delivery: deliver.Receiver{Name: name, URL: "http://" + at + "/hook"}, KeepsKeys: true,
 					})
 				}
 				if day.setup != nil {
@@ -148,9 +148,9 @@
 	hook.Refuse = 1
 	w.Net.Serve("10.3.0.1:80", hook)
 	w.Settings.Notify = &config.Notify{
-		Subs: []notify.Subscription{{Name: "all", Receiver: "desk", Kinds: []notify.Kind{notify.Accepted}, Deadline: deadline}},
+		Subscriptions: []notify.Subscription{{Name: "all", Receiver: "desk", Kinds: []notify.Kind{notify.Accepted}, Deadline: deadline}},
 		Receivers: []config.NotifyReceiver{{
-			Limits: notify.Receiver{Name: "desk", InFlight: 4}, Reach: deliver.Receiver{Name: "desk", URL: "http://10.3.0.1:80/"}, Keys: true,
+			Limits: notify.Receiver{Name: "desk", InFlight: 4}, Delivery: deliver.Receiver{Name: "desk", URL: "http://10.3.0.1:80/"}, KeepsKeys: true,
 		}},
 	}
 	return w, hook
@@ -213,11 +213,11 @@
 				if i < down {
 					url = "http://10.3.0.9:80/" // nobody is there
 				}
-				w.Settings.Notify.Subs = append(w.Settings.Notify.Subs, notify.Subscription{
+				w.Settings.Notify.Subscriptions = append(w.Settings.Notify.Subscriptions, notify.Subscription{
 					Name: name, Receiver: name, Kinds: []notify.Kind{notify.Accepted, notify.Done}, Deadline: 86400 * core.Second,
 				})
 				w.Settings.Notify.Receivers = append(w.Settings.Notify.Receivers, config.NotifyReceiver{
-					Limits: notify.Receiver{Name: name, InFlight: 4}, Reach: deliver.Receiver{Name: name, URL: url}, Keys: true,
+					Limits: notify.Receiver{Name: name, InFlight: 4}, Delivery: deliver.Receiver{Name: name, URL: url}, KeepsKeys: true,
 				})
 			}
 			startAll(w)
--- a/internal/simulator/seven_test.go
+++ b/internal/simulator/seven_test.go
@@ -214,7 +214,7 @@
 		switch {
 		case op.Put == "":
 			name(op.Delete, "drop ")
-		case op.Put == "c/leader" && txn.If[0].Version > 0:
+		case op.Put == "c/leader" && txn.If[0].ModRevision > 0:
 			kinds = append(kinds, "raised c/leader")
 		default:
 			name(op.Put, "")
--- a/internal/simulator/state.go
+++ b/internal/simulator/state.go
@@ -80,7 +80,7 @@
 	s.rev++
 	for _, k := range gone {
 		delete(s.keys, k)
-		s.log = append(s.log, wire.Change{Delete: k, Version: s.rev})
+		s.log = append(s.log, wire.Change{Delete: k, ModRevision: s.rev})
 	}
 	s.wake()
 }
@@ -91,7 +91,7 @@
 // wake has all watches look again, and forgets changes that are too old.
 func (s *State) wake() {
 	if more := len(s.log) - keptChanges; more > keptChanges/10 {
-		s.oldest = s.log[more-1].Version
+		s.oldest = s.log[more-1].ModRevision
 		s.log = append([]wire.Change(nil), s.log[more:]...)
 	}
 	close(s.changed)
@@ -218,7 +218,7 @@
 	}
 	var failed []string
 	for _, c := range t.If {
-		if s.keys[c.Key].Version != c.Version {
+		if s.keys[c.Key].ModRevision != c.ModRevision {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -232,11 +232,11 @@
 		for _, op := range t.Then {
 			if op.Put != "" {
 				v := append(msgpack.RawMessage(nil), op.Value...)
-				s.keys[op.Put] = wire.Entry{Key: op.Put, Value: v, Version: s.rev, Lease: op.Lease}
-				s.log = append(s.log, wire.Change{Put: op.Put, Value: v, Version: s.rev})
+				s.keys[op.Put] = wire.Entry{Key: op.Put, Value: v, ModRevision: s.rev, Lease: op.Lease}
+				s.log = append(s.log, wire.Change{Put: op.Put, Value: v, ModRevision: s.rev})
 			} else if _, ok := s.keys[op.Delete]; ok {
 				delete(s.keys, op.Delete)
-				s.log = append(s.log, wire.Change{Delete: op.Delete, Version: s.rev})
+				s.log = append(s.log, wire.Change{Delete: op.Delete, ModRevision: s.rev})
 			}
 		}
 		s.wake()
@@ -253,7 +253,7 @@
 			return
 		}
 		out := wire.Changes{Revision: s.rev, Events: []wire.Change{}}
-		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > since })
+		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > since })
 		for _, e := range s.log[first:] {
 			if strings.HasPrefix(e.Put+e.Delete, prefix) {
 				out.Events = append(out.Events, e)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -499,7 +499,7 @@
 func (w *World) CancelAt(i int, id string) string {
 	w.check.CallsOff(id)
 	before := w.check.Asks(id)
-	status, b := w.request(http.MethodPost, w.Nodes[i].addr, wire.JobsPath+"/"+id+"/"+wire.CancelEnd, nil, 5*time.Second)
+	status, b := w.request(http.MethodPost, w.Nodes[i].addr, wire.JobsPath+"/"+id+"/"+wire.CancelSuffix, nil, 5*time.Second)
 	return w.answered(id, status, b, before)
 }
 
@@ -530,7 +530,7 @@
 	w.check.CallsOff(id)
 	before := w.check.Asks(id)
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); {
-		status, b := w.request(http.MethodPost, w.next(), wire.JobsPath+"/"+id+"/"+wire.CancelEnd, nil, 5*time.Second)
+		status, b := w.request(http.MethodPost, w.next(), wire.JobsPath+"/"+id+"/"+wire.CancelSuffix, nil, 5*time.Second)
 		if told := w.answered(id, status, b, before); told != "" && told != "unknown" {
 			return told
 		}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -184,7 +184,7 @@
 
 // Renew renews a lease. ErrNotFound means that the lease has ended.
 func (c *Client) Renew(ctx context.Context, id uint64) error {
-	return c.do(ctx, http.MethodPost, fmt.Sprintf("%s/%d/%s", wire.LeasesPath, id, wire.RenewEnd), nil, nil, 0, requestTimeout)
+	return c.do(ctx, http.MethodPost, fmt.Sprintf("%s/%d/%s", wire.LeasesPath, id, wire.RenewSuffix), nil, nil, 0, requestTimeout)
 }
 
 // Revoke ends a lease and deletes its keys.
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -18,14 +18,14 @@
 	//lint:ignore U1000 the encoder reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
-	Number   uint64
+	Version  uint64
 }
 
 type configHead struct {
-	Format int            `msgpack:"f"`
-	Number uint64         `msgpack:"n"`
-	Pages  []string       `msgpack:"p"` // without their prefix
-	Last   []configChange `msgpack:"l"`
+	Format        int            `msgpack:"f"`
+	Version       uint64         `msgpack:"n"`
+	Pages         []string       `msgpack:"p"` // without their prefix
+	RecentChanges []configChange `msgpack:"l"`
 
 	IdleReturnS   *float64 `msgpack:"ir,omitempty"`
 	RefusalPauseS *float64 `msgpack:"rp,omitempty"`
@@ -41,7 +41,7 @@
 	Name           string
 	MinCPU, MaxCPU int64
 	MinGPU, MaxGPU int64
-	Cap            uint8
+	PriorityCap    uint8
 	Draining       bool
 }
 
@@ -50,13 +50,13 @@
 }
 
 type configAck struct {
-	Format int      `msgpack:"f"`
-	Stamp  uint64   `msgpack:"s"`
-	Number uint64   `msgpack:"n"`
-	Peers  []string `msgpack:"p"`
-	Error  string   `msgpack:"e,omitempty"`
+	Format       int      `msgpack:"f"`
+	HeadRevision uint64   `msgpack:"s"`
+	Version      uint64   `msgpack:"n"`
+	Peers        []string `msgpack:"p"`
+	Error        string   `msgpack:"e,omitempty"`
 
-	Earlier []string `msgpack:"o,omitempty"`
+	OlderPeers []string `msgpack:"o,omitempty"`
 }
 
 // ConfigCodec encodes the configuration's records.
@@ -88,15 +88,15 @@
 
 func encodeConfigHead(h *clusterconfig.Head) ([]byte, error) {
 	w := configHead{
-		Format: h.Format, Number: h.Number, Pages: []string{},
+		Format: h.Format, Version: h.Version, Pages: []string{},
 		IdleReturnS: h.Tuning.IdleReturnS, RefusalPauseS: h.Tuning.RefusalPauseS, HoldS: h.Tuning.HoldS,
 		QuarantineS: h.Tuning.QuarantineS, SpareTasks: h.Tuning.SpareTasks,
 	}
 	for _, key := range h.Pages {
 		w.Pages = append(w.Pages, key[len(clusterconfig.PagePrefix):])
 	}
-	for _, a := range h.Last {
-		w.Last = append(w.Last, configChange{ID: a.ID, Number: a.Number})
+	for _, a := range h.RecentChanges {
+		w.RecentChanges = append(w.RecentChanges, configChange{ID: a.ID, Version: a.Version})
 	}
 	return Marshal(&w)
 }
@@ -117,14 +117,14 @@
 	if err := Unmarshal(b, &w); err != nil {
 		return clusterconfig.Head{}, fmt.Errorf("the configuration's head: %w", err)
 	}
-	h := clusterconfig.Head{Format: w.Format, Number: w.Number, Tuning: clusterconfig.Tuning{
+	h := clusterconfig.Head{Format: w.Format, Version: w.Version, Tuning: clusterconfig.Tuning{
 		IdleReturnS: w.IdleReturnS, RefusalPauseS: w.RefusalPauseS, HoldS: w.HoldS, QuarantineS: w.QuarantineS, SpareTasks: w.SpareTasks,
 	}}
 	for _, key := range w.Pages {
 		h.Pages = append(h.Pages, clusterconfig.PagePrefix+key)
 	}
-	for _, a := range w.Last {
-		h.Last = append(h.Last, clusterconfig.Applied{ID: a.ID, Number: a.Number})
+	for _, a := range w.RecentChanges {
+		h.RecentChanges = append(h.RecentChanges, clusterconfig.AppliedChange{ID: a.ID, Version: a.Version})
 	}
 	return h, nil
 }
@@ -134,7 +134,7 @@
 	for _, name := range slices.Sorted(maps.Keys(p.Teams)) {
 		t := p.Teams[name]
 		w.Teams = append(w.Teams, configTeam{
-			Name: name, MinCPU: t.Min.CPU, MaxCPU: t.Max.CPU, MinGPU: t.Min.GPU, MaxGPU: t.Max.GPU, Cap: uint8(t.Cap), Draining: t.Draining,
+			Name: name, MinCPU: t.Min.CPU, MaxCPU: t.Max.CPU, MinGPU: t.Min.GPU, MaxGPU: t.Max.GPU, PriorityCap: uint8(t.PriorityCap), Draining: t.Draining,
 		})
 	}
 	return Marshal(&w)
@@ -150,7 +150,7 @@
 	for _, t := range w.Teams {
 		p.Teams[t.Name] = clusterconfig.Team{
 			Min: core.Resources{CPU: t.MinCPU, GPU: t.MinGPU}, Max: core.Resources{CPU: t.MaxCPU, GPU: t.MaxGPU},
-			Cap: core.Priority(t.Cap), Draining: t.Draining,
+			PriorityCap: core.Priority(t.PriorityCap), Draining: t.Draining,
 		}
 	}
 	return p, nil
@@ -158,12 +158,12 @@
 
 // EncodeConfigAck encodes what a controller says of the configuration that it acts by.
 func EncodeConfigAck(a *clusterconfig.Ack) ([]byte, error) {
-	return Marshal(&configAck{Format: a.Format, Stamp: a.Stamp, Number: a.Number, Peers: a.Peers, Error: a.Error, Earlier: a.Earlier})
+	return Marshal(&configAck{Format: a.Format, HeadRevision: a.HeadRevision, Version: a.Version, Peers: a.Peers, Error: a.Error, OlderPeers: a.OlderPeers})
 }
 
 // DecodeConfigAck decodes it.
 func DecodeConfigAck(b []byte) (clusterconfig.Ack, error) {
 	var w configAck
 	err := Unmarshal(b, &w)
-	return clusterconfig.Ack{Format: w.Format, Stamp: w.Stamp, Number: w.Number, Peers: w.Peers, Error: w.Error, Earlier: w.Earlier}, err
+	return clusterconfig.Ack{Format: w.Format, HeadRevision: w.HeadRevision, Version: w.Version, Peers: w.Peers, Error: w.Error, OlderPeers: w.OlderPeers}, err
 }
--- a/internal/wire/names_test.go
+++ b/internal/wire/names_test.go
@@ -17,7 +17,7 @@
 // Names that leave the process are compared with testdata/names.json, which no tool that
 // renames identifiers changes: messages as JSON, lists for structs without keys.
 
-func golden(t *testing.T, name string) json.RawMessage {
+func goldenMessage(t *testing.T, name string) json.RawMessage {
 	t.Helper()
 	b, err := os.ReadFile("testdata/names.json")
 	if err != nil {
@@ -31,7 +31,7 @@
 }
 
 // packed is MessagePack of some JSON.
-func packed(t *testing.T, text []byte) []byte {
+func packJSON(t *testing.T, text []byte) []byte {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -39,22 +39,22 @@
 	if err := d.Decode(&v); err != nil {
 		t.Fatal(err)
 	}
-	b, err := Marshal(numbers(v))
+	b, err := Marshal(convertNumbers(v))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func numbers(v any) any {
+func convertNumbers(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
 		for k := range v {
-			v[k] = numbers(v[k])
+			v[k] = convertNumbers(v[k])
 		}
 	case []any:
 		for i := range v {
-			v[i] = numbers(v[i])
+			v[i] = convertNumbers(v[i])
 		}
 	case json.Number:
 		if n, err := v.Int64(); err == nil {
@@ -67,7 +67,7 @@
 }
 
 // sameAsGolden compares an encoded message with the golden one.
-func sameAsGolden(t *testing.T, name string, b []byte) {
+func compareWithGolden(t *testing.T, name string, b []byte) {
 	t.Helper()
 	var v any
 	if err := msgpack.Unmarshal(b, &v); err != nil {
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	var want bytes.Buffer
-	if err := json.Compact(&want, golden(t, name)); err != nil {
+	if err := json.Compact(&want, goldenMessage(t, name)); err != nil {
 		t.Fatalf("no golden %q; encoded: %s", name, got)
 	}
 	if want.String() != string(got) {
@@ -128,7 +128,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-func text(s string) msgpack.RawMessage {
+func rawString(s string) msgpack.RawMessage {
 	b, _ := msgpack.Marshal(s)
 	return b
 }
@@ -139,42 +139,42 @@
 		value any // a pointer to it
 	}{
 		{"job state", &JobState{"job-1", "running", 2, 3}},
-		{"accepted", &Accepted{ID: "job-1", State: "pending"}},
+		{"accepted", &AcceptedResponse{ID: "job-1", State: "pending"}},
 		{"report", &report{
-			Machine: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Session: 1, Seq: 2, Token: 3, Notice: ptr(4.5),
-			Tasks: []taskReport{{Task: "job-5/6", Attempt: 7, State: "running", Why: "alone", Saved: true}},
+			Machine: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, Session: 1, Seq: 2, Token: 3, SpotNotice: ptr(4.5),
+			Tasks: []taskReport{{Task: "job-5/6", Attempt: 7, State: "running", Cause: "alone", Checkpointed: true}},
 		}},
-		{"commands", &commands{Token: 1, Session: 2, Commands: []command{{Op: "halt", Task: "job-3/4", Attempt: 5, Grace: ptr(6.5)}}}},
+		{"commands", &commands{Token: 1, Session: 2, Commands: []command{{Op: "halt", Task: "job-3/4", Attempt: 5, GracePeriod: ptr(6.5)}}}},
 		{"redirect", &Redirect{Node: "n"}},
-		{"leader", &Leader{Node: "n", Nth: 1}},
-		{"catalog record", &CatalogRecord{Raw: text("r")}},
+		{"leader", &LeaderRecord{Node: "n", RaiseCount: 1}},
+		{"catalog record", &CatalogRecord{Raw: rawString("r")}},
 		{"machine type", &machineType{
 			Name: "l", CPUs: 1.5, GPUs: 2.5, MemGB: 3.5, CacheGB: 4.5, FetchGBps: 5.5, Price: 6.5, SpotPrice: 7.5, BootS: 8.5, Zones: []string{"z"},
 		}},
 		{"listed machine", &listedMachine{ID: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true, State: "booting", AgeS: 1.5}},
 		{"rent request", &RentRequest{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1}},
 		{"machine names", &MachineNames{Machines: []string{"m"}}},
-		{"entries", &Entries{Items: []Entry{{Key: "k", Value: text("v"), Version: 1, Lease: 2}}, More: true, Revision: 3}},
-		{"changes", &Changes{Revision: 1, Events: []Change{{Put: "p", Delete: "d", Value: text("v"), Version: 2}}}},
-		{"transaction", &Txn{If: []Cond{{Key: "k", Version: 1}}, Then: []Write{{Put: "p", Delete: "d", Value: text("v"), Lease: 2}}}},
+		{"entries", &Entries{Items: []Entry{{Key: "k", Value: rawString("v"), ModRevision: 1, Lease: 2}}, More: true, Revision: 3}},
+		{"changes", &Changes{Revision: 1, Events: []Change{{Put: "p", Delete: "d", Value: rawString("v"), ModRevision: 2}}}},
+		{"transaction", &Txn{If: []Cond{{Key: "k", ModRevision: 1}}, Then: []Write{{Put: "p", Delete: "d", Value: rawString("v"), Lease: 2}}}},
 		{"transaction's result", &TxnResult{Revision: 1, Failed: []string{"f"}, Error: "e"}},
 		{"lease request", &LeaseRequest{TTL: 1}},
 		{"lease", &Lease{ID: 1}},
 		{"configuration's head", &configHead{
-			Format: 1, Number: 2, Pages: []string{"p"}, Last: []configChange{{ID: "i", Number: 3}},
+			Format: 1, Version: 2, Pages: []string{"p"}, RecentChanges: []configChange{{ID: "i", Version: 3}},
 			IdleReturnS: ptr(4.5), RefusalPauseS: ptr(5.5), HoldS: ptr(6.5), QuarantineS: ptr(7.5), SpareTasks: ptr(8),
 		}},
-		{"configuration's page", &configPage{Teams: []configTeam{{Name: "t", MinCPU: 4, MaxCPU: 5, MinGPU: 6, MaxGPU: 7, Cap: 2, Draining: true}}}},
-		{"configuration's acknowledgement", &configAck{Format: 1, Stamp: 2, Number: 3, Peers: []string{"p"}, Error: "e", Earlier: []string{"q"}}},
+		{"configuration's page", &configPage{Teams: []configTeam{{Name: "t", MinCPU: 4, MaxCPU: 5, MinGPU: 6, MaxGPU: 7, PriorityCap: 2, Draining: true}}}},
+		{"configuration's acknowledgement", &configAck{Format: 1, HeadRevision: 2, Version: 3, Peers: []string{"p"}, Error: "e", OlderPeers: []string{"q"}}},
 		{"job", &jobRecord{
-			Phase: 2, Submitted: 10, Class: "cl", Team: "te", Kind: 1, Priority: 3, Tasks: 11, CPU: 12, GPU: 13, Mem: 14, Types: []string{"ty"}, Zone: "z",
-			OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 15, Estimate: 16, Check: 17, SaveCost: 18, Due: 19, Born: 20, Ended: 21,
+			Phase: 2, SubmittedAt: 10, Class: "cl", Team: "te", Kind: 1, Priority: 3, Tasks: 11, CPU: 12, GPU: 13, Mem: 14, Types: []string{"ty"}, Zone: "z",
+			OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 15, EstimatedRun: 16, CheckpointInterval: 17, CheckpointCost: 18, Deadline: 19, AcceptedRevision: 20, EndedAt: 21,
 		}},
-		{"machines", &machinesRecord{Machines: []machineRecord{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true}}}},
-		{"rent", &rentRecord{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, At: 2}},
-		{"range", &rangeRecord{Job: "job-1", Chunk: 2, Ranges: []int{3, 4}}},
-		{"open", &openRecord{Job: "job-1"}},
-		{"kept", &keptRecord{Zone: "z", Began: 1, Machines: []keptMachine{{Name: "m", Tasks: []keptTask{{Job: "job-2", Index: 3, Attempt: 4}}}}}},
+		{"machines", &machineGroupRecord{Machines: []machineRecord{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true}}}},
+		{"rent", &rentalRecord{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, RentedAt: 2}},
+		{"range", &completionRecord{Job: "job-1", Chunk: 2, Ranges: []int{3, 4}}},
+		{"open", &startedRecord{Job: "job-1"}},
+		{"kept", &partitionRecord{Zone: "z", BeganAt: 1, Machines: []retainedMachine{{Name: "m", Tasks: []retainedTask{{Job: "job-2", Index: 3, Attempt: 4}}}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			allSet(t, c.name, reflect.ValueOf(c.value), map[string]string{})
@@ -182,9 +182,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sameAsGolden(t, c.name, b)
+			compareWithGolden(t, c.name, b)
 			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
-			if err := Unmarshal(packed(t, golden(t, c.name)), back); err != nil || !reflect.DeepEqual(back, c.value) {
+			if err := Unmarshal(packJSON(t, goldenMessage(t, c.name)), back); err != nil || !reflect.DeepEqual(back, c.value) {
 				t.Errorf("golden is read as %+v, %v", back, err)
 			}
 		})
@@ -196,22 +196,22 @@
 	job := core.JobRecord{
 		Phase: core.Cancelled, SubmittedAt: 10, Revision: 9, AcceptedRevision: 20, EndedAt: 21,
 		Spec: core.JobSpec{
-			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 11, Request: core.Resources{CPU: 12, GPU: 13, Mem: 14},
+			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 11, Resources: core.Resources{CPU: 12, GPU: 13, Mem: 14},
 			Types: []string{"ty"}, Zone: "z", OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 15,
 			EstimatedRun: 16, CheckpointInterval: 17, CheckpointCost: 18, Deadline: 19,
 		},
 	}
 	head := clusterconfig.Head{
-		Format: 1, Number: 2, Pages: []string{"c/config/page/p"}, Last: []clusterconfig.Applied{{ID: "i", Number: 3}},
+		Format: 1, Version: 2, Pages: []string{"c/config/page/p"}, RecentChanges: []clusterconfig.AppliedChange{{ID: "i", Version: 3}},
 		Tuning: clusterconfig.Tuning{IdleReturnS: ptr(4.5), RefusalPauseS: ptr(5.5), HoldS: ptr(6.5), QuarantineS: ptr(7.5), SpareTasks: ptr(8)},
 	}
 	page := clusterconfig.Page{Teams: map[string]clusterconfig.Team{
-		"t": {Min: core.Resources{CPU: 4, GPU: 6}, Max: core.Resources{CPU: 5, GPU: 7}, Cap: core.High, Draining: true},
+		"t": {Min: core.Resources{CPU: 4, GPU: 6}, Max: core.Resources{CPU: 5, GPU: 7}, PriorityCap: core.High, Draining: true},
 	}}
-	ack := clusterconfig.Ack{Format: 1, Stamp: 2, Number: 3, Peers: []string{"p"}, Error: "e", Earlier: []string{"q"}}
+	ack := clusterconfig.Ack{Format: 1, HeadRevision: 2, Version: 3, Peers: []string{"p"}, Error: "e", OlderPeers: []string{"q"}}
 	record := func(v any) func() ([]byte, error) { return func() ([]byte, error) { return EncodeRecord(v) } }
 	machines := core.MachineGroupRecord{Key: "k", Machines: []core.MachineRecord{{Name: "m", Address: "a:1", Type: "ty", Zone: "z", Spot: true}}}
-	rent := core.RentalRecord{Request: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, RentedAt: 2}
+	rent := core.RentalRecord{RequestID: "r", Type: "ty", Zone: "z", Spot: true, Count: 1, Machines: []string{"m"}, RentedAt: 2}
 	ranges := core.CompletionRecord{Key: "k", Job: "job-1", Chunk: 2, Ranges: []int{3, 4}}
 	kept := core.PartitionRecord{Key: "k", Zone: "z", BeganAt: 1, Machines: []core.RetainedMachine{{Name: "m", Tasks: []core.RetainedTask{{Job: "job-2", Index: 3, Attempt: 4}}}}}
 	for _, c := range []struct {
@@ -221,10 +221,10 @@
 		decode func(b []byte) (any, error) // nil: there is none
 	}{
 		{"job", job, func() ([]byte, error) { return EncodeJob(&job) }, func(b []byte) (any, error) { return DecodeJob("job-1", b, 9) }},
-		{"machines", machines, record(machines), func(b []byte) (any, error) { return DecodeMachines("k", b) }},
-		{"rent", rent, record(rent), func(b []byte) (any, error) { return DecodeRent(b) }},
-		{"range", ranges, record(ranges), func(b []byte) (any, error) { return DecodeRanges("k", b) }},
-		{"kept", kept, record(kept), func(b []byte) (any, error) { return DecodeKept("k", b) }},
+		{"machines", machines, record(machines), func(b []byte) (any, error) { return DecodeMachineGroup("k", b) }},
+		{"rent", rent, record(rent), func(b []byte) (any, error) { return DecodeRental(b) }},
+		{"range", ranges, record(ranges), func(b []byte) (any, error) { return DecodeCompletion("k", b) }},
+		{"kept", kept, record(kept), func(b []byte) (any, error) { return DecodePartition("k", b) }},
 		{"open", core.StartedRecord{Job: "job-1"}, record(core.StartedRecord{Job: "job-1"}), nil},
 		{"configuration's head", head, func() ([]byte, error) { return ConfigCodec{}.Encode(clusterconfig.Write{Head: &head}) },
 			func(b []byte) (any, error) { return DecodeConfigHead(b) }},
@@ -239,23 +239,23 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sameAsGolden(t, c.name, b)
+			compareWithGolden(t, c.name, b)
 			if c.decode == nil {
 				return
 			}
-			if back, err := c.decode(packed(t, golden(t, c.name))); err != nil || !reflect.DeepEqual(back, c.value) {
+			if back, err := c.decode(packJSON(t, goldenMessage(t, c.name))); err != nil || !reflect.DeepEqual(back, c.value) {
 				t.Errorf("golden is read as %+v, %v, want %+v", back, err, c.value)
 			}
 		})
 	}
 }
 
-func TestNamesThatAreRead(t *testing.T) {
+func TestDecodedNames(t *testing.T) {
 	in := func(format string, names ...any) []byte {
 		for i, n := range names {
-			names[i] = string(golden(t, n.(string)))
+			names[i] = string(goldenMessage(t, n.(string)))
 		}
-		return packed(t, fmt.Appendf(nil, format, names...))
+		return packJSON(t, fmt.Appendf(nil, format, names...))
 	}
 	for _, c := range []struct {
 		name string
@@ -278,7 +278,7 @@
 			return list, err
 		}, []core.ListedMachine{{Name: "m", Failed: true}}},
 		{"submission", func() (any, error) { return ParseSubmission(in("%s", "submission")) }, core.JobSpec{
-			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 2, Request: core.Resources{CPU: 3500, GPU: 4500, Mem: 5500},
+			ID: "job-1", Class: "cl", Team: "te", Kind: core.Gang, Priority: core.Production, Tasks: 2, Resources: core.Resources{CPU: 3500, GPU: 4500, Mem: 5500},
 			Types: []string{"ty"}, Zone: "z", OneZone: true, Spread: true, Spot: true, Image: "im", ImageMB: 6500,
 			EstimatedRun: 7_500_000, CheckpointInterval: 8_500_000, CheckpointCost: 9_500_000, Deadline: 10_500_000,
 		}},
@@ -298,35 +298,35 @@
 }
 
 func TestNamesOfCommands(t *testing.T) {
-	got, err := Commands(1, 2, []core.Command{
+	got, err := EncodeCommands(1, 2, []core.Command{
 		{Op: core.Start, Job: "job-3", Index: 4, Attempt: 5}, {Op: core.Stop, Job: "job-6", Index: 7, Attempt: 8, GracePeriod: 9_500_000},
 		{Op: core.Forget, Job: "job-10", Index: 11, Attempt: 12},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsGolden(t, "commands of each kind", got)
+	compareWithGolden(t, "commands of each kind", got)
 }
 
-func TestWords(t *testing.T) {
+func TestWireValues(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		got, want any
 	}{
-		{"shapes", kinds, map[string]core.Kind{"batch": 0, "ensemble": 1, "standing": 2}},
-		{"urgencies", priorities, map[string]core.Priority{"idle": 0, "standard": 1, "high": 2, "production": 3}},
-		{"states of tasks", taskStates, map[string]core.TaskState{"fetching": 0, "gathering": 1, "running": 2, "flushing": 3, "exited": 4}},
-		{"causes", causes, map[string]core.Cause{
+		{"shapes", kindsByName, map[string]core.Kind{"batch": 0, "ensemble": 1, "standing": 2}},
+		{"urgencies", prioritiesByName, map[string]core.Priority{"idle": 0, "standard": 1, "high": 2, "production": 3}},
+		{"states of tasks", taskStatesByName, map[string]core.TaskState{"fetching": 0, "gathering": 1, "running": 2, "flushing": 3, "exited": 4}},
+		{"causes", causesByName, map[string]core.Cause{
 			"done": 0, "halted": 1, "mates_gone": 2, "alone": 3, "error": 4, "no_room": 5, "in_use": 6, "no_such": 7,
 		}},
-		{"commands", ops, [...]string{"start", "halt", "reap"}},
+		{"commands", opNames, [...]string{"start", "halt", "reap"}},
 		{"phases", []string{PhaseName(0), PhaseName(1), PhaseName(2)}, []string{"pending", "done", "aborted"}},
 		{"states of jobs", []string{StatePending, StateRunning, StateDone, StateCancelled}, []string{"pending", "running", "done", "aborted"}},
 		{"constants", []int{int(core.Pending), int(core.Done), int(core.Cancelled), int(core.Array), int(core.Gang), int(core.Service)}, []int{0, 1, 2, 0, 1, 2}},
 		{"task", TaskName("job-1", 2), "job-1/2"},
 		{"paths", []string{
-			JobsPath, CancelEnd, HealthPath, ReportPath, CommandsPath, StatusPath, CatalogPath, MachinesPath, MachineReturnPath,
-			KeysPath, CommitPath, LeasesPath, RenewEnd, ChangesPath,
+			JobsPath, CancelSuffix, HealthPath, ReportPath, CommandsPath, StatusPath, CatalogPath, MachinesPath, MachineReleasePath,
+			KeysPath, CommitPath, LeasesPath, RenewSuffix, ChangesPath,
 		}, []string{
 			"/v2/runs", "withdraw", "/up", "/agent/beat", "/do", "/inspect", "/catalog", "/machines", "/machines/return",
 			"/keys", "/commit", "/leases", "renew", "/changes",
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -18,41 +18,41 @@
 // written for every job.
 
 type jobRecord struct {
-	Phase     uint8    `msgpack:"p"`
-	Submitted int64    `msgpack:"at"`
-	Class     string   `msgpack:"cl,omitempty"`
-	Team      string   `msgpack:"te,omitempty"`
-	Kind      uint8    `msgpack:"k,omitempty"`
-	Priority  uint8    `msgpack:"pr,omitempty"`
-	Tasks     int      `msgpack:"n"`
-	CPU       int64    `msgpack:"c,omitempty"`
-	GPU       int64    `msgpack:"g,omitempty"`
-	Mem       int64    `msgpack:"m,omitempty"`
-	Types     []string `msgpack:"ty"`
-	Zone      string   `msgpack:"z,omitempty"`
-	OneZone   bool     `msgpack:"oz,omitempty"`
-	Spread    bool     `msgpack:"sd,omitempty"`
-	Spot      bool     `msgpack:"sp,omitempty"`
-	Image     string   `msgpack:"im,omitempty"`
-	ImageMB   int64    `msgpack:"mb,omitempty"`
-	Estimate  int64    `msgpack:"es,omitempty"`
-	Check     int64    `msgpack:"ck,omitempty"`
-	SaveCost  int64    `msgpack:"sc,omitempty"`
-	Due       int64    `msgpack:"du,omitempty"`
-	Born      uint64   `msgpack:"b,omitempty"`
-	Ended     int64    `msgpack:"e,omitempty"`
+	Phase              uint8    `msgpack:"p"`
+	SubmittedAt        int64    `msgpack:"at"`
+	Class              string   `msgpack:"cl,omitempty"`
+	Team               string   `msgpack:"te,omitempty"`
+	Kind               uint8    `msgpack:"k,omitempty"`
+	Priority           uint8    `msgpack:"pr,omitempty"`
+	Tasks              int      `msgpack:"n"`
+	CPU                int64    `msgpack:"c,omitempty"`
+	GPU                int64    `msgpack:"g,omitempty"`
+	Mem                int64    `msgpack:"m,omitempty"`
+	Types              []string `msgpack:"ty"`
+	Zone               string   `msgpack:"z,omitempty"`
+	OneZone            bool     `msgpack:"oz,omitempty"`
+	Spread             bool     `msgpack:"sd,omitempty"`
+	Spot               bool     `msgpack:"sp,omitempty"`
+	Image              string   `msgpack:"im,omitempty"`
+	ImageMB            int64    `msgpack:"mb,omitempty"`
+	EstimatedRun       int64    `msgpack:"es,omitempty"`
+	CheckpointInterval int64    `msgpack:"ck,omitempty"`
+	CheckpointCost     int64    `msgpack:"sc,omitempty"`
+	Deadline           int64    `msgpack:"du,omitempty"`
+	AcceptedRevision   uint64   `msgpack:"b,omitempty"`
+	EndedAt            int64    `msgpack:"e,omitempty"`
 }
 
 // EncodeJob encodes a job record.
 func EncodeJob(r *core.JobRecord) ([]byte, error) {
 	s := &r.Spec
 	w := jobRecord{
-		Phase: uint8(r.Phase), Submitted: int64(r.SubmittedAt), Class: s.Class, Team: s.Team,
+		Phase: uint8(r.Phase), SubmittedAt: int64(r.SubmittedAt), Class: s.Class, Team: s.Team,
 		Kind: uint8(s.Kind), Priority: uint8(s.Priority), Tasks: s.Tasks,
-		CPU: s.Request.CPU, GPU: s.Request.GPU, Mem: s.Request.Mem, Types: s.Types, Zone: s.Zone,
+		CPU: s.Resources.CPU, GPU: s.Resources.GPU, Mem: s.Resources.Mem, Types: s.Types, Zone: s.Zone,
 		OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Image: s.Image, ImageMB: s.ImageMB,
-		Estimate: int64(s.EstimatedRun), Check: int64(s.CheckpointInterval), SaveCost: int64(s.CheckpointCost), Due: int64(s.Deadline),
-		Born: r.AcceptedRevision, Ended: int64(r.EndedAt),
+		EstimatedRun: int64(s.EstimatedRun), CheckpointInterval: int64(s.CheckpointInterval), CheckpointCost: int64(s.CheckpointCost), Deadline: int64(s.Deadline),
+		AcceptedRevision: r.AcceptedRevision, EndedAt: int64(r.EndedAt),
 	}
 	return Marshal(&w)
 }
@@ -64,12 +64,12 @@
 		return core.JobRecord{}, fmt.Errorf("job %s: %w", id, err)
 	}
 	return core.JobRecord{
-		Phase: core.Phase(w.Phase), SubmittedAt: core.Micros(w.Submitted), Revision: stamp, AcceptedRevision: w.Born, EndedAt: core.Micros(w.Ended),
+		Phase: core.Phase(w.Phase), SubmittedAt: core.Micros(w.SubmittedAt), Revision: stamp, AcceptedRevision: w.AcceptedRevision, EndedAt: core.Micros(w.EndedAt),
 		Spec: core.JobSpec{
 			ID: id, Class: w.Class, Team: w.Team, Kind: core.Kind(w.Kind), Priority: core.Priority(w.Priority),
-			Tasks: w.Tasks, Request: core.Resources{CPU: w.CPU, GPU: w.GPU, Mem: w.Mem}, Types: w.Types, Zone: w.Zone,
+			Tasks: w.Tasks, Resources: core.Resources{CPU: w.CPU, GPU: w.GPU, Mem: w.Mem}, Types: w.Types, Zone: w.Zone,
 			OneZone: w.OneZone, Spread: w.Spread, Spot: w.Spot, Image: w.Image, ImageMB: w.ImageMB,
-			EstimatedRun: core.Micros(w.Estimate), CheckpointInterval: core.Micros(w.Check), CheckpointCost: core.Micros(w.SaveCost), Deadline: core.Micros(w.Due),
+			EstimatedRun: core.Micros(w.EstimatedRun), CheckpointInterval: core.Micros(w.CheckpointInterval), CheckpointCost: core.Micros(w.CheckpointCost), Deadline: core.Micros(w.Deadline),
 		},
 	}, nil
 }
@@ -85,31 +85,31 @@
 	Spot     bool
 }
 
-type machinesRecord struct {
+type machineGroupRecord struct {
 	Machines []machineRecord `msgpack:"ms"`
 }
 
-type rentRecord struct {
+type rentalRecord struct {
 	Request  string   `msgpack:"req"`
 	Type     string   `msgpack:"type"`
 	Zone     string   `msgpack:"zone"`
 	Spot     bool     `msgpack:"spot"`
 	Count    int      `msgpack:"count"`
 	Machines []string `msgpack:"names"`
-	At       int64    `msgpack:"at"`
+	RentedAt int64    `msgpack:"at"`
 }
 
-type rangeRecord struct {
+type completionRecord struct {
 	Job    string `msgpack:"job"`
 	Chunk  int    `msgpack:"chunk"`
 	Ranges []int  `msgpack:"r"`
 }
 
-type openRecord struct {
+type startedRecord struct {
 	Job string `msgpack:"job"`
 }
 
-type keptTask struct {
+type retainedTask struct {
 	//lint:ignore U1000 the encoder reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
@@ -117,46 +117,46 @@
 	Attempt  uint64
 }
 
-type keptMachine struct {
+type retainedMachine struct {
 	//lint:ignore U1000 the encoder reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
-	Tasks    []keptTask
+	Tasks    []retainedTask
 }
 
-type keptRecord struct {
-	Zone     string        `msgpack:"z"`
-	Began    int64         `msgpack:"at"`
-	Machines []keptMachine `msgpack:"ms"`
+type partitionRecord struct {
+	Zone     string            `msgpack:"z"`
+	BeganAt  int64             `msgpack:"at"`
+	Machines []retainedMachine `msgpack:"ms"`
 }
 
 // Leader is the leader's record.
-type Leader struct {
-	Node string `msgpack:"node"`
-	Nth  uint64 `msgpack:"nth"` // raised tokens, so that a rewrite differs
+type LeaderRecord struct {
+	Node       string `msgpack:"node"`
+	RaiseCount uint64 `msgpack:"nth"` // raised tokens, so that a rewrite differs
 }
 
 // EncodeRecord encodes one of the core's records.
 func EncodeRecord(v any) ([]byte, error) {
 	switch r := v.(type) {
 	case core.MachineGroupRecord:
-		var w machinesRecord
+		var w machineGroupRecord
 		for _, m := range r.Machines {
 			w.Machines = append(w.Machines, machineRecord{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 		return Marshal(&w)
 	case core.RentalRecord:
-		return Marshal(&rentRecord{r.Request, r.Type, r.Zone, r.Spot, r.Count, r.Machines, int64(r.RentedAt)})
+		return Marshal(&rentalRecord{r.RequestID, r.Type, r.Zone, r.Spot, r.Count, r.Machines, int64(r.RentedAt)})
 	case core.CompletionRecord:
-		return Marshal(&rangeRecord{r.Job, r.Chunk, r.Ranges})
+		return Marshal(&completionRecord{r.Job, r.Chunk, r.Ranges})
 	case core.StartedRecord:
-		return Marshal((*openRecord)(&r))
+		return Marshal((*startedRecord)(&r))
 	case core.PartitionRecord:
-		w := keptRecord{Zone: r.Zone, Began: int64(r.BeganAt)}
+		w := partitionRecord{Zone: r.Zone, BeganAt: int64(r.BeganAt)}
 		for _, m := range r.Machines {
-			km := keptMachine{Name: m.Name}
+			km := retainedMachine{Name: m.Name}
 			for _, t := range m.Tasks {
-				km.Tasks = append(km.Tasks, keptTask{Job: t.Job, Index: t.Index, Attempt: t.Attempt})
+				km.Tasks = append(km.Tasks, retainedTask{Job: t.Job, Index: t.Index, Attempt: t.Attempt})
 			}
 			w.Machines = append(w.Machines, km)
 		}
@@ -168,9 +168,9 @@
 }
 
 // DecodeMachines decodes the record of machines at the key.
-func DecodeMachines(key string, b []byte) (core.MachineGroupRecord, error) {
+func DecodeMachineGroup(key string, b []byte) (core.MachineGroupRecord, error) {
 	r := core.MachineGroupRecord{Key: key}
-	var w machinesRecord
+	var w machineGroupRecord
 	err := Unmarshal(b, &w)
 	for _, m := range w.Machines {
 		r.Machines = append(r.Machines, core.MachineRecord{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
@@ -179,10 +179,10 @@
 }
 
 // DecodeKept decodes the record at the key of machines that are kept.
-func DecodeKept(key string, b []byte) (core.PartitionRecord, error) {
-	var w keptRecord
+func DecodePartition(key string, b []byte) (core.PartitionRecord, error) {
+	var w partitionRecord
 	err := Unmarshal(b, &w)
-	r := core.PartitionRecord{Key: key, Zone: w.Zone, BeganAt: core.Micros(w.Began)}
+	r := core.PartitionRecord{Key: key, Zone: w.Zone, BeganAt: core.Micros(w.BeganAt)}
 	for _, m := range w.Machines {
 		km := core.RetainedMachine{Name: m.Name}
 		for _, t := range m.Tasks {
@@ -194,17 +194,17 @@
 }
 
 // DecodeRent decodes a rental's record.
-func DecodeRent(b []byte) (core.RentalRecord, error) {
-	var w rentRecord
+func DecodeRental(b []byte) (core.RentalRecord, error) {
+	var w rentalRecord
 	err := Unmarshal(b, &w)
 	return core.RentalRecord{
-		Request: w.Request, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count, Machines: w.Machines, RentedAt: core.Micros(w.At),
+		RequestID: w.Request, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count, Machines: w.Machines, RentedAt: core.Micros(w.RentedAt),
 	}, err
 }
 
 // DecodeRanges decodes the record of finished tasks at the key.
-func DecodeRanges(key string, b []byte) (core.CompletionRecord, error) {
-	var w rangeRecord
+func DecodeCompletion(key string, b []byte) (core.CompletionRecord, error) {
+	var w completionRecord
 	err := Unmarshal(b, &w)
 	return core.CompletionRecord{Key: key, Job: w.Job, Chunk: w.Chunk, Ranges: w.Ranges}, err
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -9,9 +9,9 @@
 	"aspenstall/internal/core"
 )
 
-var kinds = map[string]core.Kind{"batch": core.Array, "ensemble": core.Gang, "standing": core.Service}
+var kindsByName = map[string]core.Kind{"batch": core.Array, "ensemble": core.Gang, "standing": core.Service}
 
-var priorities = map[string]core.Priority{
+var prioritiesByName = map[string]core.Priority{
 	"production": core.Production, "high": core.High, "standard": core.Normal, "idle": core.Low,
 }
 
@@ -29,22 +29,22 @@
 }
 
 // floor rounds a machine's room down.
-func floor(f float64) int64 { return int64(math.Floor(f*1000 + 1e-6)) }
+func floorMilli(f float64) int64 { return int64(math.Floor(f*1000 + 1e-6)) }
 
 // fields reads a decoded map and remembers the first thing wrong with it.
-type fields struct {
-	m   map[string]any
-	err error
+type fieldReader struct {
+	values map[string]any
+	err    error
 }
 
-func (f *fields) fail(name, why string) {
+func (f *fieldReader) fail(name, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", name, why)
 	}
 }
 
-func (f *fields) text(name string, null bool) string {
-	v := f.m[name]
+func (f *fieldReader) readString(name string, null bool) string {
+	v := f.values[name]
 	if v == nil && null {
 		return ""
 	}
@@ -55,23 +55,23 @@
 	return s
 }
 
-func (f *fields) flag(name string) bool {
-	b, ok := f.m[name].(bool)
+func (f *fieldReader) readBool(name string) bool {
+	b, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name, "want true or false")
 	}
 	return b
 }
 
-func (f *fields) number(name string, lo, hi float64) float64 {
+func (f *fieldReader) readNumber(name string, lo, hi float64) float64 {
 	var n float64
-	switch v := f.m[name].(type) {
+	switch v := f.values[name].(type) {
 	case float64:
 		n = v
 	case float32:
 		n = float64(v)
 	default:
-		i, ok := integer(v)
+		i, ok := asInt64(v)
 		if !ok {
 			f.fail(name, "want a number")
 			return 0
@@ -85,7 +85,7 @@
 	return n
 }
 
-func integer(v any) (int64, bool) {
+func asInt64(v any) (int64, bool) {
 	switch v := v.(type) {
 	case int8:
 		return int64(v), true
@@ -110,8 +110,8 @@
 	return 0, false
 }
 
-func word[T any](f *fields, name string, words map[string]T) T {
-	s, _ := f.m[name].(string)
+func readEnum[T any](f *fieldReader, name string, words map[string]T) T {
+	s, _ := f.values[name].(string)
 	v, ok := words[s]
 	if !ok {
 		f.fail(name, "unknown value")
@@ -142,24 +142,24 @@
 	if m == nil {
 		return s, fmt.Errorf("not a map")
 	}
-	f := &fields{m: m}
-	s.ID = f.text("uid", false)
+	f := &fieldReader{values: m}
+	s.ID = f.readString("uid", false)
 	if !ValidID(s.ID) {
 		f.fail("uid", "not a job id")
 	}
-	s.Class = f.text("herd", false)
-	s.Team = f.text("crew", false)
-	s.Kind = word(f, "shape", kinds)
-	s.Priority = word(f, "urgency", priorities)
-	n, ok := integer(m["lots"])
+	s.Class = f.readString("herd", false)
+	s.Team = f.readString("crew", false)
+	s.Kind = readEnum(f, "shape", kindsByName)
+	s.Priority = readEnum(f, "urgency", prioritiesByName)
+	n, ok := asInt64(m["lots"])
 	if !ok || n < 1 || n > core.MaxTasks {
 		f.fail("lots", "want a whole number from 1 to 100000")
 	}
 	s.Tasks = int(n)
-	s.Request = core.Resources{
-		CPU: core.MilliUnits(f.number("cores", 0, core.MaxTaskResource)),
-		GPU: core.MilliUnits(f.number("gpus", 0, core.MaxTaskResource)),
-		Mem: core.MilliUnits(f.number("ram_gb", 0, core.MaxTaskResource)),
+	s.Resources = core.Resources{
+		CPU: core.MilliUnits(f.readNumber("cores", 0, core.MaxTaskResource)),
+		GPU: core.MilliUnits(f.readNumber("gpus", 0, core.MaxTaskResource)),
+		Mem: core.MilliUnits(f.readNumber("ram_gb", 0, core.MaxTaskResource)),
 	}
 	switch v := m["breeds"].(type) {
 	case nil:
@@ -175,17 +175,17 @@
 	default:
 		f.fail("breeds", "want a list or null")
 	}
-	s.Zone = f.text("paddock", true)
-	s.OneZone = f.flag("together")
-	s.Spread = f.flag("scatter")
-	s.Spot = f.flag("loaners")
-	s.Image = f.text("bundle", false)
-	s.ImageMB = core.MilliUnits(f.number("image_gb", 0, core.MaxTaskResource))
-	s.EstimatedRun = core.Seconds(f.number("expect_s", 0, core.MaxSeconds))
-	s.CheckpointInterval = core.Seconds(f.number("pin_every_s", 0, core.MaxSeconds))
-	s.CheckpointCost = core.Seconds(f.number("pin_cost_s", 0, core.MaxSeconds))
+	s.Zone = f.readString("paddock", true)
+	s.OneZone = f.readBool("together")
+	s.Spread = f.readBool("scatter")
+	s.Spot = f.readBool("loaners")
+	s.Image = f.readString("bundle", false)
+	s.ImageMB = core.MilliUnits(f.readNumber("image_gb", 0, core.MaxTaskResource))
+	s.EstimatedRun = core.Seconds(f.readNumber("expect_s", 0, core.MaxSeconds))
+	s.CheckpointInterval = core.Seconds(f.readNumber("pin_every_s", 0, core.MaxSeconds))
+	s.CheckpointCost = core.Seconds(f.readNumber("pin_cost_s", 0, core.MaxSeconds))
 	if m["due_s"] != nil {
-		s.Deadline = core.Seconds(f.number("due_s", 0, core.MaxSeconds))
+		s.Deadline = core.Seconds(f.readNumber("due_s", 0, core.MaxSeconds))
 	}
 	return s, f.err
 }
--- a/internal/wire/valid.go
+++ b/internal/wire/valid.go
@@ -8,10 +8,10 @@
 )
 
 var (
-	errCutShort = errors.New("message cut short")
-	errTooDeep  = errors.New("message nested too deeply")
-	errBinary   = errors.New("binary data and extensions are not part of the protocol")
-	errTrailing = errors.New("data after the message")
+	errTruncated       = errors.New("message cut short")
+	errTooDeep         = errors.New("message nested too deeply")
+	errUnsupportedType = errors.New("binary data and extensions are not part of the protocol")
+	errTrailing        = errors.New("data after the message")
 )
 
 const maxDepth = 16
@@ -19,8 +19,8 @@
 // valid checks a message's structure without allocating. The decoder makes room
 // for as many entries as a header promises: five bytes that promise four
 // thousand million entries would take all memory.
-func valid(b []byte) error {
-	rest, err := skip(b, 0)
+func validate(b []byte) error {
+	rest, err := skipValue(b, 0)
 	if err == nil && len(rest) > 0 {
 		err = errTrailing
 	}
@@ -28,9 +28,9 @@
 }
 
 // skip returns what follows the first value in b.
-func skip(b []byte, depth int) ([]byte, error) {
+func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
-		return nil, errCutShort
+		return nil, errTruncated
 	}
 	if depth > maxDepth {
 		return nil, errTooDeep
@@ -39,14 +39,14 @@
 	b = b[1:]
 	fixed := func(n int) ([]byte, error) {
 		if n > len(b) {
-			return nil, errCutShort
+			return nil, errTruncated
 		}
 		return b[n:], nil
 	}
 	// length reads a length of size bytes and leaves b behind it.
 	length := func(size int) (int, error) {
 		if size > len(b) {
-			return 0, errCutShort
+			return 0, errTruncated
 		}
 		var buf [8]byte
 		copy(buf[8-size:], b[:size])
@@ -55,11 +55,11 @@
 	}
 	values := func(n int) ([]byte, error) {
 		if n > len(b) {
-			return nil, errCutShort // every value takes at least a byte
+			return nil, errTruncated // every value takes at least a byte
 		}
 		var err error
 		for ; n > 0 && err == nil; n-- {
-			b, err = skip(b, depth+1)
+			b, err = skipValue(b, depth+1)
 		}
 		return b, err
 	}
@@ -92,7 +92,7 @@
 	case msgpcode.Str32, msgpcode.Array32, msgpcode.Map32:
 		size = 4
 	default:
-		return nil, errBinary
+		return nil, errUnsupportedType
 	}
 	n, err := length(size)
 	if err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,24 +16,24 @@
 
 // Paths of the interfaces.
 const (
-	JobsPath          = "/v2/runs"
-	CancelEnd         = "withdraw"
-	HealthPath        = "/up"
-	ReportPath        = "/agent/beat"
-	CommandsPath      = "/do"
-	StatusPath        = "/inspect"
-	CatalogPath       = "/catalog"
-	MachinesPath      = "/machines"
-	MachineReturnPath = "/machines/return"
-	KeysPath          = "/keys"
-	CommitPath        = "/commit"
-	LeasesPath        = "/leases"
-	RenewEnd          = "renew"
-	ChangesPath       = "/changes"
+	JobsPath           = "/v2/runs"
+	CancelSuffix       = "withdraw"
+	HealthPath         = "/up"
+	ReportPath         = "/agent/beat"
+	CommandsPath       = "/do"
+	StatusPath         = "/inspect"
+	CatalogPath        = "/catalog"
+	MachinesPath       = "/machines"
+	MachineReleasePath = "/machines/return"
+	KeysPath           = "/keys"
+	CommitPath         = "/commit"
+	LeasesPath         = "/leases"
+	RenewSuffix        = "renew"
+	ChangesPath        = "/changes"
 )
 
 // MaxBody is the largest body that users and workers send or take.
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 // Marshal encodes a body. Integers take their shortest form.
 func Marshal(v any) ([]byte, error) {
@@ -50,7 +50,7 @@
 
 // Unmarshal decodes a body.
 func Unmarshal(b []byte, v any) error {
-	if err := valid(b); err != nil {
+	if err := validate(b); err != nil {
 		return fmt.Errorf("decode: %w", err)
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
@@ -68,7 +68,7 @@
 }
 
 // Accepted answers a submission or a cancellation.
-type Accepted struct {
+type AcceptedResponse struct {
 	ID    string `msgpack:"uid"`
 	State string `msgpack:"phase"`
 }
@@ -87,31 +87,31 @@
 }
 
 type taskReport struct {
-	Task    string `msgpack:"lot"`
-	Attempt uint64 `msgpack:"try"`
-	State   string `msgpack:"phase"`
-	Why     string `msgpack:"cause"`
-	Saved   bool   `msgpack:"kept"`
+	Task         string `msgpack:"lot"`
+	Attempt      uint64 `msgpack:"try"`
+	State        string `msgpack:"phase"`
+	Cause        string `msgpack:"cause"`
+	Checkpointed bool   `msgpack:"kept"`
 }
 
 type report struct {
-	Machine string       `msgpack:"stall"`
-	Address string       `msgpack:"address"`
-	Type    string       `msgpack:"breed"`
-	Zone    string       `msgpack:"paddock"`
-	Spot    bool         `msgpack:"loaners"`
-	Session uint64       `msgpack:"tenure"`
-	Seq     uint64       `msgpack:"tick"`
-	Token   uint64       `msgpack:"epoch"`
-	Notice  *float64     `msgpack:"recall_s"`
-	Tasks   []taskReport `msgpack:"lots"`
+	Machine    string       `msgpack:"stall"`
+	Address    string       `msgpack:"address"`
+	Type       string       `msgpack:"breed"`
+	Zone       string       `msgpack:"paddock"`
+	Spot       bool         `msgpack:"loaners"`
+	Session    uint64       `msgpack:"tenure"`
+	Seq        uint64       `msgpack:"tick"`
+	Token      uint64       `msgpack:"epoch"`
+	SpotNotice *float64     `msgpack:"recall_s"`
+	Tasks      []taskReport `msgpack:"lots"`
 }
 
 type command struct {
-	Op      string   `msgpack:"verb"`
-	Task    string   `msgpack:"lot"`
-	Attempt uint64   `msgpack:"try"`
-	Grace   *float64 `msgpack:"wind_down_s,omitempty"`
+	Op          string   `msgpack:"verb"`
+	Task        string   `msgpack:"lot"`
+	Attempt     uint64   `msgpack:"try"`
+	GracePeriod *float64 `msgpack:"wind_down_s,omitempty"`
 }
 
 type commands struct {
@@ -125,18 +125,18 @@
 	Node string `msgpack:"foreman,omitempty"`
 }
 
-var taskStates = map[string]core.TaskState{
+var taskStatesByName = map[string]core.TaskState{
 	"fetching": core.Fetching, "gathering": core.WaitingForPeers, "running": core.Running,
 	"flushing": core.Checkpointing, "exited": core.Exited,
 }
 
-var causes = map[string]core.Cause{
+var causesByName = map[string]core.Cause{
 	"done": core.CauseDone, "halted": core.CauseStopped, "mates_gone": core.CausePeersLost,
 	"alone": core.CausePeersMissing, "error": core.CauseError, "no_room": core.CauseNoCapacity,
 	"in_use": core.CauseAlreadyPresent, "no_such": core.CauseUnknownTask,
 }
 
-var ops = [...]string{core.Start: "start", core.Stop: "halt", core.Forget: "reap"}
+var opNames = [...]string{core.Start: "start", core.Stop: "halt", core.Forget: "reap"}
 
 // TaskName is a task's published name.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
@@ -167,35 +167,35 @@
 		Session: w.Session, Seq: w.Seq, Token: w.Token, SpotNotice: -1,
 		Tasks: make([]core.TaskReport, 0, len(w.Tasks)),
 	}
-	if w.Notice != nil {
-		r.SpotNotice = core.Seconds(max(*w.Notice, 0))
+	if w.SpotNotice != nil {
+		r.SpotNotice = core.Seconds(max(*w.SpotNotice, 0))
 	}
 	for _, t := range w.Tasks {
 		job, index, err := parseTask(t.Task)
 		if err != nil {
 			return nil, err
 		}
-		state, ok := taskStates[t.State]
+		state, ok := taskStatesByName[t.State]
 		if !ok {
 			return nil, fmt.Errorf("task %s: unknown state %q", t.Task, t.State)
 		}
-		cause, ok := causes[t.Why]
+		cause, ok := causesByName[t.Cause]
 		if !ok {
 			cause = core.CauseError
 		}
-		r.Tasks = append(r.Tasks, core.TaskReport{Job: job, Index: index, Attempt: t.Attempt, State: state, Cause: cause, Checkpointed: t.Saved})
+		r.Tasks = append(r.Tasks, core.TaskReport{Job: job, Index: index, Attempt: t.Attempt, State: state, Cause: cause, Checkpointed: t.Checkpointed})
 	}
 	return r, nil
 }
 
 // Commands encodes commands for a worker; session is 0 in the answer to a report.
-func Commands(token, session uint64, cmds []core.Command) ([]byte, error) {
+func EncodeCommands(token, session uint64, cmds []core.Command) ([]byte, error) {
 	w := commands{Token: token, Session: session, Commands: make([]command, len(cmds))}
 	for i, c := range cmds {
-		w.Commands[i] = command{Op: ops[c.Op], Task: TaskName(c.Job, c.Index), Attempt: c.Attempt}
+		w.Commands[i] = command{Op: opNames[c.Op], Task: TaskName(c.Job, c.Index), Attempt: c.Attempt}
 		if c.Op == core.Stop {
 			g := float64(c.GracePeriod) / 1e6
-			w.Commands[i].Grace = &g
+			w.Commands[i].GracePeriod = &g
 		}
 	}
 	return Marshal(&w)
@@ -225,8 +225,8 @@
 	out := make([]core.MachineType, 0, len(w.Types))
 	for _, t := range w.Types {
 		out = append(out, core.MachineType{
-			Name: t.Name, Capacity: core.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: floor(t.MemGB)},
-			CacheMB: floor(t.CacheGB), FetchMBps: floor(t.FetchGBps),
+			Name: t.Name, Capacity: core.Resources{CPU: floorMilli(t.CPUs), GPU: floorMilli(t.GPUs), Mem: floorMilli(t.MemGB)},
+			CacheMB: floorMilli(t.CacheGB), FetchMBps: floorMilli(t.FetchGBps),
 			Price: t.Price, SpotPrice: t.SpotPrice, BootTime: core.Seconds(t.BootS), Zones: t.Zones,
 		})
 	}
@@ -279,10 +279,10 @@
 
 // Entry is a key with its value.
 type Entry struct {
-	Key     string             `msgpack:"path"`
-	Value   msgpack.RawMessage `msgpack:"value"`
-	Version uint64             `msgpack:"stamp"`
-	Lease   uint64             `msgpack:"tether"`
+	Key         string             `msgpack:"path"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision uint64             `msgpack:"stamp"`
+	Lease       uint64             `msgpack:"tether"`
 }
 
 // Entries is a page of keys.
@@ -294,10 +294,10 @@
 
 // Change is an event of a watch: a write, or a deletion.
 type Change struct {
-	Put     string             `msgpack:"write"`
-	Delete  string             `msgpack:"drop"`
-	Value   msgpack.RawMessage `msgpack:"value"`
-	Version uint64             `msgpack:"stamp"`
+	Put         string             `msgpack:"write"`
+	Delete      string             `msgpack:"drop"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision uint64             `msgpack:"stamp"`
 }
 
 // Changes is the answer to a watch.
@@ -308,8 +308,8 @@
 
 // Cond is a condition of a transaction: the key has this version, 0 for none.
 type Cond struct {
-	Key     string `msgpack:"path"`
-	Version uint64 `msgpack:"stamp"`
+	Key         string `msgpack:"path"`
+	ModRevision uint64 `msgpack:"stamp"`
 }
 
 // Write is a put or a delete.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,7 +27,7 @@
 	got, err := ParseSubmission(b)
 	want := core.JobSpec{
 		ID: "job-000412", Class: "train", Team: "vision", Kind: core.Gang, Priority: core.High, Tasks: 16,
-		Request: core.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, Types: []string{"g8"}, OneZone: true, Spot: true,
+		Resources: core.Resources{CPU: 8000, GPU: 1000, Mem: 64000}, Types: []string{"g8"}, OneZone: true, Spot: true,
 		Image: "img-07", ImageMB: 6200, EstimatedRun: 240 * core.Second, CheckpointInterval: 30 * core.Second,
 		CheckpointCost: 4 * core.Second, Deadline: 900 * core.Second,
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	requestTimeout = 2 * time.Second
-	probeTimeout   = time.Second // for a command that only asks whether a worker is there
-	maxAnswer      = 4 << 20
+	requestTimeout   = 2 * time.Second
+	probeTimeout     = time.Second // for a command that only asks whether a worker is there
+	maxResponseBytes = 4 << 20
 )
 
 // Client sends commands to workers.
@@ -54,7 +54,7 @@
 		ctx, cancel = context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 	}
-	b, err := wire.Commands(s.Token, s.Session, s.Commands)
+	b, err := wire.EncodeCommands(s.Token, s.Session, s.Commands)
 	if err != nil {
 		return core.NotSent, nil
 	}
@@ -73,7 +73,7 @@
 		return core.Unanswered, nil
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return core.Unanswered, nil
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -17,7 +17,7 @@
 // commands are under way, and what may not be sent any more when its turn comes is not. A
 // leader of 1,900 machines took all sockets it had when it began, and could not reach the
 // cloud.
-func TestCommandsTakeTurns(t *testing.T) {
+func TestConcurrentCommandLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var open, most, dials atomic.Int64
 		c := New(10, func(ctx context.Context, _, _ string) (net.Conn, error) {
