--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -2,37 +2,37 @@
 
 import "math"
 
-// A service is to start within seconds and a machine takes half a minute, so
-// room is kept for services that are expected: for a share of the tasks that
-// come, at the rate they came lately, while a machine is rented, and for one
-// job more.
+// A service has to start within seconds, but a machine takes half a minute to come up. Spare
+// capacity is therefore kept for expected services: for a share of the tasks that arrive, at the
+// recent rate, while a machine is rented, and for one more job.
 
-// spareShare is that share: room falls free meanwhile as well. With all of them
-// nothing started sooner that an aim could tell, for a tenth more money.
+// spareShare is the share of expected tasks for which spare capacity is kept. Other capacity becomes
+// free in the meantime. With a share of 1, no service started measurably sooner with respect to its
+// start objective, and the cost was a tenth higher.
 const spareShare = 0.4
 
-// arrivals is what has been seen of a class of services.
+// arrivals are statistics of the jobs submitted in a class.
 type arrivals struct {
-	need        Resources // of the last one's tasks
-	firstAt     Micros
-	lastAt      Micros
+	need        Resources // of a task of the last job
+	firstAt     Micros    // submission of the first job
+	lastAt      Micros    // submission of the last job
 	count       int
-	rate        float64 // tasks a microsecond, as of last
-	meanTasks   float64 // tasks of a job, smoothed
-	meanImageMB float64 // of its image, smoothed
+	rate        float64 // tasks per microsecond, as of lastAt
+	meanTasks   float64 // moving average of a job's tasks
+	meanImageMB float64 // moving average of a job's image size
 }
 
-// rateWindow is over how long the rate is smoothed.
+// arrivalRateWindow is the time constant with which the arrival rate is smoothed.
 const arrivalRateWindow = 60 * Second
 
-// seen notes a service. After a takeover they come in no order.
+// observe adds a job to the statistics. After a takeover, jobs are observed in no particular order.
 func (a *arrivals) observe(j *job) {
 	tasks := float64(len(j.status))
 	if a.count == 0 {
 		a.firstAt, a.lastAt, a.meanTasks, a.meanImageMB = j.submitted, j.submitted, tasks, float64(j.spec.ImageMB)
 	}
 	a.meanImageMB += (float64(j.spec.ImageMB) - a.meanImageMB) / 8
-	a.need = j.spec.Request
+	a.need = j.spec.Resources
 	a.meanTasks += (tasks - a.meanTasks) / 8
 	a.firstAt = min(a.firstAt, j.submitted)
 	if j.submitted > a.lastAt {
@@ -43,51 +43,52 @@
 	a.count++
 }
 
+// rateAt returns the arrival rate in tasks per microsecond, decayed since the last job.
 func (a *arrivals) rateAt(now Micros) float64 {
 	return a.rate * math.Exp(-float64(now-a.lastAt)/float64(arrivalRateWindow))
 }
 
-// expected reports whether more services of the class are to be expected:
-// three times the usual pause has not passed yet.
+// moreExpected reports whether more jobs of the class are expected: less than three times the mean
+// interval between jobs has passed since the last one. The interval counts as at least 10 s.
 func (a *arrivals) moreExpected(now Micros) bool {
 	if a.count == 0 {
 		return false
 	}
-	pause := 10 * Second
+	interval := 10 * Second
 	if a.count > 1 {
-		pause = max(pause, (a.lastAt-a.firstAt)/Micros(a.count-1))
+		interval = max(interval, (a.lastAt-a.firstAt)/Micros(a.count-1))
 	}
-	return now-a.lastAt < 3*pause
+	return now-a.lastAt < 3*interval
 }
 
-// countSpare works out for how many tasks of services room is wanted, and
-// counts, by zone, how many could start at once.
+// updateSpare computes for how many service tasks spare capacity is wanted and counts, by zone, how
+// many could start at once.
 func (c *Core) updateSpare(now Micros) {
-	c.spareTaskRequest, c.spareTarget, c.spareTargetPerZone, c.spareFetchRate = Resources{}, 0, 0, 0
-	want := 0.0
+	c.spareTaskResources, c.spareTarget, c.spareTargetPerZone, c.spareFetchRate = Resources{}, 0, 0, 0
+	target := 0.0
 	for _, k := range c.classes {
 		a := &k.serviceArrivals
 		if !a.moreExpected(now) {
 			continue
 		}
-		c.spareTaskRequest.CPU = max(c.spareTaskRequest.CPU, a.need.CPU)
-		c.spareTaskRequest.GPU = max(c.spareTaskRequest.GPU, a.need.GPU)
-		c.spareTaskRequest.Mem = max(c.spareTaskRequest.Mem, a.need.Mem)
+		c.spareTaskResources.CPU = max(c.spareTaskResources.CPU, a.need.CPU)
+		c.spareTaskResources.GPU = max(c.spareTaskResources.GPU, a.need.GPU)
+		c.spareTaskResources.Mem = max(c.spareTaskResources.Mem, a.need.Mem)
 		if len(k.startObjectives) > 0 {
 			c.spareFetchRate = max(c.spareFetchRate, a.meanImageMB/(float64(k.startObjectives[0])/float64(Second)))
 		}
-		want += spareShare*a.rateAt(now)*float64(c.provisioningTime(&JobSpec{Request: a.need})) + a.meanTasks
+		target += spareShare*a.rateAt(now)*float64(c.provisioningTime(&JobSpec{Resources: a.need})) + a.meanTasks
 	}
 	need, tasks := c.evacuationDemand(now)
-	c.spareTaskRequest = c.spareTaskRequest.max(need)
-	want += float64(tasks)
+	c.spareTaskResources = c.spareTaskResources.max(need)
+	target += float64(tasks)
 	clear(c.spareByZone)
-	if c.spareTaskRequest == (Resources{}) {
+	if c.spareTaskResources == (Resources{}) {
 		return
 	}
 	zones := map[string]bool{}
 	for _, t := range c.machineTypeList {
-		if c.spareTaskRequest.Fits(t.Capacity) {
+		if c.spareTaskResources.Fits(t.Capacity) {
 			for _, z := range t.Zones {
 				if !c.partitioned(z, now) {
 					zones[z] = true
@@ -95,8 +96,8 @@
 			}
 		}
 	}
-	c.spareTargetPerZone = max(c.cfg.Tuning.SpareTasks, int(math.Ceil(want/float64(max(len(zones), 1)))))
-	c.spareTarget = max(2*c.cfg.Tuning.SpareTasks, int(math.Ceil(want)))
+	c.spareTargetPerZone = max(c.cfg.Tuning.SpareTasks, int(math.Ceil(target/float64(max(len(zones), 1)))))
+	c.spareTarget = max(2*c.cfg.Tuning.SpareTasks, int(math.Ceil(target)))
 	for _, m := range c.sortedMachines {
 		if !m.spot && c.schedulable(m, now) {
 			c.spareByZone[m.zone] += c.spareSlots(m)
@@ -104,109 +105,110 @@
 	}
 }
 
-// spareOn is how many tasks of services the machine has room for. What is lent counts as if it
-// were there: kept anew out of the room that falls free, it would be taken from jobs that are
-// in time, for those that had waited for long.
+// spareSlots returns the number of service tasks for which the machine has room. Spare capacity that
+// starving jobs use counts as free. Otherwise it would be replaced from capacity that becomes free,
+// at the cost of jobs that are still on time.
 func (c *Core) spareSlots(m *machine) int {
-	return c.spareTaskRequest.countIn(m.free().Add(m.spareUsed))
+	return c.spareTaskResources.countIn(m.free().Add(m.spareUsed))
 }
 
-// takesSpare reports whether a batch task on the ordinary machine would take
-// room that is kept for services. Every machine keeps room for one, as each has
-// other images in its cache, if there is little room, or if a service's start is
-// too late once its image has to be fetched.
+// takesSpare reports whether a batch task on the machine would use capacity that is kept for
+// services. Spot machines keep none. Each machine keeps room for one service task, because each has
+// different images in its cache, if the zone has little spare capacity or if a service that has to
+// fetch its image would start too late.
 func (c *Core) takesSpare(need Resources, m *machine) bool {
-	if m.spot || c.spareTaskRequest == (Resources{}) {
+	if m.spot || c.spareTaskResources == (Resources{}) {
 		return false
 	}
-	left := c.spareTaskRequest.countIn(m.free().Add(m.spareUsed).Sub(need))
-	zone := c.spareByZone[m.zone] - c.spareSlots(m) + left
-	if zone < c.spareTargetPerZone || left > 0 {
-		return zone < c.spareTargetPerZone
+	remaining := c.spareTaskResources.countIn(m.free().Add(m.spareUsed).Sub(need))
+	inZone := c.spareByZone[m.zone] - c.spareSlots(m) + remaining
+	if inZone < c.spareTargetPerZone || remaining > 0 {
+		return inZone < c.spareTargetPerZone
 	}
-	return zone < 2*c.spareTargetPerZone || float64(m.typ.FetchMBps) < fetchTimeMargin*c.spareFetchRate
+	return inZone < 2*c.spareTargetPerZone || float64(m.typ.FetchMBps) < fetchTimeMargin*c.spareFetchRate
 }
 
-// fetchSpread is how much longer than usual a fetch may well take.
+// fetchTimeMargin is the factor by which an image fetch may take longer than usual.
 const fetchTimeMargin = 1.5
 
-// neededSpare reports whether services could lack room without the machine.
+// neededForSpare reports whether there could be too little spare capacity for services without the
+// machine.
 func (c *Core) neededForSpare(m *machine) bool {
-	if m.spot || c.spareTaskRequest == (Resources{}) {
+	if m.spot || c.spareTaskResources == (Resources{}) {
 		return false
 	}
-	all := 0
+	total := 0
 	for _, n := range c.spareByZone {
-		all += n
+		total += n
 	}
 	n := c.spareSlots(m)
-	return c.spareByZone[m.zone]-n < c.spareTargetPerZone || all-n < c.spareTarget
+	return c.spareByZone[m.zone]-n < c.spareTargetPerZone || total-n < c.spareTarget
 }
 
-// spareAtMost is how many times the cheapest price spare room may cost.
+// maxSparePriceRatio limits the price of spare capacity, as a multiple of the cheapest.
 const maxSparePriceRatio = 2.0
 
-// spare rents the room that is missing, in two zones at least.
+// rentSpare rents the missing spare capacity, in at least two zones.
 func (d *demand) rentSpare() {
 	c := d.c
-	if c.spareTaskRequest == (Resources{}) {
+	if c.spareTaskResources == (Resources{}) {
 		return
 	}
-	have, all := map[string]int{}, 0
+	slots, total := map[string]int{}, 0
 	for z, n := range c.spareByZone {
-		have[z] += n
-		all += n
-	}
-	for _, r := range d.incoming {
-		if !r.spot {
-			n := c.spareTaskRequest.countIn(r.free)
-			have[r.zone] += n
-			all += n
+		slots[z] += n
+		total += n
+	}
+	for _, m := range d.incoming {
+		if !m.spot {
+			n := c.spareTaskResources.countIn(m.free)
+			slots[m.zone] += n
+			total += n
 		}
 	}
 	price := func(t *MachineType, missing int) float64 {
-		return t.Price / float64(min(c.spareTaskRequest.countIn(t.Capacity), missing))
+		return t.Price / float64(min(c.spareTaskResources.countIn(t.Capacity), missing))
 	}
 	cheapest := math.Inf(1)
 	for _, t := range c.machineTypeList {
-		if c.spareTaskRequest.Fits(t.Capacity) {
+		if c.spareTaskResources.Fits(t.Capacity) {
 			cheapest = min(cheapest, price(t, c.spareTargetPerZone))
 		}
 	}
 	for {
-		good := 0
-		for _, n := range have {
+		coveredZones := 0
+		for _, n := range slots {
 			if n >= c.spareTargetPerZone {
-				good++
+				coveredZones++
 			}
 		}
-		if good >= 2 && all >= c.spareTarget {
+		if coveredZones >= 2 && total >= c.spareTarget {
 			return
 		}
 		var best offer
-		// Room that may never be used is not worth a machine that is dear for
-		// its size; it is tried again when the cheap ones are not refused.
+		// Capacity that may never be used does not justify a machine that is expensive for its
+		// size. It is rented later, when the cheap machines are no longer refused.
 		bestPrice := maxSparePriceRatio * cheapest
 		for _, t := range c.machineTypeList {
-			if !c.spareTaskRequest.Fits(t.Capacity) {
+			if !c.spareTaskResources.Fits(t.Capacity) {
 				continue
 			}
 			for _, z := range t.Zones {
-				missing := c.spareTarget - all
-				if good < 2 {
-					missing = c.spareTargetPerZone - have[z]
+				missing := c.spareTarget - total
+				if coveredZones < 2 {
+					missing = c.spareTargetPerZone - slots[z]
 				}
-				of := offer{t.Name, z, false}
-				if missing > 0 && d.mayRequest(of) && price(t, missing) < bestPrice {
-					best, bestPrice = of, price(t, missing)
+				o := offer{t.Name, z, false}
+				if missing > 0 && d.mayRequest(o) && price(t, missing) < bestPrice {
+					best, bestPrice = o, price(t, missing)
 				}
 			}
 		}
 		if best == (offer{}) {
 			return
 		}
-		n := c.spareTaskRequest.countIn(d.addRental(best, "spare room for services").free)
-		have[best.zone] += n
-		all += n
+		n := c.spareTaskResources.countIn(d.addRental(best, "spare capacity for services").free)
+		slots[best.zone] += n
+		total += n
 	}
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -14,25 +14,25 @@
 	"aspenstall/internal/wire"
 )
 
-// Answer is what a request is answered with.
+// Response is the response to a request.
 type Response struct {
 	Status     int
 	Body       any           // encoded unless Raw is set
 	Raw        []byte        // an encoded body
 	RetryAfter time.Duration // with 429 and 503
-	Fresh      func() bool   // if set, asked right before it is written; if not, it is 503
+	Fresh      func() bool   // if set, called right before writing; if it returns false, the response is 503
 }
 
-// Unavailable tells a user when to come back.
+// Unavailable returns a 503 response that asks the client to retry after a second.
 func Unavailable() Response {
 	return Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
 }
 
-// Service is what answers the requests; every method returns by itself before
-// its context ends or soon after.
+// Service handles the requests. Every method returns by itself before its context ends or soon
+// after.
 type Service interface {
-	// Submit takes a submission. spec is nil if it is malformed, and id then
-	// tells which job it may be a retry of.
+	// Submit handles a submission. spec is nil if it is malformed; id then names the job that it
+	// may be a retry of.
 	Submit(ctx context.Context, id string, spec *core.JobSpec) Response
 	Poll(ctx context.Context, id string) Response
 	Cancel(ctx context.Context, id string) Response
@@ -40,7 +40,8 @@
 	Healthy() bool
 }
 
-// Users wait 5 s for a submission and 2 s for a poll, workers 4 s.
+// Deadlines of requests. Users wait 5 s for a submission and 2 s for a poll, workers 4 s for a
+// report.
 const (
 	submitDeadline = 3 * time.Second
 	pollDeadline   = 1500 * time.Millisecond
@@ -68,10 +69,10 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// body reads a request's body; ok is false if it was too long or cut short,
-// and then the request has been answered.
+// readBody reads a request's body. ok is false if the body is too long or truncated; the request
+// then needs no further response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err == nil {
 		return b, true
 	}
@@ -107,15 +108,15 @@
 }
 
 func (h *handler) handleJob(w http.ResponseWriter, r *http.Request) {
-	id, end, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, wire.JobsPath+"/"), "/")
+	id, suffix, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, wire.JobsPath+"/"), "/")
 	switch {
 	case !wire.ValidID(id):
 		w.WriteHeader(http.StatusNotFound)
-	case end == "" && r.Method == http.MethodGet:
+	case suffix == "" && r.Method == http.MethodGet:
 		ctx, cancel := context.WithTimeout(r.Context(), pollDeadline)
 		defer cancel()
 		writeResponse(w, h.service.Poll(ctx, id))
-	case end == wire.CancelEnd && r.Method == http.MethodPost:
+	case suffix == wire.CancelSuffix && r.Method == http.MethodPost:
 		ctx, cancel := context.WithTimeout(r.Context(), submitDeadline)
 		defer cancel()
 		writeResponse(w, h.service.Cancel(ctx, id))
@@ -125,42 +126,42 @@
 }
 
 func (h *handler) handleReport(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16*wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 16*wire.MaxBodyBytes))
 	if err != nil {
 		return
 	}
-	rep, err := wire.ParseReport(b)
+	report, err := wire.ParseReport(b)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), reportDeadline)
 	defer cancel()
-	writeResponse(w, h.service.Report(ctx, rep))
+	writeResponse(w, h.service.Report(ctx, report))
 }
 
-func writeResponse(w http.ResponseWriter, a Response) {
-	if a.Fresh != nil && !a.Fresh() {
-		// The time between the decision and this line is the processor's to take, and
-		// a process may stand still here while others go on: a leader whose lease is
-		// over must not answer a worker, nor anybody tell a user what was so then.
-		a = Unavailable()
+func writeResponse(w http.ResponseWriter, resp Response) {
+	if resp.Fresh != nil && !resp.Fresh() {
+		// The process may be descheduled between the decision and this line while others go on. A
+		// leader whose lease has ended must not answer a worker, and a user must not get a state
+		// that is out of date.
+		resp = Unavailable()
 	}
-	b := a.Raw
-	if b == nil && a.Body != nil {
+	b := resp.Raw
+	if b == nil && resp.Body != nil {
 		var err error
-		if b, err = wire.Marshal(a.Body); err != nil {
+		if b, err = wire.Marshal(resp.Body); err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
 	}
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int((a.RetryAfter+time.Second-1)/time.Second)))
+	if resp.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int((resp.RetryAfter+time.Second-1)/time.Second)))
 	}
 	if b != nil {
 		w.Header().Set("Content-Type", "application/msgpack")
 		w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	}
-	w.WriteHeader(a.Status)
+	w.WriteHeader(resp.Status)
 	_, _ = w.Write(b)
 }
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -8,24 +8,26 @@
 	"aspenstall/internal/wire"
 )
 
-// item is one change that succeeds or fails by itself, whatever it shares a
-// transaction with.
+// writeRequest is one change. It succeeds or fails by itself, whatever shares a transaction with
+// it.
 type writeRequest struct {
-	term       *term // of the leader's bookkeeping: nothing of it is executed after the next began
+	term       *term // set for writes of the leader, which must not be executed after the next term began
 	conds      []wire.Cond
 	ops        []wire.Write
 	size       int
 	done       func(revision uint64, err error)
-	background bool // waits while the service refuses
-	unbatched  bool // was in a transaction that failed: tried again by itself
+	background bool // retried while the service refuses it
+	unbatched  bool // was in a transaction that failed, and is retried by itself
 }
 
-// committer groups changes into transactions within the service's limits.
-// What users wait for goes concurrently and first. What tasks wait for is next, by
-// priority, and leaves a part of the budget to users: a leader that opens hundreds of
-// jobs at once would have nothing left for submissions that come to it. The rest of
-// the leader's bookkeeping goes in order, one transaction at a time, with what is left
-// then, and waits out what the service refuses.
+// committer groups changes into transactions within the service's limits, in three classes:
+//
+//   - Changes that users wait for go first, in concurrent transactions.
+//   - Changes that tasks wait for go next, by priority. They leave a part of the rate budget to
+//     users: a leader that starts hundreds of jobs at once would otherwise have no budget left for
+//     submissions that it receives.
+//   - The rest of the leader's bookkeeping goes in order, one transaction at a time, within the
+//     budget that is then left, and is retried when the service refuses it.
 type committer struct {
 	n                   *Node
 	userQueue           []*writeRequest
@@ -33,51 +35,55 @@
 	backgroundQueue     []*writeRequest
 	foregroundInFlight  int
 	backgroundInFlight  bool
-	backgroundNotBefore core.Micros // not before this
+	backgroundNotBefore core.Micros // no background write is sent before this time
 }
 
 const (
 	maxForegroundInFlight = 4
-	maxTaskWritesInFlight = 3 // what tasks wait for goes only while fewer are out: one is left to users
+	maxTaskWritesInFlight = 3 // task writes are sent only while fewer are in flight: one is left to users
 	maxQueued             = 1000
 	backgroundRetryPause  = core.Second / 2
-	maxTxnBytes           = 40 << 10 // encoded; the limit of 64 KiB is counted as JSON
+	maxTxnBytes           = 40 << 10 // encoded; the service's limit of 64 KiB is counted as JSON
 )
 
-func (it *writeRequest) computeSize() {
-	for i := range it.ops {
-		it.size += len(it.ops[i].Value)*3/2 + len(it.ops[i].Put) + len(it.ops[i].Delete) + 40
+// computeSize estimates the size of the request in a transaction, in bytes.
+func (req *writeRequest) computeSize() {
+	for i := range req.ops {
+		req.size += len(req.ops[i].Value)*3/2 + len(req.ops[i].Put) + len(req.ops[i].Delete) + 40
 	}
 }
 
-// addSoon queues an item of the leader's that tasks of a priority wait for; false if
+// addTaskWrite queues a write of the leader that tasks of priority p wait for. It returns false if
 // the queue is full.
-func (c *committer) addTaskWrite(it *writeRequest, p core.Priority) bool {
+func (c *committer) addTaskWrite(req *writeRequest, p core.Priority) bool {
 	if len(c.taskQueues[p]) >= maxQueued {
 		return false
 	}
-	it.computeSize()
-	c.taskQueues[p] = append(c.taskQueues[p], it)
+	req.computeSize()
+	c.taskQueues[p] = append(c.taskQueues[p], req)
 	c.dispatch()
 	return true
 }
 
-// add queues an item; false if the queue is full.
-func (c *committer) add(it *writeRequest, urgent bool) bool {
-	it.computeSize()
-	if urgent {
+// add queues a write, in the users' queue or in the background queue. It returns false if the
+// users' queue is full.
+func (c *committer) add(req *writeRequest, forUser bool) bool {
+	req.computeSize()
+	if forUser {
 		if len(c.userQueue) >= maxQueued {
 			return false
 		}
-		c.userQueue = append(c.userQueue, it)
+		c.userQueue = append(c.userQueue, req)
 	} else {
-		it.background = true
-		c.backgroundQueue = append(c.backgroundQueue, it)
+		req.background = true
+		c.backgroundQueue = append(c.backgroundQueue, req)
 	}
 	c.dispatch()
 	return true
 }
 
+// dispatch sends queued requests as far as the limits on transactions in flight and the write
+// budget permit.
 func (c *committer) dispatch() {
 	for c.foregroundInFlight < maxForegroundInFlight && len(c.userQueue) > 0 {
 		c.foregroundInFlight++
@@ -99,38 +105,38 @@
 	c.send(c.nextBatch(&c.backgroundQueue), func() { c.backgroundInFlight = false })
 }
 
-// opsOf says how many changes the next transaction from a queue may have.
+// nextTxnOps returns how many changes the next transaction from a queue may have.
 func (c *committer) nextTxnOps(queue []*writeRequest) int {
 	ops := 0
-	for _, it := range queue {
-		if ops += len(it.ops); ops >= c.n.platform.Params.State.TxnOps {
+	for _, req := range queue {
+		if ops += len(req.ops); ops >= c.n.platform.Params.State.TxnOps {
 			return c.n.platform.Params.State.TxnOps
 		}
 	}
 	return ops
 }
 
-// endTerm forgets what the leader of a term that is over had to write.
+// dropTermWrites drops the queued writes of a term that is over.
 func (c *committer) dropTermWrites() {
 	c.backgroundQueue = nil
 	clear(c.taskQueues[:])
 }
 
-// batch takes items that fit into one transaction.
+// nextBatch takes requests from the queue that fit into one transaction.
 func (c *committer) nextBatch(queue *[]*writeRequest) []*writeRequest {
 	limit := c.n.platform.Params.State.TxnOps
 	var out []*writeRequest
-	ops, conds, size := 0, 1, 0 // the leader's key
+	ops, conds, size := 0, 1, 0 // the first condition is the leader's key
 	for len(*queue) > 0 {
-		it := (*queue)[0]
-		if len(out) > 0 && (it.unbatched || out[0].unbatched || ops+len(it.ops) > limit || conds+len(it.conds) > 4*limit || size+it.size > maxTxnBytes) {
+		req := (*queue)[0]
+		if len(out) > 0 && (req.unbatched || out[0].unbatched || ops+len(req.ops) > limit || conds+len(req.conds) > 4*limit || size+req.size > maxTxnBytes) {
 			break
 		}
-		out = append(out, it)
+		out = append(out, req)
 		*queue = (*queue)[1:]
-		ops += len(it.ops)
-		conds += len(it.conds)
-		size += it.size
+		ops += len(req.ops)
+		conds += len(req.conds)
+		size += req.size
 	}
 	if len(*queue) == 0 {
 		*queue = nil
@@ -138,57 +144,60 @@
 	return out
 }
 
-func (c *committer) send(items []*writeRequest, finished func()) {
+// send commits the requests in one transaction. When the response arrives it calls finished, and
+// then done of each request unless it is retried.
+func (c *committer) send(reqs []*writeRequest, finished func()) {
 	txn := &wire.Txn{If: []wire.Cond{}}
-	seen := map[wire.Cond]bool{}
-	for _, it := range items {
-		conds := it.conds
-		if it.term != nil {
-			// Its key may have been written again since the item was queued.
-			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, Version: it.term.token})
+	included := map[wire.Cond]bool{}
+	for _, req := range reqs {
+		conds := req.conds
+		if req.term != nil {
+			// The token may have been raised since the request was queued.
+			conds = append(conds[:len(conds):len(conds)], wire.Cond{Key: leaderKey, ModRevision: req.term.token})
 		}
 		for _, cond := range conds {
-			if !seen[cond] {
-				seen[cond] = true
+			if !included[cond] {
+				included[cond] = true
 				txn.If = append(txn.If, cond)
 			}
 		}
-		txn.Then = append(txn.Then, it.ops...)
+		txn.Then = append(txn.Then, req.ops...)
 	}
 	go func() {
 		rev, err := c.n.stateClient.Commit(c.n.ctx, txn)
 		c.n.post(func() {
 			finished()
-			if items[0].background && errors.Is(err, statestore.ErrNotExecuted) {
-				if items[0].term == c.n.term {
-					c.backgroundQueue = append(items, c.backgroundQueue...)
+			if reqs[0].background && errors.Is(err, statestore.ErrNotExecuted) {
+				if reqs[0].term == c.n.term {
+					c.backgroundQueue = append(reqs, c.backgroundQueue...)
 					c.backgroundNotBefore = c.n.now() + backgroundRetryPause
 				}
 				return
 			}
-			if len(items) > 1 && (errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid)) {
-				// One of them is at fault: its neighbours are not to suffer.
-				for _, it := range items {
-					it.unbatched = true
+			if len(reqs) > 1 && (errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid)) {
+				// One of the requests is at fault. Retry each by itself, so that the others do not
+				// fail with it.
+				for _, req := range reqs {
+					req.unbatched = true
 				}
-				c.userQueue = append(append([]*writeRequest(nil), items...), c.userQueue...)
+				c.userQueue = append(append([]*writeRequest(nil), reqs...), c.userQueue...)
 				c.dispatch()
 				return
 			}
-			for _, it := range items {
-				it.done(rev, err)
+			for _, req := range reqs {
+				req.done(rev, err)
 			}
 			c.dispatch()
 		})
 	}()
 }
 
-// bookkeeping queues a write of the core's.
+// addCoreWrite queues a write that the core requested.
 func (c *committer) addCoreWrite(t *term, w core.Write) {
 	n := c.n
-	it := &writeRequest{term: t}
+	req := &writeRequest{term: t}
 	fail := func() {
-		n.post(func() { n.ifCurrentTerm(t, func() { n.core.WriteResult(n.now(), w.ID, core.WriteRefused) }) })
+		n.post(func() { n.ifCurrentTerm(t, func() { n.core.HandleWriteResult(n.now(), w.ID, core.WriteRefused) }) })
 	}
 	for i, p := range w.Puts {
 		key := p.Key
@@ -203,52 +212,53 @@
 		}
 		b, err := wire.EncodeRecord(p.Value)
 		if err != nil {
-			n.log.Error("encode record", "err", err)
+			n.log.Error("encoding a record failed", "err", err)
 			fail()
 			return
 		}
-		it.ops = append(it.ops, wire.Write{Put: key, Value: b})
+		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 	}
 	for _, k := range w.Deletes {
-		it.ops = append(it.ops, wire.Write{Delete: k})
+		req.ops = append(req.ops, wire.Write{Delete: k})
 	}
-	// A job with many chunks has more keys to drop than fit: what is left over is
-	// dropped by writes of its own, once it is stored that the job is over. Dropped
-	// before, what its finished tasks are would be lost with a leader that ends then.
+	// A job with many chunks has more keys to delete than fit into one transaction. The remaining
+	// keys are deleted by separate writes, once it is stored that the job is over. If they were
+	// deleted before, a leader that ends in between would lose the results of the finished tasks.
 	limit := n.platform.Params.State.TxnOps
-	rest := it.ops[min(len(it.ops), limit):]
-	it.ops = it.ops[:len(it.ops)-len(rest)]
+	leftover := req.ops[min(len(req.ops), limit):]
+	req.ops = req.ops[:len(req.ops)-len(leftover)]
 	if w.IfJob != "" {
-		it.conds = append(it.conds, wire.Cond{Key: jobPrefix + w.IfJob, Version: w.IfRevision})
+		req.conds = append(req.conds, wire.Cond{Key: jobPrefix + w.IfJob, ModRevision: w.IfRevision})
 	}
 	if w.IfAbsent != "" {
-		it.conds = append(it.conds, wire.Cond{Key: w.IfAbsent})
+		req.conds = append(req.conds, wire.Cond{Key: w.IfAbsent})
 	}
-	it.done = func(rev uint64, err error) {
+	req.done = func(rev uint64, err error) {
 		if err != nil {
 			n.log.Debug("write failed", "err", err, "job", w.IfJob)
 		}
-		n.ifCurrentTerm(t, func() { n.core.WriteResult(n.now(), w.ID, writeOutcome(err)) })
+		n.ifCurrentTerm(t, func() { n.core.HandleWriteResult(n.now(), w.ID, writeOutcome(err)) })
 		if err == nil && w.IfJob != "" {
 			n.applyFinalRecords(w, rev)
 		}
-		for err == nil && n.term == t && len(rest) > 0 {
-			k := min(limit, len(rest))
-			c.add(&writeRequest{term: t, ops: rest[:k], done: func(uint64, error) {}}, false)
-			rest = rest[k:]
+		for err == nil && n.term == t && len(leftover) > 0 {
+			k := min(limit, len(leftover))
+			c.add(&writeRequest{term: t, ops: leftover[:k], done: func(uint64, error) {}}, false)
+			leftover = leftover[k:]
 		}
 	}
 	var ok bool
 	if w.Urgent {
-		ok = c.addTaskWrite(it, w.Priority)
+		ok = c.addTaskWrite(req, w.Priority)
 	} else {
-		ok = c.add(it, false)
+		ok = c.add(req, false)
 	}
 	if !ok {
 		fail()
 	}
 }
 
+// writeOutcome returns what the error of a write means for the core.
 func writeOutcome(err error) core.WriteOutcome {
 	switch {
 	case err == nil:
@@ -259,8 +269,8 @@
 	return core.WriteUnknown
 }
 
-// wroteFinal notes the final record of a job, so that it can be told without
-// waiting for the watch.
+// applyFinalRecords applies the final records of jobs that were just written, so that users see
+// them before the watch delivers them.
 func (n *Node) applyFinalRecords(w core.Write, rev uint64) {
 	for _, p := range w.Puts {
 		if d, ok := p.Value.(core.FinalRecord); ok {
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -17,32 +17,32 @@
 	"aspenstall/internal/wire"
 )
 
-// nomad is what a node keeps of jobs that came in as job files. Its fields
-// belong to the owning goroutine.
+// nomadState holds the jobs that were submitted as job files, and the queries that wait for
+// changes of them. Its fields belong to the owning goroutine.
 type nomadState struct {
 	registry    *registry.Registry
-	maxWaiters  int // waiters at once
+	maxWaiters  int // limit on concurrent waiters
 	waiterCount int
-	// waiters by what they wait for: a job, or with an empty ID all of a team.
+	// waiters holds the waiters by the job that they wait for; an empty ID stands for all jobs of
+	// a team.
 	waiters map[registry.Name]map[*waiter]bool
-	// progress are waiters by native job whose counts they want.
+	// progressWaiters holds the waiters by the native job whose counts they wait for.
 	progressWaiters map[string]map[*waiter]bool
-	// movedAt is when this node last learnt of new counts of an unfinished
-	// native job.
+	// countsChangedAt holds, by unfinished native job, when this node last learnt new counts.
 	countsChangedAt map[string]core.Micros
 }
 
-// settle is how soon after a change of counts a query that waits for them is
-// answered at the latest. Counts are in no record, so they have no index, and a
-// change between two queries of a client would be missed: one that comes back
-// within this time is answered once more.
+// recentCountsWindow bounds the wait of a query that arrives shortly after a change of the counts
+// that it waits for: it is answered at the latest this long after the change. Counts are in no
+// record, so they have no index, and a change between two queries of a client would be missed. A
+// client that queries again within this time is therefore answered once more.
 const recentCountsWindow = 5 * core.Second
 
-// forgetWithin is how long a query whose client has gone waits for the owning
-// goroutine to forget it.
+// waiterCleanupTimeout is how long the removal of the waiter of a client that has gone may wait
+// for the owning goroutine.
 const waiterCleanupTimeout = 10 * time.Second
 
-// waiter is a query that waits for a change.
+// waiter is a blocking query that waits for a change.
 type waiter struct {
 	name      registry.Name
 	nativeIDs []string
@@ -56,23 +56,23 @@
 	state := n.platform.Params.State
 	return &nomadState{
 		registry:   registry.New(registry.Limits{Ops: state.TxnOps, ValueLen: int(state.ValueKB * 1024)}, nativeJobs{n}),
-		maxWaiters: n.settings.Nomad.Watchers,
+		maxWaiters: n.settings.Nomad.MaxWatchers,
 		waiters:    map[registry.Name]map[*waiter]bool{}, progressWaiters: map[string]map[*waiter]bool{},
 		countsChangedAt: map[string]core.Micros{},
 	}
 }
 
-// natives tells the registry of native jobs.
+// nativeJobs gives the registry access to the native jobs.
 type nativeJobs struct{ n *Node }
 
-func (v nativeJobs) Record(id string) (core.JobRecord, bool) {
-	rec, ok := v.n.view.jobs[id]
+func (j nativeJobs) Record(id string) (core.JobRecord, bool) {
+	rec, ok := j.n.view.jobs[id]
 	return rec, ok
 }
 
-func (v nativeJobs) Counts(id string) (done, running int) { return v.n.jobCounts(id) }
+func (j nativeJobs) Counts(id string) (done, running int) { return j.n.jobCounts(id) }
 
-// progressOf is how far an unfinished job has come, as far as this node knows.
+// jobCounts returns the task counts of an unfinished job, as far as this node knows them.
 func (n *Node) jobCounts(id string) (done, running int) {
 	if done, running, ok := n.core.TaskCounts(id); ok {
 		return done, running
@@ -81,106 +81,107 @@
 	return k.Done, k.Running
 }
 
-// put takes over a record that was read or written.
-func (v *nomadState) putRecord(n *Node, key string, value []byte, stamp uint64) {
-	if v == nil {
+// putRecord applies a record that was read or written.
+func (s *nomadState) putRecord(n *Node, key string, value []byte, revision uint64) {
+	if s == nil {
 		return
 	}
-	name, changed, err := v.registry.Put(key, value, stamp)
+	name, changed, err := s.registry.Put(key, value, revision)
 	if err != nil {
 		n.log.Error("record of a job file", "err", err)
 	}
 	if !changed {
 		return
 	}
-	v.wakeWaiters(name)
-	if j := v.registry.Get(name); j != nil {
+	s.wakeWaiters(name)
+	if j := s.registry.Get(name); j != nil {
 		for _, g := range j.Groups {
-			v.watchCounts(n, g.Native)
+			s.watchCounts(n, g.Native)
 		}
 	}
 }
 
-// follow has the core say when counts of an unfinished native job change.
-func (v *nomadState) watchCounts(n *Node, id string) {
+// watchCounts has the core report changes of the counts of a native job while the job is
+// unfinished.
+func (s *nomadState) watchCounts(n *Node, id string) {
 	rec, ok := n.view.jobs[id]
-	j, _ := v.registry.ByNative(id)
-	on := ok && j != nil && rec.Phase == core.Pending
-	n.core.Watch(id, on)
-	if !on {
-		delete(v.countsChangedAt, id)
+	j, _ := s.registry.ByNative(id)
+	needed := ok && j != nil && rec.Phase == core.Pending
+	n.core.Watch(id, needed)
+	if !needed {
+		delete(s.countsChangedAt, id)
 	}
 }
 
-func (v *nomadState) dropRecord(key string, stamp uint64) {
-	if v == nil {
+func (s *nomadState) dropRecord(key string, revision uint64) {
+	if s == nil {
 		return
 	}
-	if name, changed := v.registry.Drop(key, stamp); changed {
-		v.wakeWaiters(name)
+	if name, changed := s.registry.Drop(key, revision); changed {
+		s.wakeWaiters(name)
 	}
 }
 
-// missing drops what a whole list of the records no longer holds.
-func (v *nomadState) dropMissing(entries []wire.Entry, rev uint64) {
-	if v == nil {
+// dropMissing drops the records that a complete list no longer holds.
+func (s *nomadState) dropMissing(entries []wire.Entry, rev uint64) {
+	if s == nil {
 		return
 	}
-	have := make(map[string]bool, len(entries))
+	listed := make(map[string]bool, len(entries))
 	for i := range entries {
-		have[entries[i].Key] = true
+		listed[entries[i].Key] = true
 	}
-	for _, name := range v.registry.Missing(have, rev) {
-		v.wakeWaiters(name)
+	for _, name := range s.registry.Missing(listed, rev) {
+		s.wakeWaiters(name)
 	}
 }
 
-// native notes that a native job's record changed.
-func (v *nomadState) nativeJobChanged(n *Node, rec *core.JobRecord) {
-	if v == nil {
+// nativeJobChanged notes that a native job's record changed.
+func (s *nomadState) nativeJobChanged(n *Node, rec *core.JobRecord) {
+	if s == nil {
 		return
 	}
-	v.watchCounts(n, rec.Spec.ID)
-	if name, ok := v.registry.NativeChanged(rec.Spec.ID, rec.Revision); ok {
-		v.wakeWaiters(name)
+	s.watchCounts(n, rec.Spec.ID)
+	if name, ok := s.registry.NativeChanged(rec.Spec.ID, rec.Revision); ok {
+		s.wakeWaiters(name)
 	}
 }
 
-// moved notes that a native job's counts changed.
-func (v *nomadState) countsChanged(n *Node, id string) {
-	if v == nil {
+// countsChanged notes that a native job's counts changed.
+func (s *nomadState) countsChanged(n *Node, id string) {
+	if s == nil {
 		return
 	}
-	if j, _ := v.registry.ByNative(id); j != nil && n.view.jobs[id].Phase == core.Pending {
-		v.countsChangedAt[id] = n.now()
+	if j, _ := s.registry.ByNative(id); j != nil && n.view.jobs[id].Phase == core.Pending {
+		s.countsChangedAt[id] = n.now()
 	}
-	for w := range v.progressWaiters[id] {
+	for w := range s.progressWaiters[id] {
 		w.wake()
 	}
 }
 
-func (v *nomadState) wakeWaiters(name registry.Name) {
-	for w := range v.waiters[name] {
+func (s *nomadState) wakeWaiters(name registry.Name) {
+	for w := range s.waiters[name] {
 		w.wake()
 	}
-	for w := range v.waiters[registry.Name{Team: name.Team}] {
+	for w := range s.waiters[registry.Name{Team: name.Team}] {
 		w.wake()
 	}
 }
 
-func (v *nomadState) addWaiter(w *waiter) {
-	v.waiterCount++
-	addTo(v.waiters, w.name, w)
+func (s *nomadState) addWaiter(w *waiter) {
+	s.waiterCount++
+	addTo(s.waiters, w.name, w)
 	for _, id := range w.nativeIDs {
-		addTo(v.progressWaiters, id, w)
+		addTo(s.progressWaiters, id, w)
 	}
 }
 
-func (v *nomadState) removeWaiter(w *waiter) {
-	v.waiterCount--
-	removeFrom(v.waiters, w.name, w)
+func (s *nomadState) removeWaiter(w *waiter) {
+	s.waiterCount--
+	removeFrom(s.waiters, w.name, w)
 	for _, id := range w.nativeIDs {
-		removeFrom(v.progressWaiters, id, w)
+		removeFrom(s.progressWaiters, id, w)
 	}
 }
 
@@ -198,32 +199,31 @@
 	}
 }
 
-// Look runs see on the owning goroutine as the query says, and returns the
-// index that it saw, which is never lower than After. Nothing is polled: a
-// query that waits is woken by the change, which comes by the watch that the
-// node keeps anyway.
-func (n *Node) Look(ctx context.Context, q httpapi.Query, see func(*registry.Registry)) (uint64, error) {
-	type seen struct {
+// Look runs read on the owning goroutine when the query's condition holds, and returns the index
+// that read saw, which is never lower than q.After. Nothing is polled: a waiting query is woken by
+// the change, which arrives by the watch that the node has anyway.
+func (n *Node) Look(ctx context.Context, q httpapi.Query, read func(*registry.Registry)) (uint64, error) {
+	type outcome struct {
 		index uint64
 		err   error
 	}
-	out := make(chan seen, 1)
-	early := make(chan time.Duration, 1)
+	out := make(chan outcome, 1)
+	recheck := make(chan time.Duration, 1)
 	var w *waiter
-	v := n.nomad
+	s := n.nomad
 	indexNow := func() uint64 {
 		if q.Of.ID == "" {
-			return v.registry.TeamIndex(q.Of.Team)
+			return s.registry.TeamIndex(q.Of.Team)
 		}
-		return v.registry.Index(q.Of)
+		return s.registry.Index(q.Of)
 	}
 	finish := func() {
 		if w != nil {
-			v.removeWaiter(w)
+			s.removeWaiter(w)
 			w = nil
 		}
-		see(v.registry)
-		out <- seen{max(indexNow(), q.After, 1), nil}
+		read(s.registry)
+		out <- outcome{max(indexNow(), q.After, 1), nil}
 	}
 	post := func(f func()) bool {
 		select {
@@ -238,30 +238,30 @@
 		case q.After == 0:
 			n.readLinearizable(func(ok bool) {
 				if !ok {
-					out <- seen{err: httpapi.ErrUnavailable}
+					out <- outcome{err: httpapi.ErrUnavailable}
 					return
 				}
 				finish()
 			})
 		case !n.view.ready:
-			out <- seen{err: httpapi.ErrUnavailable}
+			out <- outcome{err: httpapi.ErrUnavailable}
 		case indexNow() > q.After:
 			finish()
-		case v.waiterCount >= v.maxWaiters:
-			out <- seen{err: httpapi.ErrBusy}
+		case s.waiterCount >= s.maxWaiters:
+			out <- outcome{err: httpapi.ErrBusy}
 		default:
 			w = &waiter{name: q.Of}
-			sooner := core.MaxMicros
-			if j := v.registry.Get(q.Of); j != nil && q.Progress {
+			recheckIn := core.MaxMicros
+			if j := s.registry.Get(q.Of); j != nil && q.Progress {
 				for _, g := range j.Groups {
 					w.nativeIDs = append(w.nativeIDs, g.Native)
-					if at, ok := v.countsChangedAt[g.Native]; ok && n.now()-at < recentCountsWindow {
-						sooner = min(sooner, at+recentCountsWindow-n.now())
+					if at, ok := s.countsChangedAt[g.Native]; ok && n.now()-at < recentCountsWindow {
+						recheckIn = min(recheckIn, at+recentCountsWindow-n.now())
 					}
 				}
 			}
-			if sooner < core.MaxMicros {
-				early <- time.Duration(sooner) * time.Microsecond
+			if recheckIn < core.MaxMicros {
+				recheck <- time.Duration(recheckIn) * time.Microsecond
 			}
 			woken := false
 			w.wake = func() {
@@ -269,35 +269,35 @@
 					return
 				}
 				woken = true
-				// Behind the change that is being taken over.
+				// Runs after the change that is being applied.
 				go post(func() {
 					if w != nil {
 						finish()
 					}
 				})
 			}
-			v.addWaiter(w)
+			s.addWaiter(w)
 		}
 	}
 	if !post(begin) {
 		return 0, httpapi.ErrUnavailable
 	}
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	t := time.NewTimer(q.Wait)
 	defer t.Stop()
 	if q.After > 0 {
-		late = t.C
+		timeout = t.C
 	}
 	for {
 		select {
 		case s := <-out:
 			return s.index, s.err
-		case d := <-early:
+		case d := <-recheck:
 			if d < q.Wait {
 				t.Reset(d)
 			}
-		case <-late:
-			late = nil
+		case <-timeout:
+			timeout = nil
 			if !post(func() {
 				if w != nil {
 					finish()
@@ -306,13 +306,13 @@
 				return 0, httpapi.ErrUnavailable
 			}
 		case <-ctx.Done():
-			// The client is gone: nothing is left behind, unless this node ends.
+			// The client has gone. Remove its waiter, unless this node ends.
 			go func() {
 				ctx, cancel := context.WithTimeout(context.Background(), waiterCleanupTimeout)
 				defer cancel()
 				_, _ = call(ctx, n, func(reply func(struct{})) {
 					if w != nil {
-						v.removeWaiter(w)
+						s.removeWaiter(w)
 						w = nil
 					}
 					reply(struct{}{})
@@ -323,13 +323,13 @@
 	}
 }
 
-// Waiting says how many queries wait.
+// BlockingQueries returns how many queries wait.
 func (n *Node) BlockingQueries(ctx context.Context) int {
 	k, _ := call(ctx, n, func(reply func(int)) { reply(n.nomad.waiterCount) })
 	return k
 }
 
-// Terms are what job files are held to for a team.
+// Terms returns the rules for the job files of a team.
 func (n *Node) Terms(team string) translate.Terms {
 	s := n.settings.Nomad
 	return translate.Terms{
@@ -337,35 +337,35 @@
 	}
 }
 
-// result is an answer or an error, to cross goroutines.
+// valueOrError carries a value or an error between goroutines.
 type valueOrError[T any] struct {
 	value T
 	err   error
 }
 
-// ask runs f on the owning goroutine and waits for what it replies; late is the
-// error if that does not come before ctx ends.
-func callWithError[T any](ctx context.Context, n *Node, late error, f func(reply func(T, error))) (T, error) {
+// callWithError runs f on the owning goroutine and waits for its reply. If ctx ends first, it
+// returns the error timeout.
+func callWithError[T any](ctx context.Context, n *Node, timeout error, f func(reply func(T, error))) (T, error) {
 	r, ok := call(ctx, n, func(reply func(valueOrError[T])) {
 		f(func(v T, err error) { reply(valueOrError[T]{v, err}) })
 	})
 	if !ok {
-		return r.value, late
+		return r.value, timeout
 	}
 	return r.value, r.err
 }
 
-// maxTries is how often a change is worked out anew when another one came
-// between.
+// maxChangeAttempts limits the attempts of one change. It is computed again if another change was
+// written in between.
 const maxChangeAttempts = 4
 
-// Register takes a job file's job. It is done once it is written: the job, its
-// version, and the native job of each group, in one transaction.
+// Register registers a job of a job file. It returns once the job, its version and the native job
+// of each group are written, in one transaction.
 func (n *Node) Register(ctx context.Context, reg registry.Registration) (httpapi.Registered, error) {
 	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
 		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
 			if len(n.catalog) == 0 || !n.mayDecide() {
-				return nil, httpapi.ErrUnavailable // what could run is not known
+				return nil, httpapi.ErrUnavailable // it is not known which jobs could run
 			}
 			for i := range reg.Groups {
 				if why := n.infeasibleReason(&reg.Groups[i].Spec); why != "" {
@@ -377,7 +377,8 @@
 	})
 }
 
-// Plan says what a registration would change.
+// Plan returns what a registration would change, and a copy of the current job, nil if there is
+// none.
 func (n *Node) Plan(ctx context.Context, reg registry.Registration) (*registry.Change, *registry.Job, error) {
 	type planned struct {
 		ch  *registry.Change
@@ -401,7 +402,7 @@
 	return p.ch, p.old, err
 }
 
-// Deregister stops a job, or purges it.
+// Deregister stops a job, or removes it if purge is set.
 func (n *Node) Deregister(ctx context.Context, name registry.Name, purge bool) (httpapi.Registered, error) {
 	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
 		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
@@ -414,8 +415,8 @@
 	})
 }
 
-// changeJob works out a change of what is known now and writes it.
-func (n *Node) changeJob(tries int, reply func(httpapi.Registered, error), plan func() (*registry.Change, error), name registry.Name) {
+// changeJob computes a change from the current state and writes it.
+func (n *Node) changeJob(attempts int, reply func(httpapi.Registered, error), plan func() (*registry.Change, error), name registry.Name) {
 	n.readLinearizable(func(ok bool) {
 		if !ok {
 			reply(httpapi.Registered{}, httpapi.ErrUnavailable)
@@ -430,34 +431,35 @@
 			reply(n.registeredState(name, 0), nil)
 			return
 		}
-		it, learn, err := n.changeRequest(ch)
+		req, learn, err := n.changeRequest(ch)
 		if err != nil {
-			n.log.Error("encode job", "err", err)
+			n.log.Error("encoding a job failed", "err", err)
 			reply(httpapi.Registered{}, err)
 			return
 		}
-		it.done = func(rev uint64, err error) {
+		req.done = func(rev uint64, err error) {
 			switch {
 			case err == nil:
 				learn(rev)
 				n.log.Info("job file", "team", name.Team, "job", name.ID, "started", len(ch.Start), "ended", len(ch.End), "kept", len(ch.Keep), "revision", rev)
 				reply(n.registeredState(name, rev), nil)
-			case errors.Is(err, statestore.ErrConflict) && tries > 1:
-				n.changeJob(tries-1, reply, plan, name)
+			case errors.Is(err, statestore.ErrConflict) && attempts > 1:
+				n.changeJob(attempts-1, reply, plan, name)
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("job file refused by the state service", "team", name.Team, "job", name.ID, "err", err)
-				reply(httpapi.Registered{}, &httpapi.RefusedError{Why: "the state service refuses the job's records"})
+				reply(httpapi.Registered{}, &httpapi.RefusedError{Why: "the state service refused the job's records"})
 			default:
 				reply(httpapi.Registered{}, httpapi.ErrUnavailable)
 			}
 		}
-		if !n.committer.add(it, true) {
+		if !n.committer.add(req, true) {
 			reply(httpapi.Registered{}, httpapi.ErrUnavailable)
 		}
 	})
 }
 
-// registered is how a job stands; one that was just purged is not there.
+// registeredState returns the state of a job after a change; a job that was just purged has no
+// state.
 func (n *Node) registeredState(name registry.Name, rev uint64) httpapi.Registered {
 	j := n.nomad.registry.Get(name)
 	if j == nil {
@@ -470,18 +472,19 @@
 	return out
 }
 
-// itemOf makes a transaction of a change, and what to learn once it is written.
-func (n *Node) changeRequest(ch *registry.Change) (it *writeRequest, learn func(rev uint64), err error) {
-	it = &writeRequest{conds: ch.Conds, ops: ch.Puts}
+// changeRequest returns the write of a change, and a function that applies the change once it is
+// written.
+func (n *Node) changeRequest(ch *registry.Change) (req *writeRequest, learn func(rev uint64), err error) {
+	req = &writeRequest{conds: ch.Conds, ops: ch.Puts}
 	if len(ch.Start) > 0 {
-		it.conds = append(it.conds, n.configConditions()...)
+		req.conds = append(req.conds, n.configConditions()...)
 	}
 	var recs []core.JobRecord
 	put := func(rec core.JobRecord) error {
 		key := jobPrefix + rec.Spec.ID
 		b, err := wire.EncodeJob(&rec)
-		it.conds = append(it.conds, wire.Cond{Key: key, Version: rec.Revision})
-		it.ops = append(it.ops, wire.Write{Put: key, Value: b})
+		req.conds = append(req.conds, wire.Cond{Key: key, ModRevision: rec.Revision})
+		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 		recs = append(recs, rec)
 		return err
 	}
@@ -495,13 +498,13 @@
 			return nil, nil, err
 		}
 	}
-	return it, func(rev uint64) {
+	return req, func(rev uint64) {
 		for _, rec := range recs {
 			rec.Revision = rev
 			n.applyJob(rec)
 		}
 		if rev <= n.view.revision {
-			return // the watch was faster, and may have brought what came after
+			return // the watch was faster, and may have delivered later changes
 		}
 		for _, w := range ch.Puts {
 			if w.Put != "" {
@@ -513,7 +516,7 @@
 	}, nil
 }
 
-// newID makes an id of a native job that nobody can have chosen before.
+// newNativeID returns a random id of a native job that no client can have chosen before.
 func newNativeID() string {
 	i, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 128))
 	if err != nil {
@@ -522,7 +525,7 @@
 	return fmt.Sprintf("job-%039d", i)
 }
 
-// Show asks the leader where tasks and machines are.
+// Views returns the tasks and machines that are asked for, if this node leads.
 func (n *Node) Views(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
 	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(*peer.ViewResponse, error)) {
 		if n.term == nil || !n.leaseValid() {
@@ -548,7 +551,7 @@
 	})
 }
 
-// ShowAll answers a question to the leader, on whatever node.
+// ShowAll asks the leader for tasks and machines. It works on any node.
 func (n *Node) ShowAll(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
 	c, here := n.leaderClient(ctx)
 	switch {
@@ -564,14 +567,14 @@
 	return s, nil
 }
 
-// leaderClient is the way to the leader: here if it is this node, else a client,
-// nil if nobody is known to lead.
+// leaderClient returns a client of the leader, or here if this node leads. c is nil if no leader
+// is known.
 func (n *Node) leaderClient(ctx context.Context) (c *peer.Client, here bool) {
 	leader, _ := call(ctx, n, func(reply func(string)) { reply(n.view.leader) })
 	return n.peerClients[leader], leader == n.platform.Member
 }
 
-// Members lists the controllers.
+// Members returns the controllers and which of them leads.
 func (n *Node) Members(ctx context.Context) httpapi.Members {
 	leader, _ := call(ctx, n, func(reply func(string)) { reply(n.view.leader) })
 	m := httpapi.Members{Self: n.platform.Member, Zone: n.platform.Zone, All: []string{n.platform.ClusterListen}}
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -13,8 +13,8 @@
 	"aspenstall/internal/wire"
 )
 
-// answer runs f on the owning goroutine and waits for its answer; whoever
-// waits too long is told to come back.
+// awaitResponse runs f on the owning goroutine and waits for its response. If ctx ends first, the
+// client is told to retry.
 func (n *Node) awaitResponse(ctx context.Context, f func(reply func(httpapi.Response))) httpapi.Response {
 	a, ok := call(ctx, n, f)
 	if !ok {
@@ -23,7 +23,7 @@
 	return a
 }
 
-// state is the answer for a job that is known.
+// jobResponse returns the response for a job that is known.
 func (n *Node) jobResponse(rec core.JobRecord) httpapi.Response {
 	s := wire.JobState{ID: rec.Spec.ID, State: wire.PhaseName(rec.Phase)}
 	switch rec.Phase {
@@ -39,15 +39,15 @@
 	return httpapi.Response{Status: http.StatusOK, Body: &s}
 }
 
-// lookup answers with the job's record, or calls unknown if it is certain that
-// there is none. A final state is told from memory; anything else only once
-// the view is known to be current, since another node may have told more.
-func (n *Node) lookup(id string, reply func(httpapi.Response), unknown func()) {
+// lookup replies with the state of the job, or calls notFound if it is certain that there is no
+// such job. A final state is served from memory. Any other state is served only once the view is
+// known to be current, since another node may have reported a later one.
+func (n *Node) lookup(id string, reply func(httpapi.Response), notFound func()) {
 	if rec, ok := n.view.jobs[id]; ok && rec.Phase != core.Pending {
 		reply(n.jobResponse(rec))
 		return
 	}
-	asked := n.now()
+	receivedAt := n.now()
 	n.readLinearizable(func(ok bool) {
 		rec, known := n.view.jobs[id]
 		switch {
@@ -57,65 +57,68 @@
 			reply(httpapi.Unavailable())
 		case known:
 			a := n.jobResponse(rec)
-			a.Fresh = n.freshSince(asked)
+			a.Fresh = n.freshSince(receivedAt)
 			reply(a)
 		default:
-			unknown()
+			notFound()
 		}
 	})
 }
 
-// toldWithin is how long after it was asked for an answer may be written that a later
-// one may differ from: a user does not wait longer, and asks elsewhere meanwhile.
+// maxResponseAge is how long after a request arrived its response may be written, if a later
+// response may differ. Users do not wait longer: they ask another node meanwhile.
 const maxResponseAge = 1500 * core.Millisecond
 
-// toldFrom reports whether what was asked for at a time may still be told.
-func (n *Node) freshSince(asked core.Micros) func() bool {
-	return func() bool { return n.now() < asked+maxResponseAge }
+// freshSince returns a function that reports whether a response to a request received at
+// receivedAt may still be written.
+func (n *Node) freshSince(receivedAt core.Micros) func() bool {
+	return func() bool { return n.now() < receivedAt+maxResponseAge }
 }
 
-// Submit takes a submission.
+// Submit accepts or refuses a submission. spec is nil if the submission is malformed.
 func (n *Node) Submit(ctx context.Context, id string, spec *core.JobSpec) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.submit(id, spec, reply) })
 }
 
 func (n *Node) submit(id string, spec *core.JobSpec, reply func(httpapi.Response)) {
-	asked := n.now()
-	refuse := func(status int) func() {
-		return func() { reply(n.unknownJobResponse(status, asked)) }
+	receivedAt := n.now()
+	refuseWith := func(status int) func() {
+		return func() { reply(n.unknownJobResponse(status, receivedAt)) }
 	}
 	switch _, known := n.view.jobs[id]; {
 	case known:
-		n.lookup(id, reply, refuse(http.StatusServiceUnavailable))
+		n.lookup(id, reply, refuseWith(http.StatusServiceUnavailable))
 	case spec == nil:
-		n.lookup(id, reply, refuse(http.StatusBadRequest))
+		n.lookup(id, reply, refuseWith(http.StatusBadRequest))
 	case !n.view.ready || len(n.catalog) == 0:
 		reply(httpapi.Unavailable())
 	case !n.clusterConfig.follower.Current():
-		n.lookup(id, reply, refuse(http.StatusServiceUnavailable))
+		n.lookup(id, reply, refuseWith(http.StatusServiceUnavailable))
 	case n.infeasibleReason(spec) != "":
-		n.lookup(id, reply, func() { n.refuseOrCreate(spec, asked, reply) })
+		n.lookup(id, reply, func() { n.refuseOrCreate(spec, receivedAt, reply) })
 	default:
 		n.create(spec, reply)
 	}
 }
 
-// refuseOrCreate refuses a submission that can't run by what has been read since it came:
-// the configuration may have changed. Nor is it told once that changes before it is written.
-func (n *Node) refuseOrCreate(spec *core.JobSpec, asked core.Micros, reply func(httpapi.Response)) {
+// refuseOrCreate refuses a submission that can't run by the configuration read since it arrived:
+// the configuration may have changed since the first check. The refusal is not written either if
+// the configuration changes before that.
+func (n *Node) refuseOrCreate(spec *core.JobSpec, receivedAt core.Micros, reply func(httpapi.Response)) {
 	switch {
 	case !n.mayDecide():
 		reply(httpapi.Unavailable())
 	case n.infeasibleReason(spec) == "":
 		n.create(spec, reply)
 	default:
-		a := n.unknownJobResponse(http.StatusUnprocessableEntity, asked)
-		inTime, stamp := a.Fresh, n.clusterConfig.headRevision.Load()
-		a.Fresh = func() bool { return inTime() && n.configUnchanged(stamp) }
+		a := n.unknownJobResponse(http.StatusUnprocessableEntity, receivedAt)
+		recent, revision := a.Fresh, n.clusterConfig.headRevision.Load()
+		a.Fresh = func() bool { return recent() && n.configUnchanged(revision) }
 		reply(a)
 	}
 }
 
+// create writes the record of a new job and replies once the result is known.
 func (n *Node) create(spec *core.JobSpec, reply func(httpapi.Response)) {
 	if n.stateUnreachable() {
 		reply(httpapi.Unavailable())
@@ -124,13 +127,13 @@
 	rec := core.JobRecord{Spec: *spec, SubmittedAt: wallClock()}
 	b, err := wire.EncodeJob(&rec)
 	if err != nil {
-		n.log.Error("encode job", "err", err)
+		n.log.Error("encoding a job failed", "err", err)
 		reply(httpapi.Response{Status: http.StatusInternalServerError})
 		return
 	}
 	key := jobPrefix + spec.ID
-	judgedBy := n.clusterConfig.headRevision.Load()
-	it := &writeRequest{
+	configRevision := n.clusterConfig.headRevision.Load()
+	req := &writeRequest{
 		conds: append(n.configConditions(), wire.Cond{Key: key}),
 		ops:   []wire.Write{{Put: key, Value: b}},
 		done: func(rev uint64, err error) {
@@ -138,97 +141,99 @@
 			case err == nil:
 				rec.Revision = rev
 				n.applyJob(rec)
-				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.Accepted{ID: spec.ID, State: wire.StatePending},
-					Fresh: n.freshSince(n.now())}) // it may be cancelled by then, through another node
+				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.AcceptedResponse{ID: spec.ID, State: wire.StatePending},
+					Fresh: n.freshSince(n.now())}) // it may be cancelled by then through another node
 			case errors.Is(err, statestore.ErrConflict):
-				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, judgedBy, reply) })
+				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, configRevision, reply) })
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("submission refused by the state service", "job", spec.ID, "err", err)
 				reply(httpapi.Response{Status: http.StatusBadRequest})
 			default:
-				// Not executed, or not known: a retry finds out.
+				// Not executed, or the result is unknown. The client finds out with a retry.
 				reply(httpapi.Unavailable())
 			}
 		},
 	}
-	if !n.committer.add(it, true) {
+	if !n.committer.add(req, true) {
 		reply(httpapi.Unavailable())
 	}
 }
 
-// judgeAgain submits a job that nobody knows once more if the configuration has changed since
-// it was judged: its write was on condition that it had not.
-func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, judgedBy uint64, reply func(httpapi.Response)) {
-	if n.configUnchanged(judgedBy) {
+// resubmitIfConfigChanged submits a job again that no node knows, if the configuration has changed
+// since configRevision. The write of the job was conditional on an unchanged configuration.
+func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, configRevision uint64, reply func(httpapi.Response)) {
+	if n.configUnchanged(configRevision) {
 		reply(httpapi.Unavailable())
 		return
 	}
 	n.submit(spec.ID, spec, reply)
 }
 
-// cannotRun says why a job could never run here, "" if it could.
+// infeasibleReason returns why a job could never run here, or "" if it could.
 func (n *Node) infeasibleReason(s *core.JobSpec) string {
-	t, known := n.clusterConfig.effective.Teams[s.Team]
+	team, known := n.clusterConfig.effective.Teams[s.Team]
 	if !known {
 		return fmt.Sprintf("there is no team %q", s.Team)
 	}
-	if t.Draining {
-		return fmt.Sprintf("team %s takes no new jobs", s.Team)
+	if team.Draining {
+		return fmt.Sprintf("team %s accepts no new jobs", s.Team)
 	}
-	if s.Priority > t.Cap {
-		return fmt.Sprintf("team %s may ask for %v priority at most, not %v", s.Team, t.Cap, s.Priority)
+	if s.Priority > team.PriorityCap {
+		return fmt.Sprintf("team %s may use %v priority at most, not %v", s.Team, team.PriorityCap, s.Priority)
 	}
-	all := s.Request
+	total := s.Resources
 	if s.Kind != core.Array {
-		all = s.Request.Times(s.Tasks)
+		total = s.Resources.Times(s.Tasks)
 	}
-	if t.Max.CPU > 0 && all.CPU > t.Max.CPU || t.Max.GPU > 0 && all.GPU > t.Max.GPU {
-		return fmt.Sprintf("it needs more than the limit of team %s", s.Team)
+	if team.Max.CPU > 0 && total.CPU > team.Max.CPU || team.Max.GPU > 0 && total.GPU > team.Max.GPU {
+		return fmt.Sprintf("the job requests more than the limit of team %s", s.Team)
 	}
 	if zones := n.platform.Params.Zones; s.Zone != "" && len(zones) > 0 && !slices.Contains(zones, s.Zone) {
 		return fmt.Sprintf("there is no zone %q", s.Zone)
 	}
 	for i := range n.catalog {
-		if s.Request.Fits(n.catalog[i].Capacity) && (s.Types == nil || slices.Contains(s.Types, n.catalog[i].Name)) {
+		if s.Resources.Fits(n.catalog[i].Capacity) && (s.Types == nil || slices.Contains(s.Types, n.catalog[i].Name)) {
 			return ""
 		}
 	}
-	return "a task fits no machine type that is allowed"
+	return "no allowed machine type fits a task"
 }
 
-// Poll answers a user's question about a job.
+// Poll returns the state of a job.
 func (n *Node) Poll(ctx context.Context, id string) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.poll(id, reply) })
 }
 
 func (n *Node) poll(id string, reply func(httpapi.Response)) {
-	asked := n.now()
-	n.lookup(id, reply, func() { reply(n.unknownJobResponse(http.StatusNotFound, asked)) })
+	receivedAt := n.now()
+	n.lookup(id, reply, func() { reply(n.unknownJobResponse(http.StatusNotFound, receivedAt)) })
 }
 
-// unknownAs is the answer for a job that was not known when it was asked for: by the time
-// it is written, another node may have accepted the job.
-func (n *Node) unknownJobResponse(status int, asked core.Micros) httpapi.Response {
-	return httpapi.Response{Status: status, Fresh: n.freshSince(asked)}
+// unknownJobResponse returns the response for a job that was unknown when the request was received
+// at receivedAt. It expires, since another node may accept the job before the response is written.
+func (n *Node) unknownJobResponse(status int, receivedAt core.Micros) httpapi.Response {
+	return httpapi.Response{Status: status, Fresh: n.freshSince(receivedAt)}
 }
 
-// Cancel cancels a job unless it is done.
+// Cancel cancels a job unless it is done, and returns its state.
 func (n *Node) Cancel(ctx context.Context, id string) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) { n.cancel(id, 3, reply) })
 }
 
-func (n *Node) cancel(id string, tries int, reply func(httpapi.Response)) {
+// cancel cancels a job. After a conflict it reads the current state and retries, attempts times at
+// most.
+func (n *Node) cancel(id string, attempts int, reply func(httpapi.Response)) {
 	if _, known := n.view.jobs[id]; known {
-		n.cancelKnown(id, tries, reply)
+		n.cancelKnown(id, attempts, reply)
 		return
 	}
-	asked := n.now()
-	n.lookup(id, func(httpapi.Response) { n.cancelKnown(id, tries, reply) }, func() {
-		reply(n.unknownJobResponse(http.StatusNotFound, asked))
+	receivedAt := n.now()
+	n.lookup(id, func(httpapi.Response) { n.cancelKnown(id, attempts, reply) }, func() {
+		reply(n.unknownJobResponse(http.StatusNotFound, receivedAt))
 	})
 }
 
-func (n *Node) cancelKnown(id string, tries int, reply func(httpapi.Response)) {
+func (n *Node) cancelKnown(id string, attempts int, reply func(httpapi.Response)) {
 	rec, ok := n.view.jobs[id]
 	if !ok {
 		reply(httpapi.Unavailable())
@@ -242,17 +247,17 @@
 		reply(httpapi.Unavailable())
 		return
 	}
-	stamp := rec.Revision
+	revision := rec.Revision
 	rec = rec.Final(core.Cancelled, wallClock())
 	b, err := wire.EncodeJob(&rec)
 	if err != nil {
-		n.log.Error("encode job", "err", err)
+		n.log.Error("encoding a job failed", "err", err)
 		reply(httpapi.Response{Status: http.StatusInternalServerError})
 		return
 	}
 	key := jobPrefix + id
-	it := &writeRequest{
-		conds: []wire.Cond{{Key: key, Version: stamp}},
+	req := &writeRequest{
+		conds: []wire.Cond{{Key: key, ModRevision: revision}},
 		ops:   []wire.Write{{Put: key, Value: b}},
 		done: func(rev uint64, err error) {
 			switch {
@@ -260,26 +265,26 @@
 				rec.Revision = rev
 				n.applyJob(rec)
 				reply(n.jobResponse(rec))
-			case errors.Is(err, statestore.ErrConflict) && tries > 0:
-				// Done, or cancelled through another node: read what it is now.
+			case errors.Is(err, statestore.ErrConflict) && attempts > 0:
+				// The job is done, or was cancelled through another node: read its current state.
 				n.readLinearizable(func(ok bool) {
 					if !ok {
 						reply(httpapi.Unavailable())
 						return
 					}
-					n.cancel(id, tries-1, reply)
+					n.cancel(id, attempts-1, reply)
 				})
 			default:
 				reply(httpapi.Unavailable())
 			}
 		},
 	}
-	if !n.committer.add(it, true) {
+	if !n.committer.add(req, true) {
 		reply(httpapi.Unavailable())
 	}
 }
 
-// Report answers a worker.
+// Report takes a worker's report and returns the commands for the worker.
 func (n *Node) Report(ctx context.Context, r *core.Report) httpapi.Response {
 	return n.awaitResponse(ctx, func(reply func(httpapi.Response)) {
 		n.lastReport, n.abstainUntil = n.now(), 0
@@ -292,7 +297,7 @@
 		}
 		if token := n.delegatedToken(r); token != 0 {
 			n.lastDelegatedAnswer = n.now()
-			n.respondToReport(reply, token, n.stopCommands(r), nil) // the worker counts its lease from its report
+			n.respondToReport(reply, token, n.stopCommands(r), nil) // the worker counts its lease from when it sent the report
 			return
 		}
 		if !n.isActiveLeader() {
@@ -312,10 +317,11 @@
 	})
 }
 
+// respondToReport replies to a worker's report with commands under a token.
 func (n *Node) respondToReport(reply func(httpapi.Response), token uint64, cmds []core.Command, fresh func() bool) {
-	b, err := wire.Commands(token, 0, cmds)
+	b, err := wire.EncodeCommands(token, 0, cmds)
 	if err != nil {
-		n.log.Error("encode commands", "err", err)
+		n.log.Error("encoding commands failed", "err", err)
 		reply(httpapi.Unavailable())
 		return
 	}
