--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -12,8 +12,9 @@
 	"aspenstall/internal/core"
 )
 
-// Records of the configuration that operators change while the cluster serves.
+// The records below hold the cluster configuration, which operators change at run time.
 
+// configChange is a change in the head's list of recent changes.
 type configChange struct {
 	//lint:ignore U1000 the encoder reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -21,10 +22,11 @@
 	Version  uint64
 }
 
+// configHead is the head record of the configuration.
 type configHead struct {
 	Format        int            `msgpack:"f"`
 	Version       uint64         `msgpack:"n"`
-	Pages         []string       `msgpack:"p"` // without their prefix
+	Pages         []string       `msgpack:"p"` // keys without clusterconfig.PagePrefix
 	RecentChanges []configChange `msgpack:"l"`
 
 	IdleReturnS   *float64 `msgpack:"ir,omitempty"`
@@ -34,7 +36,7 @@
 	SpareTasks    *int     `msgpack:"st,omitempty"`
 }
 
-// configTeam is a list rather than a map: many share one value.
+// configTeam is encoded as a list rather than a map, since one value holds many teams.
 type configTeam struct {
 	//lint:ignore U1000 the encoder reads its tag
 	_msgpack       struct{} `msgpack:",as_array"`
@@ -45,10 +47,12 @@
 	Draining       bool
 }
 
+// configPage holds some of the configuration's teams.
 type configPage struct {
 	Teams []configTeam `msgpack:"t"`
 }
 
+// configAck is a controller's acknowledgement of the version that it uses.
 type configAck struct {
 	Format       int      `msgpack:"f"`
 	HeadRevision uint64   `msgpack:"s"`
@@ -59,10 +63,10 @@
 	OlderPeers []string `msgpack:"o,omitempty"`
 }
 
-// ConfigCodec encodes the configuration's records.
+// ConfigCodec encodes the configuration's records. It implements clusterconfig.Codec.
 type ConfigCodec struct{}
 
-// Encode encodes a head or a page.
+// Encode encodes the head or the page of a write; a write of neither is an error.
 func (ConfigCodec) Encode(w clusterconfig.Write) ([]byte, error) {
 	switch {
 	case w.Head != nil:
@@ -70,10 +74,10 @@
 	case w.Page != nil:
 		return encodeConfigPage(w.Page)
 	}
-	return nil, fmt.Errorf("no value at %q", w.Key)
+	return nil, fmt.Errorf("no head or page to encode at key %q", w.Key)
 }
 
-// Size is a value's size as JSON, in bytes.
+// Size returns the size in bytes that the state service counts for a value: that of its JSON form.
 func (ConfigCodec) Size(value []byte) int {
 	var v any
 	if err := msgpack.Unmarshal(value, &v); err != nil {
@@ -101,8 +105,8 @@
 	return Marshal(&w)
 }
 
-// DecodeConfigHead decodes the configuration's head. Of one of a newer format nothing but
-// that is known.
+// DecodeConfigHead decodes the configuration's head. For a head of a newer format it returns the
+// format alone.
 func DecodeConfigHead(b []byte) (clusterconfig.Head, error) {
 	var format struct {
 		Format int `msgpack:"f"`
@@ -156,12 +160,12 @@
 	return p, nil
 }
 
-// EncodeConfigAck encodes what a controller says of the configuration that it acts by.
+// EncodeConfigAck encodes a controller's acknowledgement of a configuration.
 func EncodeConfigAck(a *clusterconfig.Ack) ([]byte, error) {
 	return Marshal(&configAck{Format: a.Format, HeadRevision: a.HeadRevision, Version: a.Version, Peers: a.Peers, Error: a.Error, OlderPeers: a.OlderPeers})
 }
 
-// DecodeConfigAck decodes it.
+// DecodeConfigAck decodes a controller's acknowledgement of a configuration.
 func DecodeConfigAck(b []byte) (clusterconfig.Ack, error) {
 	var w configAck
 	err := Unmarshal(b, &w)
--- a/internal/wire/names_test.go
+++ b/internal/wire/names_test.go
@@ -14,9 +14,11 @@
 	"aspenstall/internal/core"
 )
 
-// Names that leave the process are compared with testdata/names.json, which no tool that
-// renames identifiers changes: messages as JSON, lists for structs without keys.
+// These tests compare the names and values that leave the process with testdata/names.json. A
+// rename of an identifier doesn't change that file. It holds messages as JSON; structs that are
+// encoded without keys are lists.
 
+// goldenMessage returns the message of that name in testdata/names.json.
 func goldenMessage(t *testing.T, name string) json.RawMessage {
 	t.Helper()
 	b, err := os.ReadFile("testdata/names.json")
@@ -30,7 +32,7 @@
 	return all[name]
 }
 
-// packed is MessagePack of some JSON.
+// packJSON returns the MessagePack form of a JSON text.
 func packJSON(t *testing.T, text []byte) []byte {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -46,6 +48,7 @@
 	return b
 }
 
+// convertNumbers replaces each json.Number in v by an int64, or by a float64 if it is no integer.
 func convertNumbers(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -66,7 +69,7 @@
 	return v
 }
 
-// sameAsGolden compares an encoded message with the golden one.
+// compareWithGolden compares an encoded message with the golden one of that name.
 func compareWithGolden(t *testing.T, name string, b []byte) {
 	t.Helper()
 	var v any
@@ -86,14 +89,15 @@
 	}
 }
 
-// allSet checks that every field has a value, and that none but flags have the same one.
+// allSet checks that every field of v is set, and that no two fields except booleans have the same
+// value. seen holds the paths of the values so far.
 func allSet(t *testing.T, path string, v reflect.Value, seen map[string]string) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			name := v.Type().Field(i).Name
-			// How long ago a record was made is not stored.
+			// The time since a partition began is computed, not stored.
 			if name != "_msgpack" && (name != "Elapsed" || v.Type() != reflect.TypeFor[core.PartitionRecord]()) {
 				allSet(t, path+"."+name, v.Field(i), seen)
 			}
@@ -126,13 +130,16 @@
 	}
 }
 
+// ptr returns a pointer to v.
 func ptr[T any](v T) *T { return &v }
 
+// rawString returns a string's MessagePack form.
 func rawString(s string) msgpack.RawMessage {
 	b, _ := msgpack.Marshal(s)
 	return b
 }
 
+// TestNamesInMessages checks that every message is encoded as the golden one and decoded from it.
 func TestNamesInMessages(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -185,13 +192,14 @@
 			compareWithGolden(t, c.name, b)
 			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
 			if err := Unmarshal(packJSON(t, goldenMessage(t, c.name)), back); err != nil || !reflect.DeepEqual(back, c.value) {
-				t.Errorf("golden is read as %+v, %v", back, err)
+				t.Errorf("the golden message decodes as %+v, %v", back, err)
 			}
 		})
 	}
 }
 
-// The records of other packages go into the same messages, and come back out of them.
+// TestNamesOfRecords checks that the records of other packages are encoded as the golden messages
+// and decoded from them.
 func TestNamesOfRecords(t *testing.T) {
 	job := core.JobRecord{
 		Phase: core.Cancelled, SubmittedAt: 10, Revision: 9, AcceptedRevision: 20, EndedAt: 21,
@@ -218,7 +226,7 @@
 		name   string
 		value  any
 		encode func() ([]byte, error)
-		decode func(b []byte) (any, error) // nil: there is none
+		decode func(b []byte) (any, error) // nil if no decoder exists
 	}{
 		{"job", job, func() ([]byte, error) { return EncodeJob(&job) }, func(b []byte) (any, error) { return DecodeJob("job-1", b, 9) }},
 		{"machines", machines, record(machines), func(b []byte) (any, error) { return DecodeMachineGroup("k", b) }},
@@ -244,12 +252,13 @@
 				return
 			}
 			if back, err := c.decode(packJSON(t, goldenMessage(t, c.name))); err != nil || !reflect.DeepEqual(back, c.value) {
-				t.Errorf("golden is read as %+v, %v, want %+v", back, err, c.value)
+				t.Errorf("the golden message decodes as %+v, %v, want %+v", back, err, c.value)
 			}
 		})
 	}
 }
 
+// TestDecodedNames checks the values that the parsers read from the golden messages.
 func TestDecodedNames(t *testing.T) {
 	in := func(format string, names ...any) []byte {
 		for i, n := range names {
@@ -297,6 +306,7 @@
 	allSet(t, "submission", reflect.ValueOf(spec), map[string]string{})
 }
 
+// TestNamesOfCommands checks the encoding of each kind of command.
 func TestNamesOfCommands(t *testing.T) {
 	got, err := EncodeCommands(1, 2, []core.Command{
 		{Op: core.Start, Job: "job-3", Index: 4, Attempt: 5}, {Op: core.Stop, Job: "job-6", Index: 7, Attempt: 8, GracePeriod: 9_500_000},
@@ -308,6 +318,8 @@
 	compareWithGolden(t, "commands of each kind", got)
 }
 
+// TestWireValues checks the published names of states, kinds, causes and commands, and the paths
+// and keys.
 func TestWireValues(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -8,15 +8,14 @@
 	"aspenstall/internal/core"
 )
 
-// Keys of records that others than the controllers read, too.
+// Keys of records that processes other than the controllers also read.
 const (
 	LeaderKey = "c/leader"
 	JobPrefix = "c/job/"
 )
 
-// Our own records in the state service. Fields have short names: a record is
-// written for every job.
-
+// jobRecord is a job in the state service. The fields' encoded names are short because a record
+// is written for every job.
 type jobRecord struct {
 	Phase              uint8    `msgpack:"p"`
 	SubmittedAt        int64    `msgpack:"at"`
@@ -43,7 +42,7 @@
 	EndedAt            int64    `msgpack:"e,omitempty"`
 }
 
-// EncodeJob encodes a job record.
+// EncodeJob encodes a job record, without the job's id, which is in the key.
 func EncodeJob(r *core.JobRecord) ([]byte, error) {
 	s := &r.Spec
 	w := jobRecord{
@@ -57,14 +56,15 @@
 	return Marshal(&w)
 }
 
-// DecodeJob decodes the record of the job with the given id.
-func DecodeJob(id string, b []byte, stamp uint64) (core.JobRecord, error) {
+// DecodeJob decodes the record of the job with the given id. revision is that of the record's
+// last write.
+func DecodeJob(id string, b []byte, revision uint64) (core.JobRecord, error) {
 	var w jobRecord
 	if err := Unmarshal(b, &w); err != nil {
 		return core.JobRecord{}, fmt.Errorf("job %s: %w", id, err)
 	}
 	return core.JobRecord{
-		Phase: core.Phase(w.Phase), SubmittedAt: core.Micros(w.SubmittedAt), Revision: stamp, AcceptedRevision: w.AcceptedRevision, EndedAt: core.Micros(w.EndedAt),
+		Phase: core.Phase(w.Phase), SubmittedAt: core.Micros(w.SubmittedAt), Revision: revision, AcceptedRevision: w.AcceptedRevision, EndedAt: core.Micros(w.EndedAt),
 		Spec: core.JobSpec{
 			ID: id, Class: w.Class, Team: w.Team, Kind: core.Kind(w.Kind), Priority: core.Priority(w.Priority),
 			Tasks: w.Tasks, Resources: core.Resources{CPU: w.CPU, GPU: w.GPU, Mem: w.Mem}, Types: w.Types, Zone: w.Zone,
@@ -74,7 +74,7 @@
 	}, nil
 }
 
-// machineRecord is a list rather than a map: many share one value.
+// machineRecord is encoded as a list rather than a map, since one value holds many machines.
 type machineRecord struct {
 	//lint:ignore U1000 the encoder reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -130,13 +130,13 @@
 	Machines []retainedMachine `msgpack:"ms"`
 }
 
-// Leader is the leader's record.
+// LeaderRecord is the record of the current leader.
 type LeaderRecord struct {
 	Node       string `msgpack:"node"`
-	RaiseCount uint64 `msgpack:"nth"` // raised tokens, so that a rewrite differs
+	RaiseCount uint64 `msgpack:"nth"` // number of token raises; makes each rewrite of the record differ
 }
 
-// EncodeRecord encodes one of the core's records.
+// EncodeRecord encodes one of the core's records. A type without an encoding is an error.
 func EncodeRecord(v any) ([]byte, error) {
 	switch r := v.(type) {
 	case core.MachineGroupRecord:
@@ -167,7 +167,7 @@
 	return nil, fmt.Errorf("no encoding for %T", v)
 }
 
-// DecodeMachines decodes the record of machines at the key.
+// DecodeMachineGroup decodes the record of a group of machines at the key.
 func DecodeMachineGroup(key string, b []byte) (core.MachineGroupRecord, error) {
 	r := core.MachineGroupRecord{Key: key}
 	var w machineGroupRecord
@@ -178,7 +178,7 @@
 	return r, err
 }
 
-// DecodeKept decodes the record at the key of machines that are kept.
+// DecodePartition decodes the record at the key of the machines retained in a partitioned zone.
 func DecodePartition(key string, b []byte) (core.PartitionRecord, error) {
 	var w partitionRecord
 	err := Unmarshal(b, &w)
@@ -193,7 +193,7 @@
 	return r, err
 }
 
-// DecodeRent decodes a rental's record.
+// DecodeRental decodes the record of a rental.
 func DecodeRental(b []byte) (core.RentalRecord, error) {
 	var w rentalRecord
 	err := Unmarshal(b, &w)
@@ -202,15 +202,15 @@
 	}, err
 }
 
-// DecodeRanges decodes the record of finished tasks at the key.
+// DecodeCompletion decodes the record of completed tasks at the key.
 func DecodeCompletion(key string, b []byte) (core.CompletionRecord, error) {
 	var w completionRecord
 	err := Unmarshal(b, &w)
 	return core.CompletionRecord{Key: key, Job: w.Job, Chunk: w.Chunk, Ranges: w.Ranges}, err
 }
 
-// CatalogRecord is the catalog as kept for nodes that cannot ask the cloud: it
-// is the cloud's own answer.
+// CatalogRecord is the catalog for nodes that cannot reach the cloud: the cloud's response,
+// still encoded.
 type CatalogRecord struct {
 	Raw msgpack.RawMessage `msgpack:"raw"`
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -28,24 +28,27 @@
 	return true
 }
 
-// floor rounds a machine's room down.
+// floorMilli converts an amount of a machine's resource to thousandths, rounded down.
 func floorMilli(f float64) int64 { return int64(math.Floor(f*1000 + 1e-6)) }
 
-// fields reads a decoded map and remembers the first thing wrong with it.
+// fieldReader reads the fields of a decoded map and keeps the first error.
 type fieldReader struct {
 	values map[string]any
 	err    error
 }
 
+// fail records an error for a field unless there already is one.
 func (f *fieldReader) fail(name, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", name, why)
 	}
 }
 
-func (f *fieldReader) readString(name string, null bool) string {
+// readString reads a text of 1 to core.MaxNameBytes bytes. If optional, a missing field or null
+// reads as "".
+func (f *fieldReader) readString(name string, optional bool) string {
 	v := f.values[name]
-	if v == nil && null {
+	if v == nil && optional {
 		return ""
 	}
 	s, ok := v.(string)
@@ -55,6 +58,7 @@
 	return s
 }
 
+// readBool reads true or false.
 func (f *fieldReader) readBool(name string) bool {
 	b, ok := f.values[name].(bool)
 	if !ok {
@@ -63,6 +67,7 @@
 	return b
 }
 
+// readNumber reads a number from lo to hi.
 func (f *fieldReader) readNumber(name string, lo, hi float64) float64 {
 	var n float64
 	switch v := f.values[name].(type) {
@@ -85,6 +90,8 @@
 	return n
 }
 
+// asInt64 returns the value of any integer type of the decoder; larger ones become the largest
+// int64.
 func asInt64(v any) (int64, bool) {
 	switch v := v.(type) {
 	case int8:
@@ -110,17 +117,18 @@
 	return 0, false
 }
 
-func readEnum[T any](f *fieldReader, name string, words map[string]T) T {
+// readEnum reads a text and returns the value that it names.
+func readEnum[T any](f *fieldReader, name string, byName map[string]T) T {
 	s, _ := f.values[name].(string)
-	v, ok := words[s]
+	v, ok := byName[s]
 	if !ok {
 		f.fail(name, "unknown value")
 	}
 	return v
 }
 
-// SubmissionID reads only the id of a submission, so that a retry can be
-// answered whatever else it holds.
+// SubmissionID returns only the job id of a submission, so that a retry of an accepted job is
+// answered even if the rest of the submission is invalid. It returns "" if there is no valid id.
 func SubmissionID(b []byte) string {
 	var w struct {
 		ID msgpack.RawMessage `msgpack:"uid"`
@@ -132,7 +140,7 @@
 	return id
 }
 
-// ParseSubmission reads a submission; the error says which field is wrong.
+// ParseSubmission decodes and checks a submission; an error names the first invalid field.
 func ParseSubmission(b []byte) (core.JobSpec, error) {
 	var s core.JobSpec
 	var m map[string]any
@@ -140,7 +148,7 @@
 		return s, err
 	}
 	if m == nil {
-		return s, fmt.Errorf("not a map")
+		return s, fmt.Errorf("the submission is not a map")
 	}
 	f := &fieldReader{values: m}
 	s.ID = f.readString("uid", false)
--- a/internal/wire/valid.go
+++ b/internal/wire/validate.go
@@ -14,11 +14,11 @@
 	errTrailing        = errors.New("data after the message")
 )
 
+// maxDepth is the deepest nesting of lists and maps in a message.
 const maxDepth = 16
 
-// valid checks a message's structure without allocating. The decoder makes room
-// for as many entries as a header promises: five bytes that promise four
-// thousand million entries would take all memory.
+// validate checks a message's structure without allocating. The decoder allocates as many entries
+// as a header announces, so five bytes that announce 2^32 entries would exhaust the memory.
 func validate(b []byte) error {
 	rest, err := skipValue(b, 0)
 	if err == nil && len(rest) > 0 {
@@ -27,7 +27,7 @@
 	return err
 }
 
-// skip returns what follows the first value in b.
+// skipValue returns the bytes after the first value in b.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
 		return nil, errTruncated
@@ -43,7 +43,7 @@
 		}
 		return b[n:], nil
 	}
-	// length reads a length of size bytes and leaves b behind it.
+	// length reads a length of size bytes and advances b past it.
 	length := func(size int) (int, error) {
 		if size > len(b) {
 			return 0, errTruncated
@@ -55,7 +55,7 @@
 	}
 	values := func(n int) ([]byte, error) {
 		if n > len(b) {
-			return nil, errTruncated // every value takes at least a byte
+			return nil, errTruncated // every value takes at least one byte
 		}
 		var err error
 		for ; n > 0 && err == nil; n-- {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the published field names and their MessagePack form.
-// Nothing outside it knows them; the rest of the program speaks of jobs, teams,
-// tasks, machines, attempts and leases.
+// Package wire encodes and decodes the messages of the published protocols and the records in
+// the state service, as MessagePack. The published field names occur only here; the rest of the
+// program uses its own terms: jobs, teams, tasks, machines, attempts and leases.
 package wire
 
 import (
@@ -14,7 +14,7 @@
 	"aspenstall/internal/core"
 )
 
-// Paths of the interfaces.
+// Paths of the HTTP interfaces. The suffixes follow a job's or a lease's id.
 const (
 	JobsPath           = "/v2/runs"
 	CancelSuffix       = "withdraw"
@@ -32,10 +32,10 @@
 	ChangesPath        = "/changes"
 )
 
-// MaxBody is the largest body that users and workers send or take.
+// MaxBodyBytes is the largest body, in bytes, of a request or response of users and workers.
 const MaxBodyBytes = 64 << 10
 
-// Marshal encodes a body. Integers take their shortest form.
+// Marshal encodes v as MessagePack, integers in their shortest form.
 func Marshal(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := msgpack.GetEncoder()
@@ -48,7 +48,7 @@
 	return b.Bytes(), nil
 }
 
-// Unmarshal decodes a body.
+// Unmarshal decodes MessagePack into v. It rejects malformed messages before it allocates.
 func Unmarshal(b []byte, v any) error {
 	if err := validate(b); err != nil {
 		return fmt.Errorf("decode: %w", err)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// JobState answers users.
+// JobState is the response to a query for a job's state.
 type JobState struct {
 	ID      string `msgpack:"uid"`
 	State   string `msgpack:"phase"`
@@ -67,13 +67,13 @@
 	Running int    `msgpack:"running"`
 }
 
-// Accepted answers a submission or a cancellation.
+// AcceptedResponse is the response to a submission or a cancellation.
 type AcceptedResponse struct {
 	ID    string `msgpack:"uid"`
 	State string `msgpack:"phase"`
 }
 
-// States of a job as users are told.
+// States of a job in responses to users.
 const (
 	StatePending   = "pending"
 	StateRunning   = "running"
@@ -81,7 +81,7 @@
 	StateCancelled = "aborted"
 )
 
-// PhaseName is the word for a phase that is kept.
+// PhaseName returns the published state for the phase of a job record.
 func PhaseName(p core.Phase) string {
 	return [...]string{StatePending, StateDone, StateCancelled}[p]
 }
@@ -120,7 +120,8 @@
 	Commands []command `msgpack:"orders"`
 }
 
-// Redirect tells a worker which node to report to.
+// Redirect is the response to a worker that reports to another node than the leader: Node is the
+// node to report to.
 type Redirect struct {
 	Node string `msgpack:"foreman,omitempty"`
 }
@@ -138,29 +139,31 @@
 
 var opNames = [...]string{core.Start: "start", core.Stop: "halt", core.Forget: "reap"}
 
-// TaskName is a task's published name.
+// TaskName returns the published name of a task: the job's id, a slash and the index.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
+// parseTask splits a task's published name into the job's id and the index.
 func parseTask(s string) (string, int, error) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 {
-		return "", 0, fmt.Errorf("task name %q", s)
+		return "", 0, fmt.Errorf("invalid task name %q", s)
 	}
 	n, err := strconv.Atoi(s[i+1:])
 	if err != nil || n < 0 {
-		return "", 0, fmt.Errorf("task name %q", s)
+		return "", 0, fmt.Errorf("invalid task name %q", s)
 	}
 	return s[:i], n, nil
 }
 
-// ParseReport reads a worker's report.
+// ParseReport decodes a worker's report. An unknown cause becomes core.CauseError; a missing
+// machine name or session, a malformed task name and an unknown task state are errors.
 func ParseReport(b []byte) (*core.Report, error) {
 	var w report
 	if err := Unmarshal(b, &w); err != nil {
 		return nil, err
 	}
 	if w.Machine == "" || w.Session == 0 {
-		return nil, fmt.Errorf("report without machine or session")
+		return nil, fmt.Errorf("report without a machine name or session")
 	}
 	r := &core.Report{
 		Machine: w.Machine, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
@@ -188,7 +191,7 @@
 	return r, nil
 }
 
-// Commands encodes commands for a worker; session is 0 in the answer to a report.
+// EncodeCommands encodes commands for a worker. session is 0 in the response to a report.
 func EncodeCommands(token, session uint64, cmds []core.Command) ([]byte, error) {
 	w := commands{Token: token, Session: session, Commands: make([]command, len(cmds))}
 	for i, c := range cmds {
@@ -214,7 +217,7 @@
 	Zones     []string `msgpack:"paddocks"`
 }
 
-// ParseCatalog reads the cloud's machine types.
+// ParseCatalog decodes the cloud's machine types.
 func ParseCatalog(b []byte) ([]core.MachineType, error) {
 	var w struct {
 		Types []machineType `msgpack:"breeds"`
@@ -233,7 +236,7 @@
 	return out, nil
 }
 
-// RentRequest asks the cloud for machines.
+// RentRequest is a request to the cloud to rent machines.
 type RentRequest struct {
 	Request string `msgpack:"hire"`
 	Type    string `msgpack:"breed"`
@@ -242,7 +245,7 @@
 	Count   int    `msgpack:"count"`
 }
 
-// MachineNames answers a rental, or asks for a return.
+// MachineNames is the cloud's response to a rental, and the request to release machines.
 type MachineNames struct {
 	Machines []string `msgpack:"stalls"`
 }
@@ -257,7 +260,7 @@
 	AgeS    float64 `msgpack:"age_s"`
 }
 
-// ParseMachines reads a page of the cloud's machine list.
+// ParseMachines decodes a page of the cloud's machine list; more reports whether pages follow.
 func ParseMachines(b []byte) (list []core.ListedMachine, more bool, err error) {
 	var w struct {
 		Machines []listedMachine `msgpack:"stalls"`
@@ -275,9 +278,9 @@
 	return list, w.More, nil
 }
 
-// State service messages. Values stay encoded until somebody needs them.
+// The types below are messages of the state service. Values stay encoded until they are needed.
 
-// Entry is a key with its value.
+// Entry is a key with its value. ModRevision is the revision of its last write.
 type Entry struct {
 	Key         string             `msgpack:"path"`
 	Value       msgpack.RawMessage `msgpack:"value"`
@@ -285,14 +288,14 @@
 	Lease       uint64             `msgpack:"tether"`
 }
 
-// Entries is a page of keys.
+// Entries is a page of a key listing.
 type Entries struct {
 	Items    []Entry `msgpack:"entries"`
 	More     bool    `msgpack:"more"`
 	Revision uint64  `msgpack:"ledger"`
 }
 
-// Change is an event of a watch: a write, or a deletion.
+// Change is an event of a watch: a write of the key Put, or the deletion of the key Delete.
 type Change struct {
 	Put         string             `msgpack:"write"`
 	Delete      string             `msgpack:"drop"`
@@ -300,19 +303,21 @@
 	ModRevision uint64             `msgpack:"stamp"`
 }
 
-// Changes is the answer to a watch.
+// Changes is the response to a watch.
 type Changes struct {
 	Revision uint64   `msgpack:"ledger"`
 	Events   []Change `msgpack:"news"`
 }
 
-// Cond is a condition of a transaction: the key has this version, 0 for none.
+// Cond is a condition of a transaction: the key's last write has this revision; 0 means that the
+// key does not exist.
 type Cond struct {
 	Key         string `msgpack:"path"`
 	ModRevision uint64 `msgpack:"stamp"`
 }
 
-// Write is a put or a delete.
+// Write is a put of the key Put or a deletion of the key Delete. Lease is 0 for a key that is not
+// bound to a lease.
 type Write struct {
 	Put    string             `msgpack:"write,omitempty"`
 	Delete string             `msgpack:"drop,omitempty"`
@@ -320,25 +325,25 @@
 	Lease  uint64             `msgpack:"tether,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is a transaction: the writes are applied if all conditions hold.
 type Txn struct {
 	If   []Cond  `msgpack:"if"`
 	Then []Write `msgpack:"writes"`
 }
 
-// TxnResult is its answer.
+// TxnResult is the response to a transaction. Failed lists the keys whose conditions did not hold.
 type TxnResult struct {
 	Revision uint64   `msgpack:"ledger"`
 	Failed   []string `msgpack:"failed"`
 	Error    string   `msgpack:"error"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest is a request for a lease; TTL is in milliseconds.
 type LeaseRequest struct {
 	TTL int64 `msgpack:"ttl_ms"`
 }
 
-// Lease is the answer.
+// Lease is the response to a LeaseRequest.
 type Lease struct {
 	ID uint64 `msgpack:"tether"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,6 +10,7 @@
 	"aspenstall/internal/core"
 )
 
+// submission returns a valid submission with every field.
 func submission() map[string]any {
 	return map[string]any{
 		"uid": "job-000412", "herd": "train", "crew": "vision", "shape": "ensemble", "urgency": "high", "lots": 16,
@@ -19,6 +20,7 @@
 	}
 }
 
+// TestParseSubmission checks a submission's fields, and that its record decodes to the same job.
 func TestParseSubmission(t *testing.T) {
 	b, err := Marshal(submission())
 	if err != nil {
@@ -40,14 +42,16 @@
 		t.Fatal(err)
 	}
 	if back, err := DecodeJob(got.ID, b, 9); err != nil || !reflect.DeepEqual(back, rec) {
-		t.Errorf("record comes back as %+v, %v", back, err)
+		t.Errorf("the record decodes as %+v, %v", back, err)
 	}
 }
 
+// TestBadSubmissions checks that an invalid field is named in the error, and that malformed
+// messages are refused.
 func TestBadSubmissions(t *testing.T) {
 	for _, c := range []struct {
 		field string
-		value any // nil: the field is missing
+		value any // nil removes the field
 	}{
 		{"uid", nil}, {"uid", "task-1"}, {"uid", "job-"}, {"uid", "job-1/2"}, {"uid", 7},
 		{"herd", nil}, {"crew", ""}, {"shape", "array"}, {"urgency", nil}, {"lots", 0}, {"lots", 100_001}, {"lots", 2.5},
@@ -73,11 +77,11 @@
 	}
 	for _, b := range [][]byte{nil, {0xc0}, {0x93, 1, 2, 3}, []byte("{}"), {0xdf, 0xff, 0xff, 0xff, 0xff}} {
 		if _, err := ParseSubmission(b); err == nil {
-			t.Errorf("%x is taken", b)
+			t.Errorf("%x is accepted", b)
 		}
 	}
 	if id := SubmissionID([]byte{0x81, 0xa3, 'u', 'i', 'd', 0xa5, 'j', 'o', 'b', '-', '7'}); id != "job-7" {
-		t.Errorf("id of an incomplete submission: %q", id)
+		t.Errorf("got id %q of an incomplete submission, want job-7", id)
 	}
 }
 
@@ -104,6 +108,6 @@
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if _, err := ParseReport([]byte{0x80}); err == nil {
-		t.Error("an empty report is taken")
+		t.Error("an empty report is accepted")
 	}
 }
