--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -17,9 +17,9 @@
 	"aspenstall/internal/ednmap"
 )
 
-// ReadClusterConfig reads and checks the configuration that operators change while the
-// cluster serves: one S-expression. A field of a team of the base that it does not name
-// stays as the base has it. Errors name file, line, field and reason.
+// ReadClusterConfig reads and checks the configuration that operators change at run time: one
+// S-expression. A field that the file omits for a team of the base keeps the base's value. Errors
+// name the file, line, field and reason.
 func ReadClusterConfig(path string, base *clusterconfig.Base) (*clusterconfig.Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -44,6 +44,7 @@
 	return c, nil
 }
 
+// clusterSettings returns a parser for the settings that may change at run time.
 func clusterSettings(t *clusterconfig.Tuning) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		number := func(lo, hi float64, to **float64) ednmap.Parser {
@@ -65,9 +66,11 @@
 	}
 }
 
-// maxAmount is more than any team has of a resource.
+// maxTeamResource is the largest amount of a resource in a quota, more than any team has.
 const maxTeamResource = 1e9
 
+// readClusterTeam parses a team's configuration. Omitted fields keep the base's values; the
+// priority cap of a team that is not in the base is core.Production.
 func readClusterTeam(b edn.RawMessage, name string, base *clusterconfig.Base) (clusterconfig.Team, error) {
 	t, known := base.Teams[name]
 	if !known {
@@ -95,11 +98,12 @@
 	return t, err
 }
 
+// priority returns a parser for a priority's keyword.
 func priority(to *core.Priority) ednmap.Parser {
 	return func(b edn.RawMessage) error {
-		var word edn.Keyword
-		if edn.Unmarshal(b, &word) == nil {
-			if p, ok := parsePriority(word); ok {
+		var kw edn.Keyword
+		if edn.Unmarshal(b, &kw) == nil {
+			if p, ok := parsePriority(kw); ok {
 				*to = p
 				return nil
 			}
@@ -108,7 +112,8 @@
 	}
 }
 
-// located names the line of what an error is about, as far as the error says.
+// withLine prefixes an error with the path and the line that it refers to. It finds the line by
+// the keys at the start of the error's text.
 func withLine(path string, text []byte, err error) error {
 	var keys []string
 	for _, part := range strings.Split(err.Error(), ": ") {
@@ -120,7 +125,7 @@
 	return fmt.Errorf("%s:%d: %w", path, lineOfKeys(text, keys), err)
 }
 
-// lineOf is the line of the last of some keys, each of which is in what the one before names.
+// lineOfKeys returns the line of the last key; each key is nested in the value of the one before.
 func lineOfKeys(text []byte, keys []string) int {
 	at := 0
 	for _, key := range keys {
@@ -133,7 +138,7 @@
 	return bytes.Count(text[:at], []byte("\n")) + 1
 }
 
-// WriteClusterConfig writes a configuration as ReadClusterConfig reads it.
+// WriteClusterConfig writes a configuration in the form that ReadClusterConfig reads.
 func WriteClusterConfig(w io.Writer, c *clusterconfig.Config) {
 	fmt.Fprint(w, "{:teams\n {")
 	for i, name := range slices.Sorted(maps.Keys(c.Teams)) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads the platform's JSON file and the operators' settings.
+// Package config reads the platform's JSON file, the operators' settings and the cluster
+// configuration that operators change at run time.
 package config
 
 import (
@@ -14,8 +15,7 @@
 	"aspenstall/internal/core"
 )
 
-// Platform is the file that the platform hands over. Fields that it does not
-// know are ignored.
+// Platform is the JSON file that the platform provides. Unknown fields in it are ignored.
 type Platform struct {
 	Member        string `json:"member"`
 	Zone          string `json:"area"`
@@ -29,7 +29,7 @@
 	Params Params `json:"params"`
 }
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Member   string `json:"member"`
 	Zone     string `json:"area"`
@@ -53,7 +53,7 @@
 		WriteRPS float64 `json:"write_rps"`
 		ValueKB  float64 `json:"value_kb"`
 		TxnOps   int     `json:"txn_ops"`
-		// Next are the limits that will hold from some moment on; nil: these stay.
+		// Next holds limits that will replace these at some time; nil if no change is announced.
 		Next *NextLimits `json:"next"`
 	} `json:"state"`
 	Cloud struct {
@@ -68,17 +68,18 @@
 	SkewMS float64 `json:"skew_ms"`
 }
 
-// NextLimits are limits of the state service that will come: the size of a value and the
-// changes of a transaction; 0 where it does not say.
+// NextLimits are announced limits of the state service: the size of a value and the number of
+// changes in a transaction. 0 means that the limit doesn't change.
 type NextLimits struct {
 	ValueKB float64 `json:"value_kb"`
 	TxnOps  int     `json:"txn_ops"`
 }
 
-// valueMargin is what a record leaves of a value, in bytes, for what is round it.
+// recordOverheadBytes is the part of a value, in bytes, that is left for the encoding around a record.
 const recordOverheadBytes = 200
 
-// ConfigLimits are the smallest limits of the state service that can come.
+// ConfigLimits returns the smaller of the state service's present and announced limits, so that
+// records written now stay valid after the change.
 func (p *Platform) ConfigLimits() clusterconfig.Limits {
 	valueKB, txnOps := p.Params.State.ValueKB, p.Params.State.TxnOps
 	if next := p.Params.State.Next; next != nil {
@@ -92,7 +93,7 @@
 	return clusterconfig.Limits{ValueBytes: int(valueKB*1024) - recordOverheadBytes, TxnOps: txnOps}
 }
 
-// Team is a team's quota: what it is guaranteed, and what it may use at most; 0 for none.
+// Team is a team's quota: its guarantees, and its limits (Max); 0 means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -101,7 +102,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is an aim on starting or finishing.
+// Objective is an objective for the start or the completion of jobs of a class.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -110,7 +111,7 @@
 	WithinS float64 `json:"within_s"`
 }
 
-// LoadPlatform reads and checks the platform's file.
+// LoadPlatform reads and checks the platform's file. Errors name the file and the field.
 func LoadPlatform(path string) (*Platform, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -130,6 +131,7 @@
 	return &p, nil
 }
 
+// checkAddress returns an error that begins with name unless a is an IP address and port.
 func checkAddress(name, a string) error {
 	host, _, err := net.SplitHostPort(a)
 	if err != nil {
@@ -141,6 +143,7 @@
 	return nil
 }
 
+// check returns an error for the first missing or invalid field.
 func (p *Platform) check() error {
 	if p.Member == "" {
 		return errors.New("member: missing")
@@ -189,27 +192,27 @@
 	return nil
 }
 
-// Core is the core's configuration.
+// CoreConfig returns the core's configuration.
 func CoreConfig(p *Platform, s Settings) core.Config {
-	blind := core.MaxCancelStaleness(core.Seconds(p.Params.Workers.LeaseS), core.Seconds(p.Params.Workers.CancelS))
+	maxStaleness := core.MaxCancelStaleness(core.Seconds(p.Params.Workers.LeaseS), core.Seconds(p.Params.Workers.CancelS))
 	c := core.Config{
 		WorkerLease:    core.Seconds(p.Params.Workers.LeaseS),
 		ReportInterval: core.Seconds(p.Params.Workers.ReportS),
-		// The other node's clock may be slower by the drift.
-		AnswerGrace:        min(core.Seconds(s.AnswerGraceS), blind) * 1001 / 1000,
-		MaxCancelStaleness: blind,
-		// Short beside any wait that an objective could name.
+		// Clocks drift by up to 0.1%, so the other node's may run slower.
+		AnswerGrace:        min(core.Seconds(s.AnswerGraceS), maxStaleness) * 1001 / 1000,
+		MaxCancelStaleness: maxStaleness,
+		// Short compared with any wait that an objective could set.
 		PlacementInterval: 20 * core.Millisecond,
 		RecordInterval:    200 * core.Millisecond,
 		LeaderLease:       core.Seconds(s.LeaderLeaseS),
-		// A third of the calls or so.
+		// Releases use about a third of the cloud's request rate.
 		ReleaseInterval: core.Seconds(4 / max(p.Params.Cloud.RPS, 1)),
 		ListLag:         core.Seconds(p.Params.Cloud.ListLagS),
 		MaxRecordBytes:  int(p.Params.State.ValueKB*1024 - recordOverheadBytes),
-		// Five words of a machine take about as many letters, as JSON.
+		// A machine's five fields take about 100 bytes as JSON.
 		MachinesPerRecord: max(int(p.Params.State.ValueKB*1024-recordOverheadBytes)/100, 1),
-		// Every second task finished is the worst case: two numbers with their
-		// commas for two tasks.
+		// In the worst case every second task is completed, which takes two numbers with
+		// commas for every two tasks.
 		ChunkSize: max(int(p.Params.State.ValueKB*1024-recordOverheadBytes)/8, 16),
 		Tuning:    coreTuning(s),
 	}
@@ -225,8 +228,8 @@
 	return c
 }
 
-// ConfigBase is what the controllers are started with, under the configuration that operators
-// change while they serve.
+// ClusterConfigBase returns the teams and settings that the controllers start with. The cluster
+// configuration, which operators change at run time, is laid over them.
 func ClusterConfigBase(p *Platform, s Settings) clusterconfig.Base {
 	b := clusterconfig.Base{Teams: map[string]clusterconfig.Team{}, Tuning: coreTuning(s)}
 	for _, t := range p.Params.Teams {
@@ -239,7 +242,7 @@
 	return b
 }
 
-// CoreTeams are the teams as the core has them, by name.
+// CoreTeams returns the teams in the core's form, sorted by name.
 func CoreTeams(teams map[string]clusterconfig.Team) []core.Team {
 	var out []core.Team
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
@@ -249,6 +252,7 @@
 	return out
 }
 
+// coreTuning returns the settings that the core uses.
 func coreTuning(s Settings) core.Tuning {
 	return core.Tuning{
 		IdleTimeout: core.Seconds(s.IdleReturnS), RefusalBackoff: core.Seconds(s.RefusalPauseS),
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,6 +17,7 @@
 "new_field":{"x":1},"params":{"teams":[{"name":"blue","cpus":4.0,"cpus_max":8.0}],
 "workers":{"report_s":3.0,"lease_s":16.0},"state":{"rps":10,"write_rps":5,"value_kb":4.0,"txn_ops":12}}}`
 
+// writeFile writes a file in a temporary directory and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
@@ -26,7 +27,8 @@
 	return path
 }
 
-// verdict compares an error with what it is to say; "" for none.
+// checkError checks that an error is one line that begins with path and contains want. If want is "",
+// no error is expected.
 func checkError(t *testing.T, err error, path, want string) {
 	t.Helper()
 	switch {
@@ -40,6 +42,7 @@
 	}
 }
 
+// TestPlatform checks that errors in the platform's file name the field.
 func TestPlatform(t *testing.T) {
 	for _, c := range []struct{ name, from, to, want string }{
 		{"good, with unknown fields", "", "", ""},
@@ -59,13 +62,15 @@
 		})
 	}
 	if _, err := LoadPlatform("/no/such/file"); err == nil {
-		t.Error("a missing file is taken")
+		t.Error("a missing file is accepted")
 	}
 }
 
+// notifyPrefix is the start of settings whose next value is the map of subscriptions.
 const notifyPrefix = `{:notify {:receivers {"r" {:url "http://127.0.0.1:1/" :keeps-keys true} "dumb" {:url "http://127.0.0.1:2/"}} :subscriptions `
 
-// Settings that are good by themselves may not fit the platform.
+// TestSettingsAgainstPlatform checks the refusal of valid settings that don't match the platform's
+// file.
 func TestSettingsAgainstPlatform(t *testing.T) {
 	p, err := LoadPlatform(writeFile(t, goodPlatform))
 	if err != nil {
@@ -89,6 +94,7 @@
 	}
 }
 
+// TestSettings checks that errors in the settings name the setting and the reason.
 func TestSettings(t *testing.T) {
 	hash := strings.Repeat("0f", 32)
 	key := writeFile(t, "sixteen bytes or so")
@@ -151,6 +157,8 @@
 	}
 }
 
+// TestClusterConfig checks that errors in the cluster configuration name the line and the field, and
+// that a configuration that was written is read again as the same.
 func TestClusterConfig(t *testing.T) {
 	base := clusterconfig.Base{Teams: map[string]clusterconfig.Team{"blue": {Min: core.Resources{CPU: 4000}, Max: core.Resources{CPU: 8000}, PriorityCap: core.High}}}
 	for _, c := range []struct{ name, text, want string }{
@@ -173,16 +181,17 @@
 			WriteClusterConfig(&out, got)
 			again, err := ReadClusterConfig(writeFile(t, out.String()), &base)
 			if err != nil || len(clusterconfig.Diff(got.OverlayOn(&base), again.OverlayOn(&base))) > 0 {
-				t.Errorf("written and read again it differs: %s, %v", out.String(), err)
+				t.Errorf("the configuration differs after it is written and read again: %s, %v", out.String(), err)
 			}
 		})
 	}
 	blue, err := ReadClusterConfig(writeFile(t, `{:teams {"blue" {:cpus 2}}}`), &base)
 	if want := (clusterconfig.Team{Min: core.Resources{CPU: 2000}, Max: core.Resources{CPU: 8000}, PriorityCap: core.High}); err != nil || blue.Teams["blue"] != want {
-		t.Errorf("what a file does not name is not the platform's: %+v, %v", blue, err)
+		t.Errorf("omitted fields don't keep the platform's values: %+v, %v", blue, err)
 	}
 }
 
+// TestConfigLimits checks that announced limits count only if they are smaller.
 func TestConfigLimits(t *testing.T) {
 	for _, c := range []struct {
 		next string
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -27,7 +27,7 @@
 	"aspenstall/internal/notify/deliver"
 )
 
-// allSet checks that every field has a value.
+// allSet checks that every field of v is set.
 func allSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -56,6 +56,7 @@
 	}
 }
 
+// TestPlatformNames checks that every field of the platform's file is read and written by its name.
 func TestPlatformNames(t *testing.T) {
 	const path = "testdata/platform.json"
 	got, err := LoadPlatform(path)
@@ -94,7 +95,7 @@
 	}
 }
 
-// certificate writes a certificate of its own and its key.
+// writeCertificate writes a self-signed certificate, as root and as client certificate, and its key.
 func writeCertificate(t *testing.T, dir string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -119,6 +120,7 @@
 	}
 }
 
+// TestSettingsNames checks that every setting is read by its name.
 func TestSettingsNames(t *testing.T) {
 	dir := t.TempDir()
 	writeCertificate(t, dir)
@@ -184,7 +186,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\n%+v\n%+v\nwant %+v\n%+v\n%+v", got, got.Nomad, got.Notify, want, want.Nomad, want.Notify)
 	}
-	// Every name is in the file.
+	// The file contains every setting.
 	var s Settings
 	var n Nomad
 	for _, c := range []struct {
@@ -197,7 +199,7 @@
 	}
 }
 
-// keysOf are the keys of a map in an S-expression.
+// keysOf returns the sorted keys of the map at path in an S-expression.
 func keysOf(t *testing.T, text []byte, path ...string) []string {
 	t.Helper()
 	var m map[edn.Keyword]edn.RawMessage
@@ -215,6 +217,8 @@
 	return out
 }
 
+// TestClusterConfigNames checks that every field of the cluster configuration is read and written by
+// its name.
 func TestClusterConfigNames(t *testing.T) {
 	const path = "testdata/cluster.sexp"
 	got, err := ReadClusterConfig(path, &clusterconfig.Base{})
--- a/internal/config/notify.go
+++ b/internal/config/notify.go
@@ -21,21 +21,22 @@
 	"aspenstall/internal/notify/deliver"
 )
 
-// Notify are the settings of notifications.
+// Notify holds the settings of notifications.
 type Notify struct {
-	Listen        string                // loopback address and port for operators; "" for none
-	Subscriptions []notify.Subscription // by name
-	Receivers     []NotifyReceiver      // by name
+	Listen        string                // loopback address and port of the operators' interface; "" for none
+	Subscriptions []notify.Subscription // sorted by name
+	Receivers     []NotifyReceiver      // sorted by name
 }
 
-// NotifyReceiver is a receiver: what the outbox and what the delivery know of it.
+// NotifyReceiver is a receiver of notifications: its limits in the outbox, and how to reach it.
 type NotifyReceiver struct {
 	Limits    notify.Receiver
 	Delivery  deliver.Receiver
-	KeepsKeys bool // it keeps keys
+	KeepsKeys bool // it stores the keys of notifications, and so drops duplicates
 }
 
-// notifySettings reads the settings of notifications.
+// notifySettings returns a parser for the settings of notifications. Relative paths are resolved
+// against dir.
 func notifySettings(dir string, to **Notify) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		n := &Notify{}
@@ -62,8 +63,8 @@
 	}
 }
 
-// loopback reads an address that only this machine reaches: who does is an
-// operator.
+// loopback returns a parser for a loopback address and port. The interface behind it doesn't
+// authenticate: any process that can connect has an operator's rights.
 func loopback(to *string) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		if err := ednmap.String(to)(b); err != nil {
@@ -73,19 +74,20 @@
 			return err
 		}
 		if host, _, _ := net.SplitHostPort(*to); !net.ParseIP(host).IsLoopback() {
-			return fmt.Errorf("%q: want a loopback address: whoever reaches it is an operator", *to)
+			return fmt.Errorf("%q: want a loopback address: any process that can connect has an operator's rights", *to)
 		}
 		return nil
 	}
 }
 
+// rawMap returns a parser for a map from names to settings, which stay encoded.
 func rawMap(to *map[string]edn.RawMessage) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		if err := edn.Unmarshal(b, to); err != nil {
 			return errors.New("want a map from names to settings")
 		}
 		for name := range *to {
-			// It stands in keys of the state service and in logs.
+			// The name occurs in keys of the state service and in logs.
 			if name == "" || len(name) > 40 || strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
 				return fmt.Errorf("%q: want a name of at most 40 small letters, digits and dashes", name)
 			}
@@ -94,6 +96,7 @@
 	}
 }
 
+// readReceiver parses a receiver's settings and reads the files that they name.
 func readReceiver(dir, name string, b edn.RawMessage) (NotifyReceiver, error) {
 	r := NotifyReceiver{Limits: notify.Receiver{Name: name, InFlight: 4}, Delivery: deliver.Receiver{Name: name}}
 	var timeout, maxAge float64
@@ -117,7 +120,7 @@
 		}
 	}
 	if (r.Delivery.Ask == "") != (maxAge == 0) {
-		return r, errors.New(":ask-url and :max-age-s go together: who is asked has to refuse what is older")
+		return r, errors.New(":ask-url and :max-age-s go together: the receiver has to refuse notifications older than :max-age-s")
 	}
 	r.Limits.MaxAge, r.Delivery.Timeout = core.Seconds(maxAge), time.Duration(timeout*float64(time.Second))
 	if len(secrets) > 2 {
@@ -150,8 +153,8 @@
 	return r, err
 }
 
-// clientTLS reads the operators' roots and the certificate that is shown to a
-// receiver; nil if there are neither.
+// clientTLS reads the root certificates and the client certificate for a receiver. It returns nil
+// if neither is set.
 func clientTLS(read func(string) ([]byte, error), ca, cert, key string) (*tls.Config, error) {
 	if (cert == "") != (key == "") {
 		return nil, errors.New(":cert-file and :key-file go together")
@@ -161,25 +164,25 @@
 	}
 	c := &tls.Config{MinVersion: tls.VersionTLS12}
 	if ca != "" {
-		pem, err := read(ca)
+		caPEM, err := read(ca)
 		if err != nil {
 			return nil, err
 		}
 		c.RootCAs = x509.NewCertPool()
-		if !c.RootCAs.AppendCertsFromPEM(pem) {
+		if !c.RootCAs.AppendCertsFromPEM(caPEM) {
 			return nil, fmt.Errorf("%s: holds no certificate", ca)
 		}
 	}
 	if cert != "" {
-		c1, err := read(cert)
+		certPEM, err := read(cert)
 		if err != nil {
 			return nil, err
 		}
-		k, err := read(key)
+		keyPEM, err := read(key)
 		if err != nil {
 			return nil, err
 		}
-		pair, err := tls.X509KeyPair(c1, k)
+		pair, err := tls.X509KeyPair(certPEM, keyPEM)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", cert, err)
 		}
@@ -188,11 +191,15 @@
 	return c, nil
 }
 
+// promisesByName are the delivery guarantees that a subscription may set.
 var promisesByName = map[string]notify.Promise{"exactly": notify.Exactly, "at-least": notify.AtLeast, "at-most": notify.AtMost}
 
-// servedKinds are the kinds that go with a record.
+// allowedKinds are the events that a subscription may name: those that are written together with
+// a record.
 var allowedKinds = []notify.Kind{notify.Accepted, notify.Done, notify.Cancelled}
 
+// readSubscription parses a subscription's settings. The defaults are a deadline of a day and
+// exactly-once delivery, which needs a receiver that keeps keys or can be asked.
 func readSubscription(name string, b edn.RawMessage, receivers []NotifyReceiver) (notify.Subscription, error) {
 	s := notify.Subscription{Name: name}
 	deadline := 86400.0
@@ -231,6 +238,7 @@
 	return s, nil
 }
 
+// boolean returns a parser for true or false.
 func boolean(to *bool) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		if err := edn.Unmarshal(b, to); err != nil {
@@ -240,6 +248,7 @@
 	}
 }
 
+// keyword returns a parser for a keyword.
 func keyword(to *string) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var k edn.Keyword
@@ -251,6 +260,7 @@
 	}
 }
 
+// keywords returns a parser for a list of keywords.
 func keywords(to *[]string) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var ks []edn.Keyword
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,7 +16,7 @@
 	"aspenstall/internal/ednmap"
 )
 
-// Settings are the operators' own, in seconds where the name says so.
+// Settings are the operators' settings. Names that end in S are in seconds.
 type Settings struct {
 	LeaderLeaseS  float64
 	AnswerGraceS  float64
@@ -27,37 +27,37 @@
 	SuspectS      float64
 	SpareTasks    int
 	ListEveryS    float64
-	// PriorityCaps are the highest priorities that teams may ask for, in
-	// whatever form they submit. A team without one may ask for any.
+	// PriorityCaps are the highest priorities that teams may request, through any interface.
+	// A team without a cap may request any priority.
 	PriorityCaps map[string]core.Priority
-	Nomad        *Nomad  // nil: job files are not served
-	Notify       *Notify // nil: nobody is notified
+	Nomad        *Nomad  // nil: the interface for Nomad's clients is off
+	Notify       *Notify // nil: notifications are off
 }
 
 // Nomad are the settings of the interface for Nomad's clients.
 type Nomad struct {
 	Listen       string            // IP address and port
-	TokenHashKey []byte            // that tokens' hashes are made with
+	TokenHashKey []byte            // key of the tokens' hashes
 	Tokens       map[string][]Hash // by team
-	AgentTokens  []Hash            // of machines, which read the descriptions of tasks
-	MaxWatchers  int               // blocking queries and event streams at once
-	MaxConns     int               // connections at once
+	AgentTokens  []Hash            // for the machines' agents, which read task descriptions
+	MaxWatchers  int               // concurrent blocking queries and event streams
+	MaxConns     int               // concurrent connections
 	MHzPerCPU    int
 	ScratchMB    int
 	GPUDevices   []string
-	// RequestsPerS is how many requests a second a team may make of this node.
+	// RequestsPerS is the limit of requests per second from one team to this node.
 	RequestsPerS int
 }
 
 // Hash is a token's keyed hash.
 type Hash [32]byte
 
-// DefaultNomad are the settings of the interface where the file names none.
+// DefaultNomad returns the defaults of the settings of the interface for Nomad's clients.
 func DefaultNomad() Nomad {
 	return Nomad{MaxWatchers: 1000, MaxConns: 1200, MHzPerCPU: 1000, ScratchMB: 300, GPUDevices: []string{"gpu"}, RequestsPerS: 50}
 }
 
-// PriorityCap is the highest priority that a team may ask for.
+// PriorityCap returns the highest priority that a team may request.
 func (s *Settings) PriorityCap(team string) core.Priority {
 	if p, ok := s.PriorityCaps[team]; ok {
 		return p
@@ -65,7 +65,7 @@
 	return core.Production
 }
 
-// DefaultSettings are what the program runs with without a settings file.
+// DefaultSettings returns the settings that apply without a settings file.
 func DefaultSettings() Settings {
 	return Settings{
 		LeaderLeaseS: 3, AnswerGraceS: 60, IdleReturnS: 10, RefusalPauseS: 15, HoldS: 600, QuarantineS: 120,
@@ -73,9 +73,9 @@
 	}
 }
 
-// LoadSettings reads and checks the operators' settings: one S-expression, a
-// map from keywords to values. What it does not name keeps its default. Paths
-// of files in it count from its own place.
+// LoadSettings reads and checks the operators' settings: one S-expression, a map from keywords to
+// values. An omitted setting keeps its default. Relative paths in the file are resolved against
+// the file's directory. With an empty path, LoadSettings returns the defaults.
 func LoadSettings(path string) (Settings, error) {
 	s := DefaultSettings()
 	if path == "" {
@@ -91,7 +91,7 @@
 	return s, nil
 }
 
-// all lists the settings by name.
+// parsers returns the parsers of the settings by name. dir is the directory of relative paths.
 func (s *Settings) parsers(dir string) map[string]ednmap.Parser {
 	return map[string]ednmap.Parser{
 		"leader-lease-s":  ednmap.Number(1, 60, &s.LeaderLeaseS),
@@ -116,6 +116,7 @@
 	}
 }
 
+// parsers returns the parsers of the settings by name. dir is the directory of relative paths.
 func (n *Nomad) parsers(dir string) map[string]ednmap.Parser {
 	return map[string]ednmap.Parser{
 		"listen":         ednmap.String(&n.Listen),
@@ -131,6 +132,8 @@
 	}
 }
 
+// check returns an error for an invalid address, for tokens without a key, and for a token of two
+// teams.
 func (n *Nomad) check() error {
 	if err := checkAddress(":listen", n.Listen); err != nil {
 		return err
@@ -150,7 +153,8 @@
 	return nil
 }
 
-// Check holds the settings against the platform's file.
+// Check checks the settings against the platform's file: every team must exist there, and the
+// record of the subscriptions must fit a value of the state service.
 func (s *Settings) Check(p *Platform) error {
 	known := map[string]bool{}
 	for _, t := range p.Params.Teams {
@@ -162,13 +166,14 @@
 		}
 	}
 	if s.Notify != nil {
-		// One record holds all marks: a name, a number and what is round them.
+		// One record holds the outbox position of each subscription: its name, a number and
+		// their encoding.
 		size := 0
 		for _, sub := range s.Notify.Subscriptions {
 			size += len(sub.Name) + 25
 		}
-		if most := int(p.Params.State.ValueKB * 1024); size > most {
-			return fmt.Errorf(":notify: :subscriptions: %d of them take %d bytes in the state service, whose values hold %d", len(s.Notify.Subscriptions), size, most)
+		if maxBytes := int(p.Params.State.ValueKB * 1024); size > maxBytes {
+			return fmt.Errorf(":notify: :subscriptions: %d of them take %d bytes in the state service, whose values hold %d", len(s.Notify.Subscriptions), size, maxBytes)
 		}
 		for _, sub := range s.Notify.Subscriptions {
 			if sub.Team != "" && !known[sub.Team] {
@@ -187,17 +192,18 @@
 	return nil
 }
 
+// priorityCaps returns a parser for a map from teams to priorities.
 func priorityCaps(to *map[string]core.Priority) ednmap.Parser {
 	return func(b edn.RawMessage) error {
-		var given map[string]edn.Keyword
-		if err := edn.Unmarshal(b, &given); err != nil {
+		var caps map[string]edn.Keyword
+		if err := edn.Unmarshal(b, &caps); err != nil {
 			return errors.New("want a map from teams to :low, :normal, :high or :production")
 		}
 		*to = map[string]core.Priority{}
-		for team, word := range given {
-			p, ok := parsePriority(word)
+		for team, kw := range caps {
+			p, ok := parsePriority(kw)
 			if !ok {
-				return fmt.Errorf("%q: want :low, :normal, :high or :production, not %v", team, word)
+				return fmt.Errorf("%q: want :low, :normal, :high or :production, not %v", team, kw)
 			}
 			(*to)[team] = p
 		}
@@ -205,20 +211,21 @@
 	}
 }
 
-// priorityOf is the priority of a word in the settings.
-func parsePriority(word edn.Keyword) (p core.Priority, ok bool) {
+// parsePriority returns the priority that a keyword names; ok is false if it names none.
+func parsePriority(kw edn.Keyword) (p core.Priority, ok bool) {
 	for p = core.Low; p <= core.Production; p++ {
-		if p.String() == string(word) {
+		if p.String() == string(kw) {
 			return p, true
 		}
 	}
 	return 0, false
 }
 
-func decodeHashes(given []string) ([]Hash, error) {
+// decodeHashes decodes hashes of tokens from hexadecimal digits.
+func decodeHashes(texts []string) ([]Hash, error) {
 	var out []Hash
-	for _, g := range given {
-		b, err := hex.DecodeString(g)
+	for _, text := range texts {
+		b, err := hex.DecodeString(text)
 		if err != nil || len(b) != len(Hash{}) {
 			return nil, fmt.Errorf("want hashes of tokens, %d hexadecimal digits each", 2*len(Hash{}))
 		}
@@ -227,26 +234,28 @@
 	return out, nil
 }
 
+// hashes returns a parser for a list of tokens' hashes.
 func hashes(to *[]Hash) ednmap.Parser {
 	return func(b edn.RawMessage) error {
-		var given []string
-		err := ednmap.Strings(&given)(b)
+		var texts []string
+		err := ednmap.Strings(&texts)(b)
 		if err == nil {
-			*to, err = decodeHashes(given)
+			*to, err = decodeHashes(texts)
 		}
 		return err
 	}
 }
 
+// tokens returns a parser for a map from teams to lists of tokens' hashes.
 func tokens(to *map[string][]Hash) ednmap.Parser {
 	return func(b edn.RawMessage) error {
-		var given map[string][]string
-		if err := edn.Unmarshal(b, &given); err != nil {
+		var byTeam map[string][]string
+		if err := edn.Unmarshal(b, &byTeam); err != nil {
 			return errors.New("want a map from teams to lists of hashes")
 		}
 		*to = map[string][]Hash{}
-		for _, team := range slices.Sorted(maps.Keys(given)) {
-			list, err := decodeHashes(given[team])
+		for _, team := range slices.Sorted(maps.Keys(byTeam)) {
+			list, err := decodeHashes(byTeam[team])
 			if err != nil {
 				return fmt.Errorf("%q: %w", team, err)
 			}
@@ -256,9 +265,10 @@
 	}
 }
 
-// minKey is the shortest key for tokens' hashes, in bytes.
+// minKeyBytes is the minimum length of a key, in bytes.
 const minKeyBytes = 16
 
+// keyFile returns a parser for the path of a key file; it reads the key.
 func keyFile(dir string, to *[]byte) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var path string
@@ -273,7 +283,7 @@
 	}
 }
 
-// readBeside reads a file whose path counts from the settings' place.
+// readRelative reads a file; a relative path is resolved against dir.
 func readRelative(dir, path string) ([]byte, error) {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(dir, path)
@@ -281,7 +291,8 @@
 	return os.ReadFile(path)
 }
 
-// TokenKey is the key that a file holds, without the space round it.
+// TokenKey returns the key in the content b of a file, without surrounding white space. A key
+// shorter than 16 bytes is an error.
 func TokenKey(path string, b []byte) ([]byte, error) {
 	key := bytes.TrimSpace(b)
 	if len(key) < minKeyBytes {
--- a/internal/ednmap/ednmap.go
+++ b/internal/ednmap/ednmap.go
@@ -1,5 +1,5 @@
-// Package ednmap reads settings from S-expressions (EDN): one map from keywords to values,
-// each checked by itself, so that an error can name it.
+// Package ednmap parses settings from S-expressions (EDN): a map from keywords to values. Each
+// value has a parser of its own, so that an error can name the setting.
 package ednmap
 
 import (
@@ -14,10 +14,11 @@
 	"olympos.io/encoding/edn"
 )
 
-// Setting reads one setting's value.
+// Parser parses and checks the value of one setting and stores it.
 type Parser func(edn.RawMessage) error
 
-// Read reads a file's text, which is one map and nothing more.
+// Parse parses the text of a file, which must be one map and nothing else. known holds the parsers
+// of the settings by name.
 func Parse(b []byte, known map[string]Parser) error {
 	var whole edn.RawMessage
 	dec := edn.NewDecoder(bytes.NewReader(b))
@@ -31,26 +32,26 @@
 	return ParseMap(whole, known)
 }
 
-// Map reads a map of settings. One that is misspelt and silently ignored would be worse
-// than a refusal.
+// ParseMap parses a map of settings. An unknown setting is an error, since a misspelt one would
+// otherwise be ignored silently.
 func ParseMap(b edn.RawMessage, known map[string]Parser) error {
-	var given map[edn.Keyword]edn.RawMessage
-	if err := edn.Unmarshal(b, &given); err != nil {
+	var values map[edn.Keyword]edn.RawMessage
+	if err := edn.Unmarshal(b, &values); err != nil {
 		return fmt.Errorf("not a map of settings: %w", err)
 	}
-	for _, k := range slices.Sorted(maps.Keys(given)) {
+	for _, k := range slices.Sorted(maps.Keys(values)) {
 		set, ok := known[string(k)]
 		if !ok {
 			return fmt.Errorf("%v: no such setting", k)
 		}
-		if err := set(given[k]); err != nil {
+		if err := set(values[k]); err != nil {
 			return fmt.Errorf("%v: %w", k, err)
 		}
 	}
 	return nil
 }
 
-// Number reads a number in a range.
+// Number returns a parser for a number from lo to hi.
 func Number(lo, hi float64, to *float64) Parser {
 	return func(b edn.RawMessage) error {
 		var n float64
@@ -62,7 +63,7 @@
 	}
 }
 
-// Whole reads a whole number in a range.
+// Integer returns a parser for a whole number from lo to hi.
 func Integer(lo, hi float64, to *int) Parser {
 	return func(b edn.RawMessage) error {
 		var n float64
@@ -77,7 +78,7 @@
 	}
 }
 
-// Text reads a text that is not empty.
+// String returns a parser for a text that is not empty.
 func String(to *string) Parser {
 	return func(b edn.RawMessage) error {
 		if err := edn.Unmarshal(b, to); err != nil || *to == "" {
@@ -87,7 +88,7 @@
 	}
 }
 
-// Texts reads a list of texts.
+// Strings returns a parser for a list of texts.
 func Strings(to *[]string) Parser {
 	return func(b edn.RawMessage) error {
 		*to = nil
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time to pass.
+// Package wait provides a sleep that a context can end.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits, and reports whether the whole time passed before ctx ended.
+// For waits for d or until ctx ends, and reports whether d passed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
