--- a/internal/clusterconfig/clusterconfig.go
+++ b/internal/clusterconfig/clusterconfig.go
@@ -1,10 +1,10 @@
-// Package clusterconfig decides which configuration is in force: the platform's file, and on
-// top of it what operators change while the cluster serves. It is pure: records and times go
-// in, decisions come out.
+// Package clusterconfig determines the effective configuration: the platform's file, overlaid by
+// the configuration that operators change at run time. It does no input or output: records and
+// times are arguments, decisions are results.
 //
-// A configuration is one version at a time. Its head record names the pages that hold the
-// teams; whoever writes a new head does so on condition that the head is the one it has
-// read, so one order of versions is everybody's (docs/design/configuration.md).
+// A configuration has one current version. Its head record names the pages that hold the teams.
+// A new head is written on condition that the head is still the one that was read, so versions
+// have a total order that all controllers agree on (docs/design/configuration.md).
 package clusterconfig
 
 import (
@@ -17,27 +17,27 @@
 	"aspenstall/internal/core"
 )
 
-// Team is what is configured for a team.
+// Team is the configuration of a team.
 type Team struct {
 	Min, Max    core.Resources // CPU and GPU, in thousandths; 0 in Max: no limit
-	PriorityCap core.Priority  // the highest that it may ask for
-	Draining    bool           // it takes no new jobs
+	PriorityCap core.Priority  // the highest priority that it may request
+	Draining    bool           // new jobs are refused
 }
 
-// Tuning are the settings that may change while the cluster serves; nil: as the controllers
-// were started with.
+// Tuning holds the settings that may change at run time; nil keeps the value that the controllers
+// started with.
 type Tuning struct {
 	IdleReturnS, RefusalPauseS, HoldS, QuarantineS *float64
 	SpareTasks                                     *int
 }
 
-// Config is what operators have configured on top of the base.
+// Config is the operators' configuration, which is laid over the base.
 type Config struct {
 	Teams  map[string]Team // by name
 	Tuning Tuning
 }
 
-// Clone is a copy that can be changed.
+// Clone returns a copy that can be changed independently.
 func (c *Config) Clone() *Config {
 	out := &Config{Teams: maps.Clone(c.Teams), Tuning: c.Tuning}
 	if out.Teams == nil {
@@ -46,21 +46,20 @@
 	return out
 }
 
-// Base is what the controllers were started with.
+// Base holds the teams and settings that the controllers were started with.
 type Base struct {
 	Teams  map[string]Team
 	Tuning core.Tuning
 }
 
-// Effective is what controllers act by.
+// Effective holds the teams and settings that controllers use.
 type Effective struct {
 	Teams  map[string]Team
 	Tuning core.Tuning
 }
 
-// Over lays a configuration over the base. It is total: a configuration that was checked
-// against another base is cut back to this one's limits, so that a limit that the platform
-// sets is never passed.
+// OverlayOn lays a configuration over the base. It accepts any configuration: one that was checked
+// against another base is clamped to this base's limits, so that the platform's limits always hold.
 func (c *Config) OverlayOn(b *Base) Effective {
 	e := Effective{Teams: maps.Clone(b.Teams), Tuning: c.Tuning.overlayOn(b.Tuning)}
 	if e.Teams == nil {
@@ -79,7 +78,7 @@
 	return e
 }
 
-// limitWithin cuts a limit back to an outer one; 0 is none for either.
+// clampLimit reduces a limit to an outer one; 0 means no limit for either.
 func clampLimit(limit, outer int64) int64 {
 	if outer > 0 && (limit == 0 || limit > outer) {
 		return outer
@@ -87,7 +86,7 @@
 	return limit
 }
 
-// guaranteeWithin cuts a guarantee back to a limit, of which 0 is none.
+// clampGuarantee reduces a guarantee to a limit; a limit of 0 means none.
 func clampGuarantee(guarantee, limit int64) int64 {
 	if limit > 0 {
 		return min(guarantee, limit)
@@ -95,6 +94,7 @@
 	return guarantee
 }
 
+// overlayOn returns the base's settings, replaced by those that are set in t.
 func (t Tuning) overlayOn(b core.Tuning) core.Tuning {
 	seconds := func(s *float64, d *core.Micros) {
 		if s != nil {
@@ -111,23 +111,25 @@
 	return b
 }
 
-// Problem is what is wrong with a configuration, and where: keys from the outside in.
+// Problem is an error in a configuration. Path holds the keys from the outermost to the innermost.
 type Problem struct {
 	Path   []string
 	Reason string
 }
 
-// Error says it in one line.
+// Error returns the path and the reason in one line.
 func (p *Problem) Error() string { return strings.Join(p.Path, " ") + ": " + p.Reason }
 
+// teamProblem returns a problem with a field of a team.
 func teamProblem(team, field, format string, args ...any) *Problem {
 	return &Problem{Path: []string{":teams", fmt.Sprintf("%q", team), field}, Reason: fmt.Sprintf(format, args...)}
 }
 
-// MaxTeamName is the longest name of a team that is added, in bytes.
+// MaxTeamNameBytes is the maximum length of a team's name, in bytes.
 const MaxTeamNameBytes = 64
 
-// Check holds a configuration against the base; nil if it may be written.
+// Check checks a configuration against the base. It returns the first problem, or nil if the
+// configuration may be written.
 func (c *Config) Check(b *Base) *Problem {
 	for _, name := range slices.Sorted(maps.Keys(c.Teams)) {
 		if p := checkTeam(name, c.Teams[name], b); p != nil {
@@ -137,6 +139,7 @@
 	return nil
 }
 
+// checkTeam checks a team's configuration against the base. It returns the first problem or nil.
 func checkTeam(name string, t Team, b *Base) *Problem {
 	if name == "" || len(name) > MaxTeamNameBytes || strings.ContainsAny(name, " \t\n") {
 		return &Problem{Path: []string{":teams", fmt.Sprintf("%q", name)}, Reason: fmt.Sprintf("want a name of 1 to %d bytes without spaces", MaxTeamNameBytes)}
@@ -163,32 +166,34 @@
 	return nil
 }
 
-// Amount is what thousandths of a resource make.
+// Units converts thousandths of a resource to whole units.
 func Units(thousandths int64) float64 { return float64(thousandths) / 1000 }
 
-// Warnings say what is allowed and may not be meant: room is what the fleet can have.
-func (c *Config) Warnings(b *Base, room core.Resources) []string {
+// Warnings returns warnings about a configuration that is valid but probably a mistake: guarantees
+// that add up to more than fleet, the largest possible size of the fleet. A resource of 0 in fleet
+// is not checked.
+func (c *Config) Warnings(b *Base, fleet core.Resources) []string {
 	var sum core.Resources
 	for _, t := range c.OverlayOn(b).Teams {
 		sum = sum.Add(t.Min)
 	}
 	var out []string
-	if room.CPU > 0 && sum.CPU > room.CPU {
-		out = append(out, fmt.Sprintf("the guarantees add up to %v CPUs, the fleet has %v", Units(sum.CPU), Units(room.CPU)))
+	if fleet.CPU > 0 && sum.CPU > fleet.CPU {
+		out = append(out, fmt.Sprintf("the guarantees add up to %v CPUs, the fleet has %v", Units(sum.CPU), Units(fleet.CPU)))
 	}
-	if room.GPU > 0 && sum.GPU > room.GPU {
-		out = append(out, fmt.Sprintf("the guarantees add up to %v GPUs, the fleet has %v", Units(sum.GPU), Units(room.GPU)))
+	if fleet.GPU > 0 && sum.GPU > fleet.GPU {
+		out = append(out, fmt.Sprintf("the guarantees add up to %v GPUs, the fleet has %v", Units(sum.GPU), Units(fleet.GPU)))
 	}
 	return out
 }
 
-// Removed lists the teams that only the former configuration knows: their jobs would have
-// no team. A team of the base is never removed.
+// RemovedTeams returns the teams that are in from, but neither in to nor in the base, sorted. Their
+// jobs would be left without a team. A team of the base is never removed.
 func RemovedTeams(from, to *Config, b *Base) []string {
 	var out []string
 	for name := range from.Teams {
-		_, stays := to.Teams[name]
-		if _, base := b.Teams[name]; !stays && !base {
+		_, kept := to.Teams[name]
+		if _, base := b.Teams[name]; !kept && !base {
 			out = append(out, name)
 		}
 	}
@@ -196,14 +201,14 @@
 	return out
 }
 
-// Difference is one line of what differs.
+// Difference is a field or setting that differs between two configurations.
 type Difference struct {
 	Team     string // "" for a setting
 	Field    string
-	From, To string // "" for what is not there
+	From, To string // "" for a value that is absent
 }
 
-// String is for people.
+// String returns the difference as a line of text for operators.
 func (d Difference) String() string {
 	name := d.Field
 	if d.Team != "" {
@@ -212,7 +217,7 @@
 	return fmt.Sprintf("%s: %s -> %s", name, cmp.Or(d.From, "none"), cmp.Or(d.To, "none"))
 }
 
-// Diff lists what differs between two effective configurations, by team and field.
+// Diff returns the differences between two effective configurations: teams by name, then settings.
 func Diff(from, to Effective) []Difference {
 	var out []Difference
 	names := maps.Clone(from.Teams)
@@ -236,8 +241,10 @@
 	return out
 }
 
+// field is a field of a team or a setting, with its value as text.
 type field struct{ name, value string }
 
+// teamFields returns a team's fields, with empty values if there is no such team.
 func teamFields(t Team, known bool) []field {
 	f := []field{
 		{":cpus", fmt.Sprint(Units(t.Min.CPU))}, {":cpus-max", formatLimit(t.Max.CPU)},
@@ -252,6 +259,7 @@
 	return f
 }
 
+// formatLimit returns a limit in whole units, or "unlimited" for 0.
 func formatLimit(thousandths int64) string {
 	if thousandths == 0 {
 		return "unlimited"
@@ -259,6 +267,7 @@
 	return fmt.Sprint(Units(thousandths))
 }
 
+// tuningFields returns the settings that may change at run time.
 func tuningFields(t core.Tuning) []field {
 	s := func(m core.Micros) string { return fmt.Sprint(float64(m) / 1e6) }
 	return []field{
--- a/internal/clusterconfig/clusterconfig_test.go
+++ b/internal/clusterconfig/clusterconfig_test.go
@@ -16,8 +16,9 @@
 	"aspenstall/internal/wire"
 )
 
-func cpus(least, most int64) clusterconfig.Team {
-	return clusterconfig.Team{Min: core.Resources{CPU: least}, Max: core.Resources{CPU: most}, PriorityCap: core.Production}
+// cpus returns a team with a CPU guarantee and limit, in thousandths.
+func cpus(guarantee, limit int64) clusterconfig.Team {
+	return clusterconfig.Team{Min: core.Resources{CPU: guarantee}, Max: core.Resources{CPU: limit}, PriorityCap: core.Production}
 }
 
 var base = clusterconfig.Base{
@@ -25,6 +26,7 @@
 	Tuning: core.Tuning{IdleTimeout: 10 * core.Second, SpareTasks: 3},
 }
 
+// TestOverlayOn checks that a configuration replaces the base's values within the base's limits.
 func TestOverlayOn(t *testing.T) {
 	idle := 2.5
 	for _, c := range []struct {
@@ -36,7 +38,7 @@
 		{"nothing", clusterconfig.Config{}, base.Teams, 10 * core.Second},
 		{"a quota within the platform's", clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": cpus(1000, 6000)}},
 			map[string]clusterconfig.Team{"blue": cpus(1000, 6000), "free": cpus(0, 0)}, 10 * core.Second},
-		// A platform's file that is stricter than the one that it was checked against.
+		// The platform's file is now stricter than the one that the configuration was checked against.
 		{"a limit over the platform's", clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": cpus(9000, 9000)}},
 			map[string]clusterconfig.Team{"blue": cpus(8000, 8000), "free": cpus(0, 0)}, 10 * core.Second},
 		{"no limit where the platform has one", clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 0)}},
@@ -63,7 +65,7 @@
 		name, team string
 		value      clusterconfig.Team
 		base       clusterconfig.Base
-		want       string // "" if it is good
+		want       string // "" if it is valid
 	}{
 		{"good", "blue", cpus(1000, 8000), base, ""},
 		{"added", "red", cpus(0, 0), base, ""},
@@ -104,11 +106,11 @@
 		t.Errorf("warnings %q", w)
 	}
 	if gone := clusterconfig.RemovedTeams(&to, &clusterconfig.Config{}, &base); !slices.Equal(gone, []string{"red"}) {
-		t.Errorf("removed %q: a team of the platform never is", gone)
+		t.Errorf("removed %q, want red only: a team of the platform is never removed", gone)
 	}
 }
 
-// store is a state service for the records alone.
+// fakeStore is a state service in memory that holds only the configuration's records.
 type fakeStore struct {
 	revision uint64
 	keys     map[string]entry
@@ -122,11 +124,12 @@
 
 type change struct {
 	key      string
-	value    []byte // nil: dropped
+	value    []byte // nil if the key was deleted
 	revision uint64
 }
 
-// commit carries out a transaction of a plan.
+// commit executes a transaction of a plan. It returns false, and writes nothing, if the head isn't at
+// the given revision.
 func (s *fakeStore) commit(t *testing.T, head uint64, writes []clusterconfig.Write, limits clusterconfig.Limits) bool {
 	t.Helper()
 	if len(writes) > limits.TxnOps {
@@ -155,6 +158,7 @@
 	return true
 }
 
+// records returns the stored records.
 func (s *fakeStore) records(t *testing.T) *clusterconfig.Records {
 	t.Helper()
 	r := &clusterconfig.Records{Pages: map[string]clusterconfig.Page{}}
@@ -173,7 +177,7 @@
 	return r
 }
 
-// tell gives a follower one record as it was read.
+// feedFollower passes one change to a follower.
 func feedFollower(f *clusterconfig.Follower, c change) {
 	switch {
 	case c.value == nil:
@@ -189,19 +193,20 @@
 	}
 }
 
-// walker is an operator whose transactions are carried out one by one, late or never.
+// operator is an operator whose transactions are executed one by one, late or never.
 type operator struct {
 	plan *clusterconfig.Plan
 	to   *clusterconfig.Config
 	next int
 }
 
-var walkCount = flag.Int("walks", 60, "how many random walks TestRandomWalk does")
+var walkCount = flag.Int("walks", 60, "the number of random walks of TestRandomWalk")
 
-// TestRandomWalk has three operators change the configuration, with their transactions
-// interleaved, lost, late and repeated, and three followers read it in pieces, from the
-// log or as a list, also older ones again. Versions have one order, no follower goes back
-// or acts by something that was never a version, and all agree in the end. The long form, outside CI:
+// TestRandomWalk lets three operators change the configuration, with their transactions interleaved,
+// lost, late and repeated. Three followers read the changes in pieces, from the log or as a listing,
+// and some of them repeatedly. The test checks that no follower goes back to an older version or uses
+// a configuration that was never a version, and that all followers agree in the end. The long form,
+// outside CI:
 //
 //	go test ./internal/clusterconfig -run TestRandomWalk -walks 500
 func TestRandomWalk(t *testing.T) {
@@ -210,16 +215,16 @@
 	for seed := range *walkCount {
 		r := rand.New(rand.NewPCG(uint64(seed), 1))
 		s := &fakeStore{keys: map[string]entry{}}
-		versions := map[uint64]*clusterconfig.Config{} // by the head's stamp
-		var walkers [3]*operator
+		versions := map[uint64]*clusterconfig.Config{} // by the head's revision
+		var operators [3]*operator
 		var late []func()
 		followers := make([]*clusterconfig.Follower, 3)
-		read := make([]int, 3) // of the log
-		acted := make([]uint64, 3)
+		read := make([]int, 3)         // number of changes of the log that were read
+		revisions := make([]uint64, 3) // of the heads in use
 		for i := range followers {
 			followers[i] = clusterconfig.NewFollower()
 		}
-		carryOut := func(w *operator, n int) bool {
+		execute := func(w *operator, n int) bool {
 			ok := s.commit(t, w.plan.HeadRevision, w.plan.Transactions[n], limits)
 			if ok && n == len(w.plan.Transactions)-1 {
 				versions[s.revision] = w.to
@@ -236,12 +241,12 @@
 				t.Fatal(err)
 			}
 			_, revision := f.EffectiveVersion()
-			if revision < acted[i] {
-				t.Fatalf("seed %d: a follower went back from %d to %d", seed, acted[i], revision)
+			if revision < revisions[i] {
+				t.Fatalf("seed %d: a follower went back from revision %d to %d", seed, revisions[i], revision)
 			}
-			acted[i] = revision
+			revisions[i] = revision
 			if revision > 0 && !sameTeams(f.Config(), versions[revision]) {
-				t.Fatalf("seed %d: a follower acts by what was never a version", seed)
+				t.Fatalf("seed %d: a follower uses a configuration that was never a version", seed)
 			}
 		}
 		for step := range 200 {
@@ -252,35 +257,35 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				walkers[i] = &operator{plan: plan, to: to}
-			case 1, 2, 3: // its next transaction is carried out, or lost, or late; or repeated
-				w := walkers[i]
+				operators[i] = &operator{plan: plan, to: to}
+			case 1, 2, 3: // an operator's next transaction is executed, delayed or repeated
+				w := operators[i]
 				if w == nil || w.next >= len(w.plan.Transactions) {
 					continue
 				}
 				n := w.next
 				switch r.IntN(4) {
 				case 0:
-					late = append(late, func() { carryOut(w, n) })
+					late = append(late, func() { execute(w, n) })
 				case 1:
-					carryOut(w, n)
-					late = append(late, func() { carryOut(w, n) })
+					execute(w, n)
+					late = append(late, func() { execute(w, n) })
 					w.next++
 				default:
-					if !carryOut(w, n) {
+					if !execute(w, n) {
 						conflicts++
-						walkers[i] = nil
+						operators[i] = nil
 						continue
 					}
 					w.next++
 				}
-			case 4:
+			case 4: // a delayed transaction is executed
 				if len(late) > 0 {
 					k := r.IntN(len(late))
 					late[k]()
 					late = slices.Delete(late, k, k+1)
 				}
-			case 5: // a follower reads on, sometimes what it has read before
+			case 5: // a follower reads on from the log, and sometimes repeats older changes
 				from := max(0, read[i]-r.IntN(3))
 				to := from + r.IntN(len(s.log)-from+1)
 				for _, c := range s.log[from:to] {
@@ -288,14 +293,14 @@
 				}
 				read[i] = max(read[i], to)
 				resolve(i)
-			case 6: // it reads everything
+			case 6: // a follower reads a listing of all keys
 				for key, e := range s.keys {
 					feedFollower(followers[i], change{key, e.value, e.revision})
 				}
 				read[i] = len(s.log)
 				resolve(i)
-			case 7: // its process ends
-				followers[i], read[i], acted[i] = clusterconfig.NewFollower(), 0, 0
+			case 7: // a follower's process restarts
+				followers[i], read[i], revisions[i] = clusterconfig.NewFollower(), 0, 0
 			}
 		}
 		for i, f := range followers {
@@ -304,23 +309,25 @@
 			}
 			resolve(i)
 			if !f.Current() {
-				t.Fatalf("seed %d: a follower that has read everything is behind", seed)
+				t.Fatalf("seed %d: a follower that has read everything is not current", seed)
 			}
 			if got, err := s.records(t).Config(); err != nil || !sameTeams(got, f.Config()) {
-				t.Fatalf("seed %d: it has another configuration than what is stored, %v", seed, err)
+				t.Fatalf("seed %d: a follower's configuration differs from the stored one, %v", seed, err)
 			}
 		}
 	}
-	t.Logf("%d versions, %d conflicts, %d of several transactions", made, conflicts, spanned)
+	t.Logf("%d versions, %d conflicts, %d changes of several transactions", made, conflicts, spanned)
 	if made < 5**walkCount || conflicts < *walkCount || spanned < *walkCount {
-		t.Errorf("the walks lack versions (%d), conflicts (%d) or changes of several transactions (%d)", made, conflicts, spanned)
+		t.Errorf("too few versions (%d), conflicts (%d) or changes of several transactions (%d)", made, conflicts, spanned)
 	}
 }
 
+// sameTeams reports whether two configurations have the same teams.
 func sameTeams(a, b *clusterconfig.Config) bool {
 	return b != nil && (len(a.Teams) == 0 && len(b.Teams) == 0 || reflect.DeepEqual(a.Teams, b.Teams))
 }
 
+// randomConfig returns a configuration of up to 59 teams with random limits.
 func randomConfig(r *rand.Rand) *clusterconfig.Config {
 	c := &clusterconfig.Config{Teams: map[string]clusterconfig.Team{}}
 	for i := range r.IntN(60) {
@@ -331,53 +338,53 @@
 	return c
 }
 
-// TestOlderReads: what an overlapping read brings late changes nothing, and leaves the
-// follower sure of what it has.
+// TestStaleReads checks that records from an older, overlapping read change nothing and leave the
+// follower current.
 func TestStaleReads(t *testing.T) {
 	page := clusterconfig.PagePrefix + "x"
-	of := func(number uint64) clusterconfig.Head {
-		return clusterconfig.Head{Format: clusterconfig.Format, Version: number, Pages: []string{page}}
+	headOf := func(version uint64) clusterconfig.Head {
+		return clusterconfig.Head{Format: clusterconfig.Format, Version: version, Pages: []string{page}}
 	}
 	f := clusterconfig.NewFollower()
-	f.UpdatePage(page, clusterconfig.Page{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 1)}}, 4) // dropped at 6, and written anew
+	f.UpdatePage(page, clusterconfig.Page{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 1)}}, 4) // deleted at 6 and written again at 8
 	f.UpdatePage(page, clusterconfig.Page{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 1)}}, 8)
-	f.UpdateHead(of(3), 8, nil)
+	f.UpdateHead(headOf(3), 8, nil)
 	if changed, err := f.Resolve(); !changed || err != nil {
 		t.Fatal(changed, err)
 	}
-	f.UpdateHead(of(1), 4, nil)
+	f.UpdateHead(headOf(1), 4, nil)
 	f.UpdatePage(page, clusterconfig.Page{}, 4)
 	f.DropPage(page, 6)
 	changed, err := f.Resolve()
-	if number, _ := f.EffectiveVersion(); changed || err != nil || number != 3 || !f.Current() {
-		t.Errorf("after an older read: changed %v, %v, version %d, current %v", changed, err, number, f.Current())
+	if version, _ := f.EffectiveVersion(); changed || err != nil || version != 3 || !f.Current() {
+		t.Errorf("after an older read: changed %v, %v, version %d, current %v", changed, err, version, f.Current())
 	}
-	f.UpdateHead(of(4), 9, nil) // names the page that has stayed
+	f.UpdateHead(headOf(4), 9, nil) // names the page that was kept
 	if changed, err := f.Resolve(); !changed || err != nil || f.Config().Teams["blue"] != cpus(0, 1) {
-		t.Errorf("the page of the next version: changed %v, %v, %+v", changed, err, f.Config())
+		t.Errorf("after the next version: changed %v, %v, %+v", changed, err, f.Config())
 	}
 }
 
-// TestNewer: a head of a newer format is refused in one line, and nothing is decided by it
-// or by what was before.
+// TestNewerFormat checks that a head of a newer format is refused with an error that is returned
+// once, and that neither it nor the version before may be used for decisions.
 func TestNewerFormat(t *testing.T) {
 	f := clusterconfig.NewFollower()
 	if !f.MayDecide(100*core.Second, 0) {
-		t.Error("nothing may be decided where there is no configuration")
+		t.Error("no decision is allowed without a configuration, want any")
 	}
 	f.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format}, 1, nil)
 	if changed, err := f.Resolve(); !changed || err != nil || !f.MayDecide(core.Second, 0) || f.MayDecide(clusterconfig.FreshnessTTL, 0) {
-		t.Errorf("changed %v, %v; may decide by what was read just now, and not by older", changed, err)
+		t.Errorf("changed %v, %v; want decisions after a fresh read only", changed, err)
 	}
 	f.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format + 1}, 2, nil)
 	if changed, err := f.Resolve(); changed || !errors.Is(err, clusterconfig.ErrNewerFormat) || f.MayDecide(0, 0) {
-		t.Errorf("changed %v, %v; nothing may be decided", changed, err)
+		t.Errorf("changed %v, %v; want ErrNewerFormat and no decisions", changed, err)
 	}
 	if _, err := f.Resolve(); err != nil {
-		t.Errorf("it is said again: %v", err)
+		t.Errorf("the same error is returned again: %v", err)
 	}
 	f.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format}, 3, nil)
 	if changed, err := f.Resolve(); !changed || err != nil || !f.MayDecide(0, 0) {
-		t.Errorf("after one that can be read: changed %v, %v", changed, err)
+		t.Errorf("after a head of a known format: changed %v, %v", changed, err)
 	}
 }
--- a/internal/clusterconfig/follower.go
+++ b/internal/clusterconfig/follower.go
@@ -6,57 +6,59 @@
 	"aspenstall/internal/core"
 )
 
-// FreshFor is how long what was read of the state service may be decided by: a placement, or
-// the start of a task, needs a read that began within that time. What operators change is in
-// force after it, and after the drift of clocks, whatever a controller has heard.
+// FreshnessTTL is how long a read of the state service remains valid for decisions: a placement
+// or the start of a task needs a read that began within this time. Once it has passed, plus the
+// drift of clocks, a change by operators is in force on every controller, even on one that has
+// not received it.
 //
-// The watch begins a read at least every second; the other second and a half are for a slow
-// answer and one that is lost.
+// The watch starts a read at least every second. The remaining 1.5 s allow for a slow response
+// and a lost one.
 const FreshnessTTL = 2500 * core.Millisecond
 
-// InForceAfter is how long after the write of a version was answered no controller can
-// decide by an older one: FreshFor by a clock that is slower by the drift, and a margin
-// between the check and what is decided.
+// InForceAfter is the time after the response to the write of a version from which on no
+// controller can decide by an older one: FreshnessTTL on a clock that is slower by the drift
+// (0.2%), and a margin of 100 ms between the check and the decision.
 const InForceAfter = FreshnessTTL + FreshnessTTL/500 + 100*core.Millisecond
 
-// Follower follows the records as they are read, in any order that overlapping reads give.
-// It is not safe for concurrent use.
+// Follower tracks the configuration's records as they are read. Overlapping reads may deliver
+// them in any order. A Follower is not safe for concurrent use.
 type Follower struct {
 	records           Records
-	pageRevisions     map[string]uint64 // of pages
+	pageRevisions     map[string]uint64 // by page key
 	config            *Config
 	version           uint64
-	effectiveRevision uint64 // the head's stamp as of config
+	effectiveRevision uint64 // revision of the head that config was read from
 	headErr           error
-	pending           bool // something came since the last Resolve
+	pending           bool // records changed since the last Resolve
 	reportedErr       error
 }
 
-// NewFollower returns a follower that knows of no configuration.
+// NewFollower returns a follower without a configuration.
 func NewFollower() *Follower {
 	return &Follower{records: Records{Pages: map[string]Page{}}, pageRevisions: map[string]uint64{}, config: &Config{}}
 }
 
-// Head takes the head as it was at a revision; one that could not be read has an error.
-func (f *Follower) UpdateHead(h Head, stamp uint64, err error) {
-	if stamp <= f.records.HeadRevision {
+// UpdateHead stores the head as of a revision; err is the error of decoding it. An older head than
+// the stored one is ignored.
+func (f *Follower) UpdateHead(h Head, revision uint64, err error) {
+	if revision <= f.records.HeadRevision {
 		return
 	}
-	f.records.Head, f.records.HeadRevision, f.headErr, f.pending = h, stamp, err, true
+	f.records.Head, f.records.HeadRevision, f.headErr, f.pending = h, revision, err, true
 }
 
-// Page takes a page as it was at a revision. Its key says what it holds, so that one of an
-// older read does no harm: nothing names it, or it is what is named.
-func (f *Follower) UpdatePage(key string, p Page, stamp uint64) {
-	if stamp < f.pageRevisions[key] {
+// UpdatePage stores a page as of a revision. A page's key is the hash of its content, so a page from
+// an older read is harmless: either no head names it, or its content is the one that is named.
+func (f *Follower) UpdatePage(key string, p Page, revision uint64) {
+	if revision < f.pageRevisions[key] {
 		return
 	}
-	f.records.Pages[key], f.pageRevisions[key], f.pending = p, stamp, true
+	f.records.Pages[key], f.pageRevisions[key], f.pending = p, revision, true
 }
 
-// Drop takes that a page is gone since a revision.
-func (f *Follower) DropPage(key string, stamp uint64) {
-	if f.pageRevisions[key] > stamp {
+// DropPage deletes a page that was deleted at a revision, unless it was written again later.
+func (f *Follower) DropPage(key string, revision uint64) {
+	if f.pageRevisions[key] > revision {
 		return
 	}
 	delete(f.records.Pages, key)
@@ -64,8 +66,9 @@
 	f.pending = true
 }
 
-// Resolve puts together what has come. It reports whether another version is to be acted by
-// now, and an error once for each reason why the latest can't be.
+// Resolve assembles the configuration from the records read so far. It reports whether the
+// effective version changed. If the latest version can't be used, it returns the reason as an
+// error, and the same reason only once in a row.
 func (f *Follower) Resolve() (changed bool, err error) {
 	if !f.pending {
 		return false, nil
@@ -84,7 +87,7 @@
 	}
 	err = f.headErr
 	if errors.Is(err, ErrPageMissing) {
-		f.headErr = nil // the page, or a newer head, is under way
+		f.headErr = nil // the page or a newer head has yet to be read
 	}
 	if f.reportedErr != nil && f.reportedErr.Error() == err.Error() {
 		return false, nil
@@ -93,45 +96,50 @@
 	return false, err
 }
 
-// forget drops pages that the head does not name and that are older than it: whoever wrote
-// them can't write a head any more that names them.
+// dropUnreferencedPages deletes the pages that the head doesn't name and that are older than it.
+// No head that names them can follow, since it would be conditional on an older head.
 func (f *Follower) dropUnreferencedPages() {
 	named := map[string]bool{}
 	for _, key := range f.records.Head.Pages {
 		named[key] = true
 	}
-	for key, stamp := range f.pageRevisions {
-		if !named[key] && stamp < f.records.HeadRevision {
+	for key, revision := range f.pageRevisions {
+		if !named[key] && revision < f.records.HeadRevision {
 			delete(f.records.Pages, key)
 			delete(f.pageRevisions, key)
 		}
 	}
 }
 
-// Config is the configuration to act by.
+// Config returns the effective version of the operators' configuration.
 func (f *Follower) Config() *Config { return f.config }
 
-// Acted is the version acted by: its number and its head's stamp; 0, 0 if there is none.
-func (f *Follower) EffectiveVersion() (number, stamp uint64) { return f.version, f.effectiveRevision }
+// EffectiveVersion returns the version in use and the revision of its head; 0, 0 if there is none.
+func (f *Follower) EffectiveVersion() (version, headRevision uint64) {
+	return f.version, f.effectiveRevision
+}
 
-// Enabled reports whether there is a configuration at all.
+// Enabled reports whether a head record exists.
 func (f *Follower) Enabled() bool { return f.records.HeadRevision > 0 }
 
-// Current reports whether the latest version that was read is the one acted by: otherwise
-// nothing may be decided by it.
+// Current reports whether the version in use is the latest that was read. If it isn't, the
+// configuration must not be used for decisions.
 func (f *Follower) Current() bool { return f.records.HeadRevision == f.effectiveRevision }
 
-// FreshUntil is until when something may be decided by the configuration, by what was asked of
-// the state service at a time and has been answered since.
-func (f *Follower) FreshUntil(asked core.Micros) core.Micros {
+// FreshUntil returns the time until which the configuration may be used for decisions.
+// readStarted is when the last answered read of the state service began.
+func (f *Follower) FreshUntil(readStarted core.Micros) core.Micros {
 	switch {
 	case !f.Enabled():
 		return core.MaxMicros
 	case !f.Current():
 		return 0
 	}
-	return asked + FreshnessTTL
+	return readStarted + FreshnessTTL
 }
 
-// MayDecide reports whether something may be decided by the configuration now.
-func (f *Follower) MayDecide(now, asked core.Micros) bool { return now < f.FreshUntil(asked) }
+// MayDecide reports whether the configuration may be used for a decision now. readStarted is when
+// the last answered read of the state service began.
+func (f *Follower) MayDecide(now, readStarted core.Micros) bool {
+	return now < f.FreshUntil(readStarted)
+}
--- a/internal/clusterconfig/record.go
+++ b/internal/clusterconfig/record.go
@@ -10,43 +10,43 @@
 	"strings"
 )
 
-// Keys in the state service.
+// Keys of the configuration's records in the state service.
 const (
-	Prefix     = "c/config/" // every controller watches it
+	Prefix     = "c/config/" // watched by every controller
 	HeadKey    = Prefix + "head"
 	PagePrefix = Prefix + "page/"
-	// AckPrefix is where controllers say which version they act by, under their leases, and
-	// KnownPrefix where they have said that they know configuration at all, for good. Nobody
-	// watches these.
+	// AckPrefix precedes the controllers' acknowledgements of the version that they use, which
+	// are bound to their leases. KnownPrefix precedes permanent records of the controllers that
+	// support configuration records. Neither prefix is watched.
 	AckPrefix   = "d/config/"
 	KnownPrefix = "d/known/"
 )
 
-// Format is that of the records that this version writes and reads.
+// Format is the format of the records that this version of the program writes and reads.
 const Format = 1
 
-// keptChanges is how many of the last changes the head names, so that whoever got no answer
-// finds out whether its change was made.
+// maxRecentChanges is the number of recent changes that the head names. A client whose write got no
+// response looks there whether its change was applied.
 const maxRecentChanges = 16
 
-// Head is the record that says which version there is.
+// Head is the record of the current version.
 type Head struct {
 	Format        int
-	Version       uint64   // of the version: each is one more than the one before
+	Version       uint64   // one more than the previous version's
 	Pages         []string // keys
 	RecentChanges []AppliedChange
 	Tuning        Tuning
 }
 
-// Applied is a change that was made.
+// AppliedChange is the id of a change that was applied, and the version that it made.
 type AppliedChange struct {
 	ID      string
 	Version uint64
 }
 
-// AppliedAs is the number of the version that a change made; false if the head does not
-// name it.
-func (h *Head) VersionOfChange(id string) (number uint64, ok bool) {
+// VersionOfChange returns the version that a change made; ok is false if the head doesn't name the
+// change.
+func (h *Head) VersionOfChange(id string) (version uint64, ok bool) {
 	for _, a := range h.RecentChanges {
 		if a.ID == id {
 			return a.Version, true
@@ -55,36 +55,37 @@
 	return 0, false
 }
 
-// Page holds some teams.
+// Page is a record of some of the teams, by name.
 type Page struct{ Teams map[string]Team }
 
-// Ack is what a controller says of itself.
+// Ack is a controller's acknowledgement of the version that it uses.
 type Ack struct {
-	Format       int // the newest that it reads
+	Format       int // the newest format that it reads
 	HeadRevision uint64
 	Version      uint64
-	Peers        []string // the other controllers that it knows
-	Error        string   // why it can't act by the version that there is
-	// Earlier are the peers whose last word was one of an earlier version of the program.
+	Peers        []string // the other controllers in its platform file
+	Error        string   // why it can't use the current version
+	// OlderPeers are the peers whose last message came from an earlier version of the program.
 	OlderPeers []string
 }
 
-// Records are what is stored: the head with its version in the state service, and its pages.
+// Records holds the stored head with its revision, and the pages by key.
 type Records struct {
 	Head         Head
-	HeadRevision uint64 // of the head; 0: there is none
+	HeadRevision uint64 // 0 if there is no head
 	Pages        map[string]Page
 }
 
-// Errors of records.
+// Errors of Records.Config.
 var (
-	// ErrNewer: a newer version of the program wrote the records.
+	// ErrNewerFormat means that a newer version of the program wrote the records.
 	ErrNewerFormat = errors.New("the configuration was written by a newer version of the program")
-	// ErrIncomplete: a page is missing; what drops it is under way.
+	// ErrPageMissing means that a page which the head names was not read. Either the page is
+	// still to come, or a newer head that doesn't name it.
 	ErrPageMissing = errors.New("a page of the configuration is missing")
 )
 
-// Config puts the pages together.
+// Config assembles the configuration from the head and its pages.
 func (r *Records) Config() (*Config, error) {
 	c := &Config{Teams: map[string]Team{}}
 	if r.HeadRevision == 0 {
@@ -104,43 +105,44 @@
 	return c, nil
 }
 
-// Limits are the state service's: the smallest that can come.
+// Limits are the state service's limits: the smaller of the present and the announced ones.
 type Limits struct {
 	ValueBytes int
 	TxnOps     int
 }
 
-// Codec turns heads and pages into values. The same page always gives the same value.
+// Codec encodes heads and pages as values. Equal pages have equal values.
 type Codec interface {
 	Encode(w Write) ([]byte, error)
-	// Size is a value's size as the state service counts it, in bytes.
+	// Size returns a value's size as the state service counts it, in bytes.
 	Size(value []byte) int
 }
 
-// Write is a put, of a head or a page, or a drop.
+// Write is a put of a head or a page, or a deletion of the key if both are nil.
 type Write struct {
 	Key  string
 	Head *Head
 	Page *Page
 }
 
-// Plan is how a version is written. Every transaction is on condition that the head is the
-// one that was read: the former ones, if any, write pages that nobody looks at yet, and the
-// last one writes the head. Pages are named by what they hold, so that a late or repeated
-// write of one can't replace another.
+// Plan is the sequence of transactions that writes a version. Every transaction is conditional on
+// the head that was read. All but the last write pages that no head names yet; the last one
+// writes the head. A page's key is the hash of its content, so a late or repeated write of a page
+// can't replace another.
 type Plan struct {
-	HeadRevision uint64 // of the head that was read; 0: that there is none
+	HeadRevision uint64 // of the head that was read; 0 if there was none
 	Transactions [][]Write
 	Version      uint64
-	// Drops are pages that nothing names any more once the head is written.
+	// UnusedPages are the pages, not deleted by the transactions, that the new head no longer names.
 	UnusedPages []string
 }
 
-// PlanChange says how to write a configuration over records.
+// PlanChange plans the change with the given id, which replaces the configuration in the records
+// by another. It returns ErrTooLarge if a team or the head doesn't fit a value.
 func PlanChange(r *Records, to *Config, id string, limits Limits, codec Codec) (*Plan, error) {
 	head := Head{Format: Format, Version: r.Head.Version + 1, Tuning: to.Tuning}
 	if r.HeadRevision == 0 {
-		head.Version = 0 // what enables configuration; it has none yet
+		head.Version = 0 // the first head only enables configuration records
 	}
 	head.RecentChanges = append(slices.Clone(r.Head.RecentChanges), AppliedChange{id, head.Version})
 	head.RecentChanges = head.RecentChanges[max(len(head.RecentChanges)-maxRecentChanges, 0):]
@@ -175,8 +177,9 @@
 	return p, nil
 }
 
-// repage distributes teams over pages: a page in which nothing changes stays as it is, the
-// teams of the others, which may need more room than they had, go onto new ones.
+// assignPages distributes the teams over pages. Pages without a change are kept; the teams of the
+// other pages, which may take more space than before, go onto new pages. It returns the keys of
+// all pages and the writes of the new ones.
 func assignPages(r *Records, to *Config, limits Limits, codec Codec) (keys []string, writes []Write, err error) {
 	left := maps.Clone(to.Teams)
 	var changed []Page
@@ -208,26 +211,26 @@
 	return keys, writes, nil
 }
 
-// stays reports whether a configuration has all teams of a page as they are there.
-func (p Page) unchangedIn(in *Config) bool {
+// unchangedIn reports whether a configuration has all teams of the page with the same values.
+func (p Page) unchangedIn(c *Config) bool {
 	for name, t := range p.Teams {
-		if now, ok := in.Teams[name]; !ok || now != t {
+		if now, ok := c.Teams[name]; !ok || now != t {
 			return false
 		}
 	}
 	return true
 }
 
-// nameOf names a page by its value.
+// pageName returns a page's name: a hash of its value.
 func pageName(value []byte) string {
 	sum := sha256.Sum256(value)
 	return hex.EncodeToString(sum[:12])
 }
 
-// ErrTooLarge: a value does not fit the state service's limit.
+// ErrTooLarge means that a value exceeds the state service's limit.
 var ErrTooLarge = errors.New("too large for the state service")
 
-// fits reports whether a write's value is within the limit.
+// checkSize returns ErrTooLarge if a write's value exceeds the limit.
 func checkSize(w Write, limits Limits, codec Codec) error {
 	b, err := codec.Encode(w)
 	if err != nil {
@@ -239,7 +242,7 @@
 	return nil
 }
 
-// place puts a team onto the first page that has room for it, or onto one more.
+// placeTeam adds a team to the first page with enough space, or to a new page.
 func placeTeam(pages []Page, name string, t Team, limits Limits, codec Codec) ([]Page, error) {
 	for i := range pages {
 		pages[i].Teams[name] = t
--- a/internal/configclient/await.go
+++ b/internal/configclient/await.go
@@ -14,7 +14,8 @@
 	"aspenstall/internal/wire"
 )
 
-// readAcks reads what the controllers say, and who leads.
+// readAcks reads the controllers' acknowledgements, which of them support configuration records,
+// and the leader.
 func (c *Client) readAcks(ctx context.Context, v *View) error {
 	entries, _, err := c.Store.List(ctx, ackCommonPrefix)
 	if err != nil {
@@ -46,26 +47,27 @@
 	return err
 }
 
-// NotReady lists the controllers that can't be taken to go by the configuration: those that
-// have never said that they know it, and those of which a peer says that they are of an
-// earlier version. One that once knew it and is not heard now is down or cut off, and
-// decides nothing by it after a while (clusterconfig.InForceAfter). One that is said to be
-// down for good counts where it leads or a peer has heard it.
+// NotReady returns the controllers that may not follow the configuration: those that have never
+// recorded support for it, and those that a peer reports as an earlier version of the program. A
+// controller that recorded support and has no acknowledgement now is down or cut off; after
+// clusterconfig.InForceAfter it makes no decisions by an old version. A controller in Absent is
+// included only if it leads without recorded support, or if a peer reports it as an earlier version.
 func (c *Client) NotReady(v *View) []string {
 	var out []string
 	for _, name := range c.allControllers(v) {
-		a, heard := v.Acks[name]
-		known := v.SupportsConfig[name] || slices.Contains(c.Absent, name)
+		a, acked := v.Acks[name]
+		mayBeAbsent := v.SupportsConfig[name] || slices.Contains(c.Absent, name)
 		switch {
-		case heard && a.Format >= clusterconfig.Format:
-		case heard, !known, reportedOlder(v, name), name == v.Leader && !v.SupportsConfig[name]:
+		case acked && a.Format >= clusterconfig.Format:
+		case acked, !mayBeAbsent, reportedOlder(v, name), name == v.Leader && !v.SupportsConfig[name]:
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// earlier reports whether a controller says of another that it is of an earlier version.
+// reportedOlder reports whether any acknowledgement names a controller as one of an earlier version
+// of the program.
 func reportedOlder(v *View, name string) bool {
 	for _, a := range v.Acks {
 		if slices.Contains(a.OlderPeers, name) {
@@ -75,15 +77,15 @@
 	return false
 }
 
-// Unheard lists the controllers that say nothing now.
+// NotReporting returns the expected controllers without an acknowledgement.
 func (c *Client) NotReporting(v *View) []string {
 	return slices.DeleteFunc(c.expectedControllers(v), func(name string) bool {
-		_, heard := v.Acks[name]
-		return heard
+		_, acked := v.Acks[name]
+		return acked
 	})
 }
 
-// all are the controllers that the caller or a controller knows.
+// allControllers returns the controllers known to the caller or to any controller, sorted.
 func (c *Client) allControllers(v *View) []string {
 	all := slices.Clone(c.Controllers)
 	for name, a := range v.Acks {
@@ -93,81 +95,84 @@
 	return slices.Compact(all)
 }
 
-// members are all controllers but for those that are known to be down.
+// expectedControllers returns all controllers except those in Absent.
 func (c *Client) expectedControllers(v *View) []string {
 	return slices.DeleteFunc(c.allControllers(v), func(name string) bool { return slices.Contains(c.Absent, name) })
 }
 
-// Forced is where and when a change was in force.
+// Rollout is the progress of a change: when it came into force, and on which controllers.
 type Rollout struct {
-	ConfirmedAfter map[string]time.Duration // by controller that said so
-	// All is until no controller could decide by an older version: all said so, or the time
-	// was over in which one that says nothing can.
+	ConfirmedAfter map[string]time.Duration // by controller that acknowledged the change
+	// EverywhereAfter is the time until no controller could decide by an older version: all of them
+	// acknowledged the change, or clusterconfig.InForceAfter passed for those that didn't.
 	EverywhereAfter time.Duration
-	// ByTime lists the controllers that said nothing.
+	// Unconfirmed lists the controllers that did not acknowledge the change.
 	Unconfirmed []string
 }
 
-// Await waits until a change is in force everywhere. before is what was read before it was
-// made, and begun when it began.
-func (c *Client) AwaitInForce(ctx context.Context, before *View, m *ApplyResult, begun time.Time) (*Rollout, error) {
+// AwaitInForce waits until the change m is in force on every controller. before is the view that was
+// read before the change; the durations in the result count from started. If ctx ends first, it
+// returns ErrNotInForce with the progress so far.
+func (c *Client) AwaitInForce(ctx context.Context, before *View, m *ApplyResult, started time.Time) (*Rollout, error) {
 	bound := m.AnsweredAt.Add(time.Duration(clusterconfig.InForceAfter) * time.Microsecond)
 	out := &Rollout{ConfirmedAfter: map[string]time.Duration{}}
-	late := ErrNotInForce
+	lastErr := ErrNotInForce
 	for {
 		v := newView()
 		err := c.readAcks(ctx, v)
 		if err == nil {
 			for name, a := range v.Acks {
-				if _, said := out.ConfirmedAfter[name]; !said && a.HeadRevision >= m.HeadRevision {
-					out.ConfirmedAfter[name] = time.Since(begun)
+				if _, confirmed := out.ConfirmedAfter[name]; !confirmed && a.HeadRevision >= m.HeadRevision {
+					out.ConfirmedAfter[name] = time.Since(started)
 				}
 			}
-			out.EverywhereAfter, out.Unconfirmed = time.Since(begun), c.unconfirmed(v, out)
+			out.EverywhereAfter, out.Unconfirmed = time.Since(started), c.unconfirmed(v, out)
 			if len(out.Unconfirmed) == 0 && len(c.NotReporting(v)) == 0 {
 				return out, nil
 			}
 			if time.Now().After(bound) {
-				if late = checkTimeBound(before, v); late == nil {
+				if lastErr = checkTimeBound(before, v); lastErr == nil {
 					return out, nil
 				}
 			}
 		}
 		if !wait.For(ctx, pollInterval) {
-			return out, late
+			return out, lastErr
 		}
 	}
 }
 
-// byTime says whether the bound holds for who says nothing: not for one of an earlier version,
-// which goes by its files. Such a one can't be told from one that is down, but if it leads.
+// checkTimeBound returns an error if the time bound may not hold for a controller that doesn't
+// report. The bound doesn't hold for an earlier version of the program, which uses only its files.
+// Such a controller can't be distinguished from one that is down, unless it leads.
 func checkTimeBound(before, now *View) error {
-	_, said := before.Acks[now.Leader]
-	_, says := now.Acks[now.Leader]
-	if now.Leader != "" && !said && !says {
-		return fmt.Errorf("%w: %s leads and says nothing: it may be of an earlier version", ErrNotInForce, now.Leader)
+	_, ackedBefore := before.Acks[now.Leader]
+	_, acksNow := now.Acks[now.Leader]
+	if now.Leader != "" && !ackedBefore && !acksNow {
+		return fmt.Errorf("%w: leader %s does not acknowledge configuration: it may run an earlier version", ErrNotInForce, now.Leader)
 	}
 	return nil
 }
 
-// ackPrefixes is what the prefixes of what controllers say have in common.
+// ackCommonPrefix is the common part of clusterconfig.AckPrefix and clusterconfig.KnownPrefix.
 const ackCommonPrefix = "d/"
 
-// silent lists the controllers that have not said that they act by a change.
-func (c *Client) unconfirmed(v *View, f *Rollout) []string {
+// unconfirmed returns the expected controllers that have not acknowledged a change.
+func (c *Client) unconfirmed(v *View, r *Rollout) []string {
 	var out []string
 	for _, name := range c.expectedControllers(v) {
-		if _, said := f.ConfirmedAfter[name]; !said {
+		if _, confirmed := r.ConfirmedAfter[name]; !confirmed {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// inForce reports whether every controller says that it acts by a version.
-func (c *Client) inForceEverywhere(v *View, stamp uint64) bool {
+// inForceEverywhere reports whether every expected controller acknowledges the version whose head
+// has the given revision, or a later one.
+func (c *Client) inForceEverywhere(v *View, revision uint64) bool {
 	for _, name := range c.expectedControllers(v) {
-		if v.Acks[name].HeadRevision < stamp {
+		if v.Acks[name].HeadRevision < revision {
 			return false
 		}
 	}
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -1,5 +1,5 @@
-// Package configclient changes the cluster's configuration through the state service's
-// published protocol, and finds out where a change is in force.
+// Package configclient changes the cluster's configuration through the state service's published
+// protocol, and determines on which controllers a change is in force.
 package configclient
 
 import (
@@ -17,43 +17,44 @@
 	"aspenstall/internal/wire"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrNotReady: a controller does not say that it knows configuration records.
+	// ErrNotReady means that a controller has not confirmed that it supports configuration records.
 	ErrNotReady = errors.New("not every controller says that it knows configuration records")
-	// ErrConflict: somebody else changed the configuration meanwhile.
+	// ErrConflict means that the configuration was changed by another client since it was read.
 	ErrConflict = errors.New("the configuration was changed meanwhile")
-	// ErrUnknown: whether the change was made could not be found out.
+	// ErrOutcomeUnknown means that the state service did not respond, so the change may or may not
+	// have been made.
 	ErrOutcomeUnknown = errors.New("whether the change was made is not known")
-	// ErrNotInForce: the change is made and could not be seen to be in force.
+	// ErrNotInForce means that the change was made, but not confirmed to be in force everywhere.
 	ErrNotInForce = errors.New("the change is made, and not known to be in force")
-	// ErrLive: a team that is to be removed has jobs that are not over.
+	// ErrTeamHasJobs means that a team to be removed has unfinished jobs, or may still get new ones.
 	ErrTeamHasJobs = errors.New("the team has jobs that are not over")
 )
 
-// Client changes the configuration. Its store's budget of requests is the caller's.
+// Client changes the configuration. The caller sets the store's request budget.
 type Client struct {
 	Store  *statestore.Client
 	Base   clusterconfig.Base
 	Limits clusterconfig.Limits
-	// Controllers are all that there are; Absent are those of them that are known to be
-	// down for good, and are not asked for.
+	// Controllers lists all controllers in the platform's file. Absent lists those of them that
+	// are permanently down; no acknowledgement of them is awaited.
 	Controllers, Absent []string
 }
 
-// View is what the state service holds.
+// View is the configuration and the controllers' acknowledgements as read from the state service.
 type View struct {
 	Records        clusterconfig.Records
 	Config         *clusterconfig.Config
-	Acks           map[string]clusterconfig.Ack // by controller, of those that are heard
-	SupportsConfig map[string]bool              // controllers that have said that they know configuration
-	Leader         string                       // "" if nobody leads
+	Acks           map[string]clusterconfig.Ack // by controller; only those that hold a lease
+	SupportsConfig map[string]bool              // controllers that ever recorded support for configuration records
+	Leader         string                       // "" if there is no leader
 }
 
-// pollEvery is between two looks at the state service.
+// pollInterval is the time between two reads of the state service, and between retries.
 const pollInterval = 50 * time.Millisecond
 
-// Read reads the configuration and what the controllers say of it.
+// Read reads the configuration and the controllers' acknowledgements.
 func (c *Client) Read(ctx context.Context) (*View, error) {
 	entries, _, err := c.Store.List(ctx, clusterconfig.Prefix)
 	if err != nil {
@@ -78,6 +79,7 @@
 	return v, c.readAcks(ctx, v)
 }
 
+// newView returns an empty view.
 func newView() *View {
 	return &View{
 		Records: clusterconfig.Records{Pages: map[string]clusterconfig.Page{}},
@@ -85,11 +87,12 @@
 	}
 }
 
-// Ready makes sure that every controller knows configuration records: the first time it
-// writes a head that changes nothing, which controllers of an earlier version ignore.
+// EnsureReady waits until every controller supports configuration records, and returns the view. If
+// there is no head yet, it first writes one that changes nothing; earlier versions of the program
+// ignore it. If ctx ends first, it returns ErrNotReady, or ErrOutcomeUnknown if nothing could be read.
 func (c *Client) EnsureReady(ctx context.Context) (*View, error) {
-	var last *View // that was read
-	var failed error
+	var last *View // the last view that was not ready
+	var lastErr error
 	for {
 		v, err := c.Read(ctx)
 		if err == nil && v.Records.HeadRevision == 0 {
@@ -102,7 +105,7 @@
 		case errors.Is(err, clusterconfig.ErrNewerFormat), errors.Is(err, clusterconfig.ErrTooLarge):
 			return nil, err
 		case err != nil:
-			failed = err
+			lastErr = err
 		case len(c.NotReady(v)) == 0:
 			return v, nil
 		default:
@@ -115,20 +118,22 @@
 	if last != nil {
 		return last, fmt.Errorf("%w: %s", ErrNotReady, strings.Join(c.NotReady(last), ", "))
 	}
-	return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, failed)
+	return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, lastErr)
 }
 
-// Made is a change that was made.
+// ApplyResult is the result of a change that was made.
 type ApplyResult struct {
 	Version      uint64
 	HeadRevision uint64
-	// Answered is when the write was answered, or found out to have been carried out before:
-	// it was made by then.
+	// AnsweredAt is when the response to the write arrived, or when the write was found to have
+	// been executed earlier. The change was made by then.
 	AnsweredAt time.Time
 }
 
-// Apply writes a configuration over what was read. id names the change: one that was made
-// already, as its answer was lost, is not made again.
+// Apply replaces the configuration that was read into v by another. id identifies the change: if a
+// change with this id was already made, because its response was lost, it is not made again. Apply
+// returns a clusterconfig.Problem for an invalid configuration, and ErrConflict, ErrTeamHasJobs,
+// ErrNotInForce or ErrOutcomeUnknown.
 func (c *Client) Apply(ctx context.Context, v *View, to *clusterconfig.Config, id string) (*ApplyResult, error) {
 	if n, ok := v.Records.Head.VersionOfChange(id); ok {
 		return &ApplyResult{Version: n, HeadRevision: v.Records.HeadRevision, AnsweredAt: time.Now()}, nil
@@ -142,20 +147,21 @@
 	return c.write(ctx, v, to, id)
 }
 
-// mayRemove fails if a team that is removed may have jobs: it has to be draining in the
-// version that is in force, so that none can come, and all its jobs have to be over.
+// checkRemovals returns an error if a removed team may have unfinished jobs. The team has to be
+// draining in a version that is in force on every controller, so that it gets no new jobs, and all
+// its jobs have to be finished.
 func (c *Client) checkRemovals(ctx context.Context, v *View, to *clusterconfig.Config) error {
-	gone := clusterconfig.RemovedTeams(v.Config, to, &c.Base)
-	if len(gone) == 0 {
+	removed := clusterconfig.RemovedTeams(v.Config, to, &c.Base)
+	if len(removed) == 0 {
 		return nil
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		if !v.Config.Teams[name].Draining {
-			return fmt.Errorf("%w: team %q is not draining: first let it, until its jobs are over", ErrTeamHasJobs, name)
+			return fmt.Errorf("%w: team %q is not draining: set :draining first, and remove it when its jobs are over", ErrTeamHasJobs, name)
 		}
 	}
 	if !c.inForceEverywhere(v, v.Records.HeadRevision) {
-		return fmt.Errorf("%w: that team %q is draining", ErrNotInForce, gone[0])
+		return fmt.Errorf("%w: that team %q is draining", ErrNotInForce, removed[0])
 	}
 	entries, _, err := c.Store.List(ctx, wire.JobPrefix)
 	if err != nil {
@@ -166,22 +172,23 @@
 		if err != nil {
 			return err
 		}
-		if rec.Phase == core.Pending && slices.Contains(gone, rec.Spec.Team) {
+		if rec.Phase == core.Pending && slices.Contains(removed, rec.Spec.Team) {
 			return fmt.Errorf("%w: %s of team %q", ErrTeamHasJobs, rec.Spec.ID, rec.Spec.Team)
 		}
 	}
 	return nil
 }
 
-// write writes a version, until it is known whether that was done: the same transaction
-// again has no effect once it was carried out, and voids one that is still under way.
+// write writes a version. It retries transactions until their outcome is known. A repeated
+// transaction has no effect if the first one was executed, and keeps a delayed first one from being
+// executed later.
 func (c *Client) write(ctx context.Context, v *View, to *clusterconfig.Config, id string) (*ApplyResult, error) {
 	plan, err := clusterconfig.PlanChange(&v.Records, to, id, c.Limits, wire.ConfigCodec{})
 	if err != nil {
 		return nil, err
 	}
 	for i, writes := range plan.Transactions {
-		stamp, err := c.commit(ctx, plan.HeadRevision, writes)
+		revision, err := c.commit(ctx, plan.HeadRevision, writes)
 		if errors.Is(err, statestore.ErrConflict) {
 			return c.findChange(ctx, id)
 		}
@@ -189,18 +196,18 @@
 			return nil, err
 		}
 		if i == len(plan.Transactions)-1 {
-			made := &ApplyResult{Version: plan.Version, HeadRevision: stamp, AnsweredAt: time.Now()}
-			c.deleteUnusedPages(ctx, stamp, plan.UnusedPages)
+			made := &ApplyResult{Version: plan.Version, HeadRevision: revision, AnsweredAt: time.Now()}
+			c.deleteUnusedPages(ctx, revision, plan.UnusedPages)
 			return made, nil
 		}
 	}
 	return nil, ErrOutcomeUnknown
 }
 
-// commit carries out a transaction on condition that the head is the one that was read. It
-// goes on trying while there is no answer.
-func (c *Client) commit(ctx context.Context, head uint64, writes []clusterconfig.Write) (uint64, error) {
-	txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, ModRevision: head}}}
+// commit executes a transaction on condition that the head is at the given revision, and returns
+// the new revision. It retries until the state service responds or ctx ends.
+func (c *Client) commit(ctx context.Context, headRevision uint64, writes []clusterconfig.Write) (uint64, error) {
+	txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, ModRevision: headRevision}}}
 	for _, w := range writes {
 		if w.Head == nil && w.Page == nil {
 			txn.Then = append(txn.Then, wire.Write{Delete: w.Key})
@@ -213,9 +220,9 @@
 		txn.Then = append(txn.Then, wire.Write{Put: w.Key, Value: b})
 	}
 	for {
-		stamp, err := c.Store.Commit(ctx, txn)
+		revision, err := c.Store.Commit(ctx, txn)
 		if err == nil || errors.Is(err, statestore.ErrConflict) || errors.Is(err, statestore.ErrInvalid) {
-			return stamp, err
+			return revision, err
 		}
 		if !wait.For(ctx, pollInterval) {
 			return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
@@ -223,7 +230,8 @@
 	}
 }
 
-// find finds out whether a change was made by an earlier try, or lost to another.
+// findChange determines, after a conflict, whether an earlier attempt made the change. It returns
+// ErrConflict if another client's change came first.
 func (c *Client) findChange(ctx context.Context, id string) (*ApplyResult, error) {
 	for {
 		v, err := c.Read(ctx)
@@ -239,12 +247,11 @@
 	}
 }
 
-// dropOld drops pages that nothing names any more, as far as that can be done now: the next
-// change's are dropped with it.
-func (c *Client) deleteUnusedPages(ctx context.Context, head uint64, keys []string) {
+// deleteUnusedPages deletes pages that the head no longer names. It stops at the first error.
+func (c *Client) deleteUnusedPages(ctx context.Context, headRevision uint64, keys []string) {
 	for len(keys) > 0 {
 		n := min(len(keys), c.Limits.TxnOps)
-		txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, ModRevision: head}}}
+		txn := &wire.Txn{If: []wire.Cond{{Key: clusterconfig.HeadKey, ModRevision: headRevision}}}
 		for _, key := range keys[:n] {
 			txn.Then = append(txn.Then, wire.Write{Delete: key})
 		}
