--- a/cmd/aspenstall/config.go
+++ b/cmd/aspenstall/config.go
@@ -20,7 +20,7 @@
 	"aspenstall/internal/statestore"
 )
 
-// configCmd are the commands about the configuration that may change while the cluster serves.
+// configCmd holds the commands for the configuration that may change at run time.
 type configCmd struct {
 	Timeout time.Duration `help:"How long to wait, also until a change is in force." default:"10s"`
 	Absent  []string      `help:"Controllers that are down for good: they are not asked for." placeholder:"MEMBER"`
@@ -45,20 +45,19 @@
 
 type configStatusCmd struct{}
 
-// Exit codes of the commands about the configuration, for scripts. A file that can't be used
-// is exitConfig.
+// Exit codes of the configuration commands, for scripts. An invalid file has exitConfig.
 const (
 	exitNotReady    = 3
 	exitConflict    = 4
 	exitNotInForce  = 5
 	exitTeamHasJobs = 6
-	exitDiffers     = 7 // diff: there is something to change
+	exitDiffers     = 7 // diff found differences
 )
 
-// errDiffers marks that diff found something.
+// errDiffers is returned by diff if the file differs from the configuration.
 var errDiffers = errors.New("the configuration differs")
 
-// exitCode is that of an error of these commands; 0 if it has none of its own.
+// configExitCode returns the exit code for an error of these commands; 0 if it has no code of its own.
 func configExitCode(err error) int {
 	switch {
 	case errors.Is(err, configclient.ErrNotReady):
@@ -75,7 +74,7 @@
 	return 0
 }
 
-// run carries out a command.
+// run runs a configuration command.
 func (c *configCmd) run(command string, p *config.Platform, s config.Settings, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -92,7 +91,8 @@
 	}
 }
 
-// client speaks to the state service within a small part of its rates.
+// client returns a client of the state service without a request budget: two connections and the
+// client's poll interval bound its rate.
 func (c *configCmd) client(p *config.Platform, s config.Settings) *configclient.Client {
 	const connections = 2
 	k := &configclient.Client{
@@ -105,6 +105,7 @@
 	return k
 }
 
+// get prints the configuration in the form that apply reads.
 func (c *configCmd) get(ctx context.Context, k *configclient.Client, w io.Writer) error {
 	v, err := k.Read(ctx)
 	if err != nil {
@@ -115,6 +116,7 @@
 	return nil
 }
 
+// diff prints what a file would change. It returns errDiffers if that is anything.
 func (c *configCmd) diff(ctx context.Context, k *configclient.Client, w io.Writer) error {
 	to, err := config.ReadClusterConfig(c.Diff.File, &k.Base)
 	if err != nil {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// writeDiff shows what changes, and reports whether anything does.
+// writeDiff prints the changes and reports whether there are any.
 func writeDiff(w io.Writer, k *configclient.Client, v *configclient.View, to *clusterconfig.Config) bool {
 	changes := clusterconfig.Diff(v.Config.OverlayOn(&k.Base), to.OverlayOn(&k.Base))
 	for _, d := range changes {
@@ -139,8 +141,9 @@
 	return len(changes) > 0
 }
 
+// apply makes a file the configuration and waits until it is in force on every controller.
 func (c *configCmd) apply(ctx context.Context, k *configclient.Client, w io.Writer) error {
-	begun := time.Now()
+	started := time.Now()
 	a := &c.Apply
 	to, err := config.ReadClusterConfig(a.File, &k.Base)
 	if err != nil {
@@ -158,8 +161,8 @@
 		writeDiff(w, k, v, to)
 		return fmt.Errorf("%w: it is version %d, not %d", configclient.ErrConflict, v.Records.Head.Version, a.Expect)
 	}
-	room := core.Resources{CPU: int64(a.FleetCPUs * 1000), GPU: int64(a.FleetGPUs * 1000)}
-	for _, warning := range to.Warnings(&k.Base, room) {
+	fleet := core.Resources{CPU: int64(a.FleetCPUs * 1000), GPU: int64(a.FleetGPUs * 1000)}
+	for _, warning := range to.Warnings(&k.Base, fleet) {
 		fmt.Fprintln(w, "warning:", warning)
 	}
 	if !writeDiff(w, k, v, to) && !made {
@@ -171,20 +174,22 @@
 		return err
 	}
 	fmt.Fprintf(w, "version %d is written, change %s\n", m.Version, a.ID)
-	f, err := k.AwaitInForce(ctx, v, m, begun)
-	for _, name := range slices.Sorted(maps.Keys(f.ConfirmedAfter)) {
-		fmt.Fprintf(w, "%s acts by it after %v\n", name, f.ConfirmedAfter[name].Round(time.Millisecond))
+	r, err := k.AwaitInForce(ctx, v, m, started)
+	for _, name := range slices.Sorted(maps.Keys(r.ConfirmedAfter)) {
+		fmt.Fprintf(w, "%s acts by it after %v\n", name, r.ConfirmedAfter[name].Round(time.Millisecond))
 	}
-	for _, name := range f.Unconfirmed {
-		fmt.Fprintf(w, "%s says nothing: it decides nothing by an older version since %v\n", name, time.Duration(clusterconfig.InForceAfter)*time.Microsecond)
+	for _, name := range r.Unconfirmed {
+		fmt.Fprintf(w, "%s has not acknowledged the change: it decides nothing by an older version after %v\n", name, time.Duration(clusterconfig.InForceAfter)*time.Microsecond)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "in force everywhere after %v\n", f.EverywhereAfter.Round(time.Millisecond))
+	fmt.Fprintf(w, "in force everywhere after %v\n", r.EverywhereAfter.Round(time.Millisecond))
 	return nil
 }
 
+// status prints the current version and the version that each controller uses. It returns
+// configclient.ErrNotReady if a controller may not follow the configuration.
 func (c *configCmd) status(ctx context.Context, k *configclient.Client, w io.Writer) error {
 	v, err := k.Read(ctx)
 	if err != nil {
@@ -212,14 +217,14 @@
 	}
 	notReady := k.NotReady(v)
 	for _, name := range k.NotReporting(v) {
-		why := "down or cut off"
+		reason := "down or cut off"
 		switch {
 		case name == v.Leader:
-			why = "it leads, by the platform's file alone: it is of an earlier version, or has just begun"
+			reason = "it leads by its platform file alone: it runs an earlier version, or has just started"
 		case slices.Contains(notReady, name):
-			why = "it has never known configuration, or is of an earlier version: what is in force there is its platform file"
+			reason = "it has never supported configuration records, or runs an earlier version: it uses its platform file alone"
 		}
-		fmt.Fprintf(w, "%s says nothing: %s\n", name, why)
+		fmt.Fprintf(w, "%s does not report: %s\n", name, reason)
 	}
 	if len(notReady) > 0 {
 		return fmt.Errorf("%w: %s", configclient.ErrNotReady, strings.Join(notReady, ", "))
@@ -227,6 +232,7 @@
 	return nil
 }
 
+// newChangeID returns a random id for a change.
 func newChangeID() string {
 	b := make([]byte, 6)
 	_, _ = rand.Read(b)
--- a/cmd/aspenstall/main.go
+++ b/cmd/aspenstall/main.go
@@ -1,4 +1,5 @@
-// Command aspenstall is one controller of the scheduler.
+// Command aspenstall runs a controller of the scheduler. Its subcommands check settings and job
+// files, and operate a running cluster.
 package main
 
 import (
@@ -29,9 +30,10 @@
 
 var version = "0.1.0"
 
-// exitConfig is the exit code for a settings file that can't be used.
+// exitConfig is the exit code for an invalid settings file or job file.
 const exitConfig = 2
 
+// maxPeerConns is the maximum number of connections from other controllers.
 const maxPeerConns = 32
 
 type cli struct {
@@ -63,10 +65,11 @@
 	}
 }
 
-// errConfig marks what is wrong with settings.
+// errConfig marks errors in settings and other files, which have the exit code exitConfig. Its text is
+// empty, so that wrapping it doesn't change a message.
 var errConfig = errors.New("")
 
-// do carries out a command.
+// execute runs a command, which is given by its name and placeholders as kong has them.
 func (c *cli) execute(command string) error {
 	switch command {
 	case "version":
@@ -100,15 +103,15 @@
 	return run(p, s)
 }
 
-// load reads the settings; the platform's may be missing where it need not be
-// there.
-func (c *cli) load(platform bool) (*config.Platform, config.Settings, error) {
+// load reads and checks the settings and the platform's file. Unless needPlatform, the platform's
+// file may be missing; the first result is nil then.
+func (c *cli) load(needPlatform bool) (*config.Platform, config.Settings, error) {
 	s, err := config.LoadSettings(c.Settings)
 	if err != nil {
 		return nil, s, err
 	}
 	if c.Config == "" {
-		if platform {
+		if needPlatform {
 			err = errors.New("--config: missing")
 		}
 		return nil, s, err
@@ -123,6 +126,7 @@
 	return p, s, nil
 }
 
+// logger returns a logger to standard error at the level in LOG_LEVEL; the default is info.
 func logger(member string) *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
@@ -134,10 +138,11 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", member)
 }
 
+// run runs a controller until it is interrupted or terminated.
 func run(p *config.Platform, s config.Settings) error {
 	if mb := p.Params.Limits.MemMB; mb > 0 {
-		// Below the platform's limit, since the runtime's own and the stacks
-		// come on top; collecting more rarely saves processor time.
+		// The limit is below the platform's, since the runtime's own memory and the stacks
+		// come on top. Collecting garbage less often saves processor time.
 		debug.SetMemoryLimit(int64(mb * 0.6 * (1 << 20)))
 		debug.SetGCPercent(400)
 	}
@@ -150,7 +155,7 @@
 		return err
 	}
 	if m := p.Params.Limits.MaxConnections; m > 0 {
-		// The rest is for what the node dials, which takes an eighth and some.
+		// The rest is for outgoing connections, which take a little over an eighth.
 		l = netdial.ShedListener(l, max(m*5/6, 8))
 	}
 	pl, err := net.Listen("tcp", p.ClusterListen)
@@ -159,7 +164,7 @@
 	}
 	go func() {
 		if err := peer.Serve(netutil.LimitListener(pl, maxPeerConns), n); err != nil {
-			log.Error("peers are not served", "err", err)
+			log.Error("cannot serve peers", "err", err)
 		}
 	}()
 	srv := &http.Server{
@@ -167,8 +172,8 @@
 		ReadHeaderTimeout: 10 * time.Second,
 		ReadTimeout:       20 * time.Second,
 		WriteTimeout:      20 * time.Second,
-		// Users and workers send something every few seconds; what is silent for
-		// longer is gone, and a machine that dies leaves its connection open.
+		// Users and workers send a request every few seconds. A connection that is idle for
+		// longer is dead: a machine that crashes leaves its connection open.
 		IdleTimeout:    time.Duration(max(5*p.Params.Workers.ReportS, 20) * float64(time.Second)),
 		MaxHeaderBytes: 16 << 10,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
@@ -192,7 +197,7 @@
 	log.Info("listening", "address", p.Listen, "version", version)
 	err = srv.Serve(l)
 	if ctx.Err() != nil {
-		<-ended // told to end: what was served is in the log
+		<-ended // terminated by a signal; the node has logged its job statistics
 		return nil
 	}
 	return err
--- a/cmd/aspenstall/names_test.go
+++ b/cmd/aspenstall/names_test.go
@@ -14,7 +14,7 @@
 	"aspenstall/internal/configclient"
 )
 
-// commands lists commands, arguments and flags with what scripts go by.
+// describeCommands lists commands, arguments and flags with the properties that scripts rely on.
 func describeCommands(n *kong.Node, path string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", path)
@@ -38,6 +38,7 @@
 	return b.String()
 }
 
+// TestCommandNames compares commands, arguments and flags with testdata/commands.txt.
 func TestCommandNames(t *testing.T) {
 	k, err := kong.New(&cli{}, kong.Name("aspenstall"))
 	if err != nil {
@@ -49,6 +50,7 @@
 	}
 }
 
+// TestExitCodes checks the exit codes that scripts rely on.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -62,11 +64,11 @@
 		}
 	}
 	if exitConfig != 2 {
-		t.Errorf("exit code %d for settings", exitConfig)
+		t.Errorf("exit code %d for invalid settings, want 2", exitConfig)
 	}
 }
 
-// What nomad check prints as JSON.
+// TestCheckResultNames checks the JSON output of the command nomad check.
 func TestCheckResultNames(t *testing.T) {
 	job := nativeJob{
 		Group: "g", Team: "t", Class: "c", Kind: "gang", Priority: "high", Tasks: 1, CPUs: 2.5, GPUs: 3.5, MemGB: 4.5, Types: []string{"ty"}, Zone: "z",
--- a/cmd/aspenstall/nomad.go
+++ b/cmd/aspenstall/nomad.go
@@ -26,7 +26,7 @@
 	"aspenstall/internal/nomad/translate"
 )
 
-// nomadCmd are the commands about Nomad's job files.
+// nomadCmd holds the commands for Nomad's job files and clients.
 type nomadCmd struct {
 	Check  nomadCheck `cmd:"" help:"Print the native jobs that job files become, or every refusal."`
 	Table  struct{}   `cmd:"" help:"Print what is served of a job file, as a table in Markdown."`
@@ -47,10 +47,10 @@
 	Stdin   bool   `help:"Hash the token on standard input instead of making one."`
 }
 
-// errRefused ends a check that found something.
+// errRefused is returned by a check that found refusals. They are already printed.
 var errRefused = errors.New("refused")
 
-// checked is a file's native jobs or what is wrong with it, as JSON prints it.
+// checkResult is the result of a check in JSON: a file's native jobs, or the refusals.
 type checkResult struct {
 	File     string        `json:"file"`
 	Jobs     []nativeJob   `json:"jobs,omitempty"`
@@ -58,6 +58,7 @@
 	Warnings []refusalView `json:"warnings,omitempty"`
 }
 
+// refusalView is a refusal or a warning in JSON.
 type refusalView struct {
 	File   string `json:"file"`
 	Line   int    `json:"line,omitempty"`
@@ -65,7 +66,7 @@
 	Reason string `json:"reason"`
 }
 
-// nativeJob is a native job in the words of the project, amounts in units.
+// nativeJob is a native job in JSON, with amounts in whole units.
 type nativeJob struct {
 	Group           string   `json:"group"`
 	Team            string   `json:"team"`
@@ -89,6 +90,7 @@
 	DeadlineS       float64  `json:"due_s,omitempty"`
 }
 
+// newNativeJob returns the JSON form of the job of a task group.
 func newNativeJob(group string, s *core.JobSpec) nativeJob {
 	return nativeJob{
 		Group: group, Team: s.Team, Class: s.Class, Kind: [...]string{"array", "gang", "service"}[s.Kind], Priority: s.Priority.String(), Tasks: s.Tasks,
@@ -98,6 +100,7 @@
 	}
 }
 
+// refusalViews returns the JSON form of problems.
 func refusalViews(ps jobfile.Problems) []refusalView {
 	var out []refusalView
 	for _, p := range ps {
@@ -106,8 +109,8 @@
 	return out
 }
 
-// run checks the files against the settings, and the platform's zones and teams
-// if its file is given.
+// run checks the files against the settings and, if p isn't nil, the platform's zones. It returns
+// errRefused if a file was refused.
 func (c *nomadCheck) run(p *config.Platform, s *config.Settings, w io.Writer) error {
 	n := config.DefaultNomad()
 	if s.Nomad != nil {
@@ -144,6 +147,7 @@
 	return nil
 }
 
+// checkFile parses and translates a job file. Refusals are in the result; the error is of reading it.
 func checkFile(path string, o jobfile.Options, t translate.Terms) (checkResult, error) {
 	k := checkResult{File: path}
 	src, err := os.ReadFile(path)
@@ -167,6 +171,7 @@
 	return k, nil
 }
 
+// printChecked prints the results as JSON or, for any other output, as text.
 func printChecked(w io.Writer, output string, all []checkResult) error {
 	if output == "json" {
 		enc := json.NewEncoder(w)
@@ -193,7 +198,7 @@
 	return nil
 }
 
-// line is a native job in one line.
+// summary describes a native job in one line.
 func (j *nativeJob) summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s of %d for team %s, class %s, priority %s; each %v CPUs, %v GPUs, %v GB; image %s of %v GB",
@@ -224,7 +229,7 @@
 	return b.String()
 }
 
-// run makes a token, or hashes one.
+// run makes a random token, or reads one from r, and prints its hash. A missing key file is created.
 func (c *nomadToken) run(r io.Reader, w io.Writer) error {
 	key, err := os.ReadFile(c.KeyFile)
 	if errors.Is(err, os.ErrNotExist) {
@@ -262,27 +267,28 @@
 	return err
 }
 
-// serveNomad serves Nomad's clients on a listener of their own.
+// serveNomad serves Nomad's clients on a separate listener.
 func serveNomad(n *node.Node, s *config.Nomad, log *slog.Logger) error {
 	return serveAuxiliary("Nomad's clients", s.Listen, s.MaxConns, log, &http.Server{
 		Handler:           httpapi.Handler(n, s, log),
-		ReadHeaderTimeout: 10 * time.Second, // bodies and answers have limits of their own: queries wait long
+		ReadHeaderTimeout: 10 * time.Second, // bodies and responses have deadlines of their own, since blocking queries take long
 		IdleTimeout:       2 * time.Minute,
 	})
 }
 
-// serveAside serves others than users and workers, on a listener of their own.
-func serveAuxiliary(whom, address string, conns int, log *slog.Logger, srv *http.Server) error {
+// serveAuxiliary serves an interface other than that of users and workers on a separate listener,
+// in the background. clients names its clients in the log.
+func serveAuxiliary(clients, address string, conns int, log *slog.Logger, srv *http.Server) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	srv.MaxHeaderBytes = 16 << 10
 	srv.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelDebug)
-	log.Info("listening for "+whom, "address", address)
+	log.Info("listening for "+clients, "address", address)
 	go func() {
 		if err := srv.Serve(netutil.LimitListener(l, conns)); err != nil {
-			log.Error(whom+" are not served", "err", err)
+			log.Error(clients+" are no longer served", "err", err)
 		}
 	}()
 	return nil
--- a/cmd/aspenstall/notify.go
+++ b/cmd/aspenstall/notify.go
@@ -16,7 +16,7 @@
 	"aspenstall/internal/notify/control"
 )
 
-// notifyCmd are the commands about notifications.
+// notifyCmd holds the commands for notifications.
 type notifyCmd struct {
 	Controller string        `help:"Address of a controller's :listen of :notify." default:"127.0.0.1:4650" placeholder:"HOST:PORT"`
 	Output     string        `help:"How to print: text or json." enum:"text,json" default:"text"`
@@ -28,17 +28,19 @@
 	Drop  asideCmd `cmd:"" help:"Forget what was put aside."`
 }
 
+// showCmd holds the arguments of the command that lists failed notifications.
 type showCmd struct {
 	Subscription string `arg:"" optional:"" help:"Of this subscription only."`
 }
 
+// asideCmd names a notification that was put aside because its delivery failed.
 type asideCmd struct {
 	Subscription string `arg:""`
 	Job          string `arg:""`
 	Event        string `arg:"" help:"accepted, done or cancelled"`
 }
 
-// run carries out a command against a controller.
+// run sends a command to a controller and prints the response.
 func (c *notifyCmd) run(command string, w io.Writer) error {
 	ask := &control.Ask{}
 	switch words := strings.Fields(command); control.Op(words[1]) {
@@ -58,7 +60,7 @@
 		return err
 	}
 	if (ask.Op == control.Retry || ask.Op == control.Drop) && !out.Done {
-		return errors.New("nothing like that is put aside, or it is on its way")
+		return errors.New("no such notification is put aside, or it is being delivered now")
 	}
 	if c.Output == "json" {
 		enc := json.NewEncoder(w)
@@ -87,7 +89,7 @@
 	return t.Flush()
 }
 
-// serveOperators serves the commands about notifications.
+// serveOperators serves the commands for notifications on a loopback address.
 func serveOperators(n *node.Node, address string, log *slog.Logger) error {
 	return serveAuxiliary("operators", address, 16, log, &http.Server{
 		Handler: control.Handler(n), ReadTimeout: 10 * time.Second, WriteTimeout: 20 * time.Second,
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,4 +1,4 @@
-// Package worker sends commands straight to workers.
+// Package worker sends commands directly to workers.
 package worker
 
 import (
@@ -17,19 +17,19 @@
 
 const (
 	requestTimeout   = 2 * time.Second
-	probeTimeout     = time.Second // for a command that only asks whether a worker is there
+	probeTimeout     = time.Second // for a request without commands, which checks that the worker is reachable
 	maxResponseBytes = 4 << 20
 )
 
-// Client sends commands to workers.
+// Client sends commands to workers. It is safe for concurrent use.
 type Client struct {
 	http  *http.Client
-	slots chan struct{} // one for each command under way
+	slots chan struct{} // one for each request in flight
 }
 
-// New returns a client that keeps at most conns idle connections, and has as many commands
-// under way: a leader that begins has something for every machine at once, and would take
-// all sockets that it has.
+// New returns a client that keeps at most conns idle connections and has at most conns requests in
+// flight. Without the limit a new leader, which has commands for every machine at once, would use
+// up all its sockets.
 func New(conns int, dial netdial.Func) *Client {
 	return &Client{slots: make(chan struct{}, max(conns, 1)), http: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{
 		DialContext: dial, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 1, MaxIdleConns: conns,
@@ -37,16 +37,17 @@
 	}}}
 }
 
-// Send sends commands once it is their turn, if they may still be sent then. The report
-// is the worker's after them, and nil without an answer.
-func (c *Client) Send(ctx context.Context, s core.SendCommands, may func() bool) (core.CommandOutcome, *core.Report) {
+// Send waits until a request slot is free and sends the commands if allowed still returns true.
+// The report is the worker's state after the commands; it is nil without a response. A worker that
+// refuses the commands also returns its report.
+func (c *Client) Send(ctx context.Context, s core.SendCommands, allowed func() bool) (core.CommandOutcome, *core.Report) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
 	case <-ctx.Done():
 		return core.NotSent, nil
 	}
-	if !may() {
+	if !allowed() {
 		return core.NotSent, nil
 	}
 	if len(s.Commands) == 0 {
@@ -58,8 +59,8 @@
 	if err != nil {
 		return core.NotSent, nil
 	}
-	// The transport sends a POST a second time only where nothing of the first
-	// was written, so an error after that means "possibly executed".
+	// The transport repeats a POST only if nothing of the first one was written, so an error
+	// after that means that the commands may have been executed.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Address+wire.CommandsPath, bytes.NewReader(b))
 	if err != nil {
 		return core.NotSent, nil
