--- a/internal/configclient/await.go
+++ b/internal/configclient/await.go
@@ -47,11 +47,12 @@
 	return err
 }
 
-// NotReady returns the controllers that may not follow the configuration: those that have never
-// recorded support for it, and those that a peer reports as an earlier version of the program. A
-// controller that recorded support and has no acknowledgement now is down or cut off; after
-// clusterconfig.InForceAfter it makes no decisions by an old version. A controller in Absent is
-// included only if it leads without recorded support, or if a peer reports it as an earlier version.
+// NotReady returns the controllers that may not follow the configuration: those that acknowledge it
+// in an older format, those that have never recorded support for it, and those that a peer reports
+// as an earlier version of the program. A controller that recorded support and has no
+// acknowledgement now is down or cut off; after clusterconfig.InForceAfter it makes no decisions by
+// an old version. A controller in Absent without an acknowledgement is included only if it leads
+// without recorded support, or if a peer reports it as an earlier version.
 func (c *Client) NotReady(v *View) []string {
 	var out []string
 	for _, name := range c.allControllers(v) {
