--- a/cmd/aspenstall/notify.go
+++ b/cmd/aspenstall/notify.go
@@ -42,16 +42,16 @@
 
 // run sends a command to a controller and prints the response.
 func (c *notifyCmd) run(command string, w io.Writer) error {
-	ask := &control.Ask{}
+	ask := &control.Request{}
 	switch words := strings.Fields(command); control.Op(words[1]) {
 	case control.List:
 		ask.Op = control.List
 	case control.Show:
-		ask.Op, ask.Sub = control.Show, c.Show.Subscription
+		ask.Op, ask.Subscription = control.Show, c.Show.Subscription
 	case control.Retry:
-		ask = &control.Ask{Op: control.Retry, Sub: c.Retry.Subscription, Job: c.Retry.Job, Kind: c.Retry.Event}
+		ask = &control.Request{Op: control.Retry, Subscription: c.Retry.Subscription, Job: c.Retry.Job, Kind: c.Retry.Event}
 	case control.Drop:
-		ask = &control.Ask{Op: control.Drop, Sub: c.Drop.Subscription, Job: c.Drop.Job, Kind: c.Drop.Event}
+		ask = &control.Request{Op: control.Drop, Subscription: c.Drop.Subscription, Job: c.Drop.Job, Kind: c.Drop.Event}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	if (ask.Op == control.Retry || ask.Op == control.Drop) && !out.Done {
+	if (ask.Op == control.Retry || ask.Op == control.Drop) && !out.Succeeded {
 		return errors.New("no such notification is put aside, or it is being delivered now")
 	}
 	if c.Output == "json" {
@@ -71,17 +71,17 @@
 	switch ask.Op {
 	case control.List:
 		fmt.Fprintln(t, "SUBSCRIPTION\tRECEIVER\tWAITING\tASIDE")
-		for _, s := range out.Subs {
+		for _, s := range out.Subscriptions {
 			waiting := fmt.Sprint(s.Waiting)
 			if s.More {
 				waiting += " and more"
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%d\n", s.Name, s.Receiver, waiting, s.Aside)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%d\n", s.Name, s.Receiver, waiting, s.DeadLetters)
 		}
 	case control.Show:
 		fmt.Fprintln(t, "SUBSCRIPTION\tJOB\tEVENT\tAT\tWHY")
-		for _, d := range out.Dead {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", d.Sub, d.Job, d.Kind, d.At.Format(time.RFC3339), d.Why)
+		for _, d := range out.DeadLetters {
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", d.Subscription, d.Job, d.Kind, d.At.Format(time.RFC3339), d.Reason)
 		}
 	default:
 		fmt.Fprintln(t, "done")
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -64,7 +64,7 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	res, err := scale.New(s, os.Stderr).Do(ctx, scale.Programs{Binary: c.Binary, Last: c.Last}, dir)
+	res, err := scale.New(s, os.Stderr).Execute(ctx, scale.Programs{Binary: c.Binary, LastBinary: c.Last}, dir)
 	if err != nil {
 		return err
 	}
@@ -73,8 +73,8 @@
 		return err
 	}
 	scale.WriteSummary(os.Stdout, res)
-	if len(res.RulesBroken) > 0 {
-		return fmt.Errorf("%d rules were broken", len(res.RulesBroken))
+	if len(res.Violations) > 0 {
+		return fmt.Errorf("%d rules were broken", len(res.Violations))
 	}
 	return nil
 }
--- a/cmd/scalerun/names_test.go
+++ b/cmd/scalerun/names_test.go
@@ -10,7 +10,7 @@
 )
 
 // commands lists commands, arguments and flags with what scripts go by.
-func commands(n *kong.Node, path string) string {
+func describeCommands(n *kong.Node, path string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", path)
 	for _, p := range n.Positional {
@@ -28,7 +28,7 @@
 		if c == n.DefaultCmd {
 			name += " (default)"
 		}
-		b.WriteString(commands(c, name))
+		b.WriteString(describeCommands(c, name))
 	}
 	return b.String()
 }
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile("testdata/commands.txt")
-	if got := commands(k.Model.Node, "scalerun"); err != nil || got != string(want) {
+	if got := describeCommands(k.Model.Node, "scalerun"); err != nil || got != string(want) {
 		t.Errorf("got\n%swant\n%s%v", got, want, err)
 	}
 }
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -154,10 +154,10 @@
 	}
 	var body strings.Builder
 	message := deliver.Message{Key: "k", Kind: "done", Job: "job-1", Team: "t", Class: "c", Time: time.Unix(0, 0).UTC()}
-	if err := reach.Body.Execute(&body, message); err != nil || body.String() != "k done job-1 t c 1970-01-01 00:00:00 +0000 UTC" {
+	if err := reach.BodyTemplate.Execute(&body, message); err != nil || body.String() != "k done job-1 t c 1970-01-01 00:00:00 +0000 UTC" {
 		t.Errorf("body %q, %v", body.String(), err)
 	}
-	reach.TLS, reach.Body = nil, nil
+	reach.TLS, reach.BodyTemplate = nil, nil
 	hash := func(b byte) Hash { return Hash(bytes.Repeat([]byte{b}, 32)) }
 	want := Settings{
 		LeaderLeaseS: 1.5, AnswerGraceS: 2.5, IdleReturnS: 3.5, RefusalPauseS: 4.5, HoldS: 5.5, QuarantineS: 6.5, SuspectS: 7.5, SpareTasks: 8, ListEveryS: 9.5,
@@ -170,16 +170,16 @@
 			Listen: "127.0.0.1:16",
 			Receivers: []NotifyReceiver{{
 				KeepsKeys: true,
-				Limits:    notify.Receiver{Name: "desk", PerSecond: 20.5, InFlight: 21, MaxAge: 19_500_000},
+				Limits:    notify.Receiver{Name: "desk", PerSecond: 20.5, MaxInFlight: 21, MaxMessageAge: 19_500_000},
 				Delivery: deliver.Receiver{
-					Name: "desk", URL: "http://h/17", Ask: "http://h/18", Type: "text/plain", Timeout: 22_500 * time.Millisecond,
+					Name: "desk", URL: "http://h/17", LookupURL: "http://h/18", ContentType: "text/plain", Timeout: 22_500 * time.Millisecond,
 					Secrets: [][]byte{[]byte("sixteen bytes, and more"), []byte("sixteen other bytes")},
 				},
 			}},
 			Subscriptions: []notify.Subscription{
-				{Name: "s1", Team: "blue", Class: "train", Receiver: "desk", Kinds: []notify.Kind{0, 5, 6}, Promise: 0, Deadline: 23_500_000},
-				{Name: "s2", Receiver: "desk", Kinds: []notify.Kind{5}, Promise: 1, Deadline: 86_400_000_000},
-				{Name: "s3", Receiver: "desk", Kinds: []notify.Kind{6}, Promise: 2, Deadline: 86_400_000_000},
+				{Name: "s1", Team: "blue", Class: "train", Receiver: "desk", Kinds: []notify.Kind{0, 5, 6}, DeliveryGuarantee: 0, Deadline: 23_500_000},
+				{Name: "s2", Receiver: "desk", Kinds: []notify.Kind{5}, DeliveryGuarantee: 1, Deadline: 86_400_000_000},
+				{Name: "s3", Receiver: "desk", Kinds: []notify.Kind{6}, DeliveryGuarantee: 2, Deadline: 86_400_000_000},
 			},
 		},
 	}
--- a/internal/config/notify.go
+++ b/internal/config/notify.go
@@ -98,14 +98,14 @@
 
 // readReceiver parses a receiver's settings and reads the files that they name.
 func readReceiver(dir, name string, b edn.RawMessage) (NotifyReceiver, error) {
-	r := NotifyReceiver{Limits: notify.Receiver{Name: name, InFlight: 4}, Delivery: deliver.Receiver{Name: name}}
+	r := NotifyReceiver{Limits: notify.Receiver{Name: name, MaxInFlight: 4}, Delivery: deliver.Receiver{Name: name}}
 	var timeout, maxAge float64
 	var secrets []string
 	var body, ca, cert, key string
 	err := ednmap.ParseMap(b, map[string]ednmap.Parser{
-		"url": ednmap.String(&r.Delivery.URL), "keeps-keys": boolean(&r.KeepsKeys), "ask-url": ednmap.String(&r.Delivery.Ask), "max-age-s": ednmap.Number(1, 86400, &maxAge),
-		"per-s": ednmap.Number(0.01, 10_000, &r.Limits.PerSecond), "in-flight": ednmap.Integer(1, 1000, &r.Limits.InFlight), "timeout-s": ednmap.Number(0.1, 300, &timeout),
-		"secret-files": ednmap.Strings(&secrets), "body-file": ednmap.String(&body), "content-type": ednmap.String(&r.Delivery.Type),
+		"url": ednmap.String(&r.Delivery.URL), "keeps-keys": boolean(&r.KeepsKeys), "ask-url": ednmap.String(&r.Delivery.LookupURL), "max-age-s": ednmap.Number(1, 86400, &maxAge),
+		"per-s": ednmap.Number(0.01, 10_000, &r.Limits.PerSecond), "in-flight": ednmap.Integer(1, 1000, &r.Limits.MaxInFlight), "timeout-s": ednmap.Number(0.1, 300, &timeout),
+		"secret-files": ednmap.Strings(&secrets), "body-file": ednmap.String(&body), "content-type": ednmap.String(&r.Delivery.ContentType),
 		"ca-file": ednmap.String(&ca), "cert-file": ednmap.String(&cert), "key-file": ednmap.String(&key),
 	})
 	if err != nil {
@@ -114,15 +114,15 @@
 	for _, u := range []struct {
 		name, url string
 		needed    bool
-	}{{":url", r.Delivery.URL, true}, {":ask-url", r.Delivery.Ask, false}} {
+	}{{":url", r.Delivery.URL, true}, {":ask-url", r.Delivery.LookupURL, false}} {
 		if p, err := url.Parse(u.url); u.needed && u.url == "" || u.url != "" && (err != nil || p.Host == "" || p.Scheme != "http" && p.Scheme != "https") {
 			return r, fmt.Errorf("%s: want an http or https URL, not %q", u.name, u.url)
 		}
 	}
-	if (r.Delivery.Ask == "") != (maxAge == 0) {
+	if (r.Delivery.LookupURL == "") != (maxAge == 0) {
 		return r, errors.New(":ask-url and :max-age-s go together: the receiver has to refuse notifications older than :max-age-s")
 	}
-	r.Limits.MaxAge, r.Delivery.Timeout = core.Seconds(maxAge), time.Duration(timeout*float64(time.Second))
+	r.Limits.MaxMessageAge, r.Delivery.Timeout = core.Seconds(maxAge), time.Duration(timeout*float64(time.Second))
 	if len(secrets) > 2 {
 		return r, errors.New(":secret-files: want one, or two while one is being replaced")
 	}
@@ -137,7 +137,7 @@
 		}
 		r.Delivery.Secrets = append(r.Delivery.Secrets, s)
 	}
-	if (body == "") != (r.Delivery.Type == "") {
+	if (body == "") != (r.Delivery.ContentType == "") {
 		return r, errors.New(":body-file and :content-type go together")
 	}
 	if body != "" {
@@ -145,7 +145,7 @@
 		if err != nil {
 			return r, err
 		}
-		if r.Delivery.Body, err = deliver.ParseBody(body, string(t)); err != nil {
+		if r.Delivery.BodyTemplate, err = deliver.ParseBody(body, string(t)); err != nil {
 			return r, fmt.Errorf(":body-file: %w", err)
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 // promisesByName are the delivery guarantees that a subscription may set.
-var promisesByName = map[string]notify.Promise{"exactly": notify.Exactly, "at-least": notify.AtLeast, "at-most": notify.AtMost}
+var promisesByName = map[string]notify.DeliveryGuarantee{"exactly": notify.ExactlyOnce, "at-least": notify.AtLeastOnce, "at-most": notify.AtMostOnce}
 
 // allowedKinds are the events that a subscription may name: those that are written together with
 // a record.
@@ -231,10 +231,10 @@
 	if !ok {
 		return s, fmt.Errorf(":promise: want :exactly, :at-least or :at-most, not :%s", promise)
 	}
-	if r := receivers[i]; p == notify.Exactly && !r.KeepsKeys && r.Delivery.Ask == "" {
+	if r := receivers[i]; p == notify.ExactlyOnce && !r.KeepsKeys && r.Delivery.LookupURL == "" {
 		return s, fmt.Errorf(":promise: receiver %q neither keeps keys nor can be asked, so that :exactly cannot be promised; choose :at-least or :at-most", s.Receiver)
 	}
-	s.Promise = p
+	s.DeliveryGuarantee = p
 	return s, nil
 }
 
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -23,53 +23,53 @@
 )
 
 // most is how many tests may be passed over.
-const most = 3
+const maxEntries = 3
 
 // known is a line of the file.
-type known struct{ test, line string }
+type knownFailure struct{ test, line string }
 
-var form = regexp.MustCompile(`^(Test[A-Za-z0-9_]*(?:/[^:\s]+)*): (\S.*); issue [0-9]+$`)
+var entryPattern = regexp.MustCompile(`^(Test[A-Za-z0-9_]*(?:/[^:\s]+)*): (\S.*); issue [0-9]+$`)
 
 // parse reads the file's lines; an empty one names nothing.
-func parse(r io.Reader) ([]known, error) {
-	var out []known
+func parseEntries(r io.Reader) ([]knownFailure, error) {
+	var out []knownFailure
 	s := bufio.NewScanner(r)
 	for s.Scan() {
 		line := strings.TrimSpace(s.Text())
 		if line == "" {
 			continue
 		}
-		m := form.FindStringSubmatch(line)
+		m := entryPattern.FindStringSubmatch(line)
 		if m == nil {
 			return nil, fmt.Errorf("malformed line: %q; want \"Test/sub: cause; issue N\"", line)
 		}
-		if len(out) == most {
-			return nil, fmt.Errorf("more than %d lines", most)
+		if len(out) == maxEntries {
+			return nil, fmt.Errorf("more than %d lines", maxEntries)
 		}
-		out = append(out, known{m[1], line})
+		out = append(out, knownFailure{m[1], line})
 	}
 	return out, s.Err()
 }
 
 // event is a line of what go test -json prints.
-type event struct {
+type testEvent struct {
 	Action, Package, Test, Output string
 }
 
 // verdict is what came of a run of all tests.
-type verdict struct {
-	ran    map[string]bool     // tests, of any package
-	failed map[string]bool     // "package test"; a package that failed without one: "package "
-	output map[string][]string // by the same
-	ended  []string            // packages that a test ended with a panic: the rest of it did not run
+type testResults struct {
+	ran      map[string]bool     // tests, of any package
+	failed   map[string]bool     // "package test"; a package that failed without one: "package "
+	output   map[string][]string // by the same
+	panicked []string            // packages that a test ended with a panic: the rest of it did not run
 }
 
 // judge reads the events of a run; it copies to out what go test would print without -v.
-func judge(events io.Reader, out io.Writer) (verdict, error) {
-	v := verdict{ran: map[string]bool{}, failed: map[string]bool{}, output: map[string][]string{}}
+func readEvents(events io.Reader, out io.Writer) (testResults, error) {
+	v := testResults{ran: map[string]bool{}, failed: map[string]bool{}, output: map[string][]string{}}
 	dec := json.NewDecoder(events)
 	for {
-		var e event
+		var e testEvent
 		if err := dec.Decode(&e); errors.Is(err, io.EOF) {
 			return v, nil
 		} else if err != nil {
@@ -85,7 +85,7 @@
 			}
 			v.output[key] = append(v.output[key], e.Output)
 			if strings.HasPrefix(e.Output, "panic: ") {
-				v.ended = append(v.ended, key)
+				v.panicked = append(v.panicked, key)
 			}
 		case "fail", "build-fail":
 			v.failed[key] = true
@@ -95,7 +95,7 @@
 
 // unknown lists the failures that are not known, the innermost tests only: a test fails with
 // its subtests, and a package with its tests.
-func (v verdict) unknown(list []known) (out []string, err error) {
+func (v testResults) unexpectedFailures(list []knownFailure) (out []string, err error) {
 	excused := map[string]bool{}
 	for _, k := range list {
 		if !v.ran[k.test] {
@@ -114,7 +114,7 @@
 			out = append(out, key)
 		}
 	}
-	for _, key := range v.ended {
+	for _, key := range v.panicked {
 		if !slices.Contains(out, key) {
 			out = append(out, key)
 		}
@@ -123,10 +123,10 @@
 }
 
 func run(path string) error {
-	var list []known
+	var list []knownFailure
 	f, err := os.Open(path)
 	if err == nil {
-		list, err = parse(f)
+		list, err = parseEntries(f)
 		_ = f.Close()
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -137,11 +137,11 @@
 	var events bytes.Buffer
 	cmd.Stdout = &events
 	status := cmd.Run()
-	v, err := judge(&events, os.Stdout)
+	v, err := readEvents(&events, os.Stdout)
 	if err != nil {
 		return err
 	}
-	bad, err := v.unknown(list)
+	bad, err := v.unexpectedFailures(list)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestParse(t *testing.T) {
+func TestParseEntries(t *testing.T) {
 	const good = "TestDays/a_day: a late write takes a record; issue 36\n"
 	for _, c := range []struct {
 		what, text string
@@ -23,7 +23,7 @@
 		{"no issue", "TestDays: late", 0, false},
 		{"no test", "Days: late; issue 36", 0, false},
 	} {
-		got, err := parse(strings.NewReader(c.text))
+		got, err := parseEntries(strings.NewReader(c.text))
 		if len(got) != c.lines && c.ok || (err == nil) != c.ok {
 			t.Errorf("%s: %v, %v", c.what, got, err)
 		}
@@ -31,7 +31,7 @@
 }
 
 // TestUnknown: only what is listed is passed over, neither its neighbours nor the package.
-func TestUnknown(t *testing.T) {
+func TestUnexpectedFailures(t *testing.T) {
 	one := func(action, test string) string {
 		return fmt.Sprintf(`{"Action":%q,"Package":"p","Test":%q}`+"\n", action, test)
 	}
@@ -52,15 +52,15 @@
 		{"a known one that takes the others with it", ran + `{"Action":"output","Package":"p","Test":"TestB","Output":"panic: oh\n"}` + "\n" + one("fail", "TestB") + one("fail", ""), []string{"TestB"}, []string{"p TestB"}, false},
 		{"it does not build", `{"ImportPath":"p","Action":"build-fail"}` + "\n" + one("fail", ""), nil, []string{" ", "p "}, false},
 	} {
-		v, err := judge(strings.NewReader(c.events), io.Discard)
+		v, err := readEvents(strings.NewReader(c.events), io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var list []known
+		var list []knownFailure
 		for _, name := range c.list {
-			list = append(list, known{test: name})
+			list = append(list, knownFailure{test: name})
 		}
-		bad, err := v.unknown(list)
+		bad, err := v.unexpectedFailures(list)
 		slices.Sort(bad)
 		if !slices.Equal(bad, c.bad) || (err != nil) != c.err {
 			t.Errorf("%s: %q, %v; want %q", c.what, bad, err, c.bad)
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -136,7 +136,7 @@
 }
 
 func TestOutboxNames(t *testing.T) {
-	letter := notify.DeadLetter{Sub: "s", Why: "w", Event: notify.Event{Job: "job-1", Team: "t", Class: "c", Kind: notify.Done, Revision: 2, At: 3}}
+	letter := notify.DeadLetter{Subscription: "s", Reason: "w", Event: notify.Event{Job: "job-1", Team: "t", Class: "c", Kind: notify.Done, Revision: 2, At: 3}}
 	record := &deadLetterRecord{Sub: "s", Job: "job-1", Team: "t", Class: "c", Kind: "done", Revision: 2, At: 3, Why: "w"}
 	allSet(t, "dead letter", reflect.ValueOf(*record), map[string]string{})
 	allSet(t, "dead letter", reflect.ValueOf(letter), map[string]string{})
@@ -144,10 +144,10 @@
 	n := &Node{started: time.Now(), log: slog.New(slog.DiscardHandler)}
 	n.committer = committer{n: n, backgroundNotBefore: core.MaxMicros} // it sends nothing
 	n.saveOutbox(&term{}, nil, notify.Save{
-		ID: 1, Marks: []notify.Mark{{Sub: "s", To: 4}, {Sub: "q", To: 5}},
-		Put:  []notify.Chunk{{ChunkKey: notify.ChunkKey{Sub: "s", Chunk: 6}, Bitmap: bitmap}},
-		Drop: []notify.ChunkKey{{Sub: "s", Chunk: 7}},
-		Dead: []notify.DeadLetter{letter}, Alive: []notify.DeadLetter{{Sub: "s", Event: notify.Event{Job: "job-8", Kind: notify.Cancelled}}},
+		ID: 1, Watermarks: []notify.Watermark{{Subscription: "s", Revision: 4}, {Subscription: "q", Revision: 5}},
+		PutChunks:      []notify.Chunk{{ChunkKey: notify.ChunkKey{Subscription: "s", Chunk: 6}, Bitmap: bitmap}},
+		DeleteChunks:   []notify.ChunkKey{{Subscription: "s", Chunk: 7}},
+		PutDeadLetters: []notify.DeadLetter{letter}, DeleteDeadLetters: []notify.DeadLetter{{Subscription: "s", Event: notify.Event{Job: "job-8", Kind: notify.Cancelled}}},
 	})
 	var got []string
 	for _, op := range n.committer.backgroundQueue[0].ops {
@@ -161,13 +161,13 @@
 		t.Errorf("keys %q, want %q", got, want)
 	}
 
-	box := notify.New(notify.Config{Subs: []notify.Subscription{{Name: "s", Receiver: "r"}}, Receivers: []notify.Receiver{{Name: "r"}}})
+	box := notify.New(notify.Config{Subscriptions: []notify.Subscription{{Name: "s", Receiver: "r"}}, Receivers: []notify.Receiver{{Name: "r"}}})
 	for _, key := range []string{"o/dead/s/job-1.done", "o/set/s/6"} {
 		if err := loadOutboxRecord(box, wire.Entry{Key: key, Value: packed(t, golden(t, key))}); err != nil {
 			t.Error(err)
 		}
 	}
-	if got := box.Dead("s"); !reflect.DeepEqual(got, []notify.DeadLetter{letter}) {
+	if got := box.DeadLetters("s"); !reflect.DeepEqual(got, []notify.DeadLetter{letter}) {
 		t.Errorf("golden is read as %+v", got)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -226,7 +226,7 @@
 		if n.isActiveLeader() {
 			next = min(next, n.core.NextStepAt())
 			if n.notifier != nil && n.notifier.outbox != nil {
-				next = min(next, n.notifier.outbox.Wake(n.now()))
+				next = min(next, n.notifier.outbox.NextStepAt(n.now()))
 			}
 		}
 		if next != timerAt {
@@ -347,7 +347,7 @@
 	outcome := core.RentUnknown
 	if n.leaseValid() {
 		var err error
-		names, err = n.cloudClient.Rent(n.ctx, wire.RentRequest{Request: a.RequestID, Type: a.Type, Zone: a.Zone, Spot: a.Spot, Count: a.Count})
+		names, err = n.cloudClient.Rent(n.ctx, wire.RentRequest{RequestID: a.RequestID, Type: a.Type, Zone: a.Zone, Spot: a.Spot, Count: a.Count})
 		switch {
 		case err == nil:
 			outcome = core.RentGranted
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -55,7 +55,7 @@
 	}
 	state := n.platform.Params.State
 	return &nomadState{
-		registry:   registry.New(registry.Limits{Ops: state.TxnOps, ValueLen: int(state.ValueKB * 1024)}, nativeJobs{n}),
+		registry:   registry.New(registry.Limits{MaxOps: state.TxnOps, MaxValueBytes: int(state.ValueKB * 1024)}, nativeJobs{n}),
 		maxWaiters: n.settings.Nomad.MaxWatchers,
 		waiters:    map[registry.Name]map[*waiter]bool{}, progressWaiters: map[string]map[*waiter]bool{},
 		countsChangedAt: map[string]core.Micros{},
@@ -70,7 +70,7 @@
 	return rec, ok
 }
 
-func (j nativeJobs) Counts(id string) (done, running int) { return j.n.jobCounts(id) }
+func (j nativeJobs) TaskCounts(id string) (done, running int) { return j.n.jobCounts(id) }
 
 // jobCounts returns the task counts of an unfinished job, as far as this node knows them.
 func (n *Node) jobCounts(id string) (done, running int) {
@@ -86,7 +86,7 @@
 	if s == nil {
 		return
 	}
-	name, changed, err := s.registry.Put(key, value, revision)
+	name, changed, err := s.registry.HandlePut(key, value, revision)
 	if err != nil {
 		n.log.Error("record of a job file", "err", err)
 	}
@@ -117,7 +117,7 @@
 	if s == nil {
 		return
 	}
-	if name, changed := s.registry.Drop(key, revision); changed {
+	if name, changed := s.registry.HandleDelete(key, revision); changed {
 		s.wakeWaiters(name)
 	}
 }
@@ -131,7 +131,7 @@
 	for i := range entries {
 		listed[entries[i].Key] = true
 	}
-	for _, name := range s.registry.Missing(listed, rev) {
+	for _, name := range s.registry.HandleKeyList(listed, rev) {
 		s.wakeWaiters(name)
 	}
 }
@@ -142,7 +142,7 @@
 		return
 	}
 	s.watchCounts(n, rec.Spec.ID)
-	if name, ok := s.registry.NativeChanged(rec.Spec.ID, rec.Revision); ok {
+	if name, ok := s.registry.HandleNativeChange(rec.Spec.ID, rec.Revision); ok {
 		s.wakeWaiters(name)
 	}
 }
@@ -441,7 +441,7 @@
 			switch {
 			case err == nil:
 				learn(rev)
-				n.log.Info("job file", "team", name.Team, "job", name.ID, "started", len(ch.Start), "ended", len(ch.End), "kept", len(ch.Keep), "revision", rev)
+				n.log.Info("job file", "team", name.Team, "job", name.ID, "started", len(ch.Start), "ended", len(ch.Cancel), "kept", len(ch.Keep), "revision", rev)
 				reply(n.registeredState(name, rev), nil)
 			case errors.Is(err, statestore.ErrConflict) && attempts > 1:
 				n.changeJob(attempts-1, reply, plan, name)
@@ -475,7 +475,7 @@
 // changeRequest returns the write of a change, and a function that applies the change once it is
 // written.
 func (n *Node) changeRequest(ch *registry.Change) (req *writeRequest, learn func(rev uint64), err error) {
-	req = &writeRequest{conds: ch.Conds, ops: ch.Puts}
+	req = &writeRequest{conds: ch.Conditions, ops: ch.Writes}
 	if len(ch.Start) > 0 {
 		req.conds = append(req.conds, n.configConditions()...)
 	}
@@ -493,7 +493,7 @@
 			return nil, nil, err
 		}
 	}
-	for _, rec := range ch.End {
+	for _, rec := range ch.Cancel {
 		if err := put(rec.Final(core.Cancelled, wallClock())); err != nil {
 			return nil, nil, err
 		}
@@ -506,7 +506,7 @@
 		if rev <= n.view.revision {
 			return // the watch was faster, and may have delivered later changes
 		}
-		for _, w := range ch.Puts {
+		for _, w := range ch.Writes {
 			if w.Put != "" {
 				n.nomad.putRecord(n, w.Put, w.Value, rev)
 			} else {
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -57,10 +57,10 @@
 // outboxConfig returns the outbox's configuration.
 func (n *Node) outboxConfig() notify.Config {
 	c := notify.Config{
-		Begin: n.now(), Subs: n.settings.Notify.Subscriptions, Window: 1000, SaveGap: 5 * core.Second, ChunkGap: 15 * core.Second,
+		TermStart: n.now(), Subscriptions: n.settings.Notify.Subscriptions, MaxBuffered: 1000, MinSaveInterval: 5 * core.Second, ChunkSaveDelay: 15 * core.Second,
 		// The rest of the transaction is left to writes that jobs wait for.
-		ChunksPerSave: max(n.platform.Params.State.TxnOps/2, 2),
-		FirstRetry:    core.Second, LastRetry: 120 * core.Second,
+		MaxOpsPerSave:  max(n.platform.Params.State.TxnOps/2, 2),
+		InitialBackoff: core.Second, MaxBackoff: 120 * core.Second,
 	}
 	for _, r := range n.settings.Notify.Receivers {
 		c.Receivers = append(c.Receivers, r.Limits)
@@ -114,7 +114,7 @@
 		if _, ok := marks[sub]; !ok {
 			marks[sub], added = start.since, true
 		}
-		box.LoadMark(notify.Mark{Sub: sub, To: marks[sub]})
+		box.LoadWatermark(notify.Watermark{Subscription: sub, Revision: marks[sub]})
 	}
 	if added {
 		v, err := wire.Marshal(marks)
@@ -131,10 +131,10 @@
 	}
 	n.post(func() {
 		n.ifCurrentTerm(t, func() {
-			for _, e := range n.eventsAfter(box.From(), n.view.revision) {
-				box.Event(n.now(), e)
+			for _, e := range n.eventsAfter(box.MinWatermark(), n.view.revision) {
+				box.HandleEvent(n.now(), e)
 			}
-			box.Complete(n.view.revision)
+			box.HandleEventsComplete(n.view.revision)
 			n.notifier.outbox = box
 			n.log.Info("notification delivery started", "subscriptions", len(n.notifier.subscriptions))
 		})
@@ -155,7 +155,7 @@
 		if err := wire.Unmarshal(e.Value, &bitmap); err != nil {
 			return fmt.Errorf("record %s: %w", e.Key, err)
 		}
-		return box.LoadChunk(notify.Chunk{ChunkKey: notify.ChunkKey{Sub: sub, Chunk: c}, Bitmap: bitmap})
+		return box.LoadChunk(notify.Chunk{ChunkKey: notify.ChunkKey{Subscription: sub, Chunk: c}, Bitmap: bitmap})
 	case strings.HasPrefix(e.Key, deadLetterPrefix):
 		var d deadLetterRecord
 		if err := wire.Unmarshal(e.Value, &d); err != nil {
@@ -165,7 +165,7 @@
 		if !ok {
 			return fmt.Errorf("record %s: kind %q", e.Key, d.Kind)
 		}
-		box.LoadDead(notify.DeadLetter{Sub: d.Sub, Why: d.Why, Event: notify.Event{
+		box.LoadDeadLetter(notify.DeadLetter{Subscription: d.Sub, Reason: d.Why, Event: notify.Event{
 			Job: d.Job, Team: d.Team, Class: d.Class, Kind: k, Revision: d.Revision, At: core.Micros(d.At),
 		}})
 	}
@@ -185,7 +185,7 @@
 }
 
 func deadLetterKey(d *notify.DeadLetter) string {
-	return deadLetterPrefix + d.Sub + "/" + d.Event.Job + "." + d.Event.Kind.String()
+	return deadLetterPrefix + d.Subscription + "/" + d.Event.Job + "." + d.Event.Kind.String()
 }
 
 // jobEvents returns the events after a revision that a job's record implies.
@@ -244,9 +244,9 @@
 		}
 	}
 	for _, e := range sortEvents(events) {
-		v.outbox.Event(n.now(), e)
+		v.outbox.HandleEvent(n.now(), e)
 	}
-	v.outbox.Complete(upTo)
+	v.outbox.HandleEventsComplete(upTo)
 }
 
 // stepOutbox carries out the actions of the outbox. The leader's lease must be valid.
@@ -261,16 +261,16 @@
 			go n.deliver(t.token, box, a)
 		case notify.Save:
 			n.saveOutbox(t, box, a)
-		case notify.Page:
+		case notify.FetchEvents:
 			events, upTo, all := n.eventPage(a)
-			box.Events(n.now(), a.Sub, events, upTo, all)
+			box.HandleFetchedEvents(n.now(), a.Subscription, events, upTo, all)
 		}
 	}
 }
 
 // eventPage returns the events that follow those that the outbox holds of a subscription. all
 // reports whether these are all events up to upTo.
-func (n *Node) eventPage(a notify.Page) (events []notify.Event, upTo uint64, all bool) {
+func (n *Node) eventPage(a notify.FetchEvents) (events []notify.Event, upTo uint64, all bool) {
 	events = n.eventsAfter(a.After, n.view.revision)
 	for i, e := range events {
 		if i >= a.Limit && e.Revision > events[i-1].Revision {
@@ -282,17 +282,17 @@
 
 // deliver sends one notification, if the lease is valid, and reports the outcome to the outbox.
 func (n *Node) deliver(token uint64, box *notify.Outbox, a notify.Send) {
-	out, after := notify.NotSent, core.Micros(0)
+	out, after := notify.NotDelivered, core.Micros(0)
 	started := time.Now()
 	if n.leaseValid() {
-		out, after = n.notifier.senders[a.Sub].Send(n.ctx, a, token)
+		out, after = n.notifier.senders[a.Subscription].Send(n.ctx, a, token)
 	}
 	outcomes := [...]string{"delivered", "not accepted", "outcome unknown", "refused"}
-	n.log.Info("notification "+outcomes[out], "subscription", a.Sub, "job", a.Event.Job, "event", a.Event.Kind.String(), "key", a.Key,
+	n.log.Info("notification "+outcomes[out], "subscription", a.Subscription, "job", a.Event.Job, "event", a.Event.Kind.String(), "key", a.Key,
 		"attempt", a.Attempt, "took_ms", time.Since(started).Milliseconds())
 	n.post(func() {
 		if n.notifier.outbox == box {
-			box.Sent(n.now(), a.ID, out, after)
+			box.HandleSendResult(n.now(), a.ID, out, after)
 		}
 	})
 }
@@ -309,29 +309,29 @@
 		}
 		req.ops = append(req.ops, wire.Write{Put: key, Value: b})
 	}
-	if len(a.Marks) > 0 {
+	if len(a.Watermarks) > 0 {
 		marks := map[string]uint64{}
-		for _, m := range a.Marks {
-			marks[m.Sub] = m.To
+		for _, m := range a.Watermarks {
+			marks[m.Subscription] = m.Revision
 		}
 		put(marksKey, marks)
 	}
-	for _, c := range a.Put {
-		put(fmt.Sprintf("%s%s/%d", chunkPrefix, c.Sub, c.Chunk), c.Bitmap)
+	for _, c := range a.PutChunks {
+		put(fmt.Sprintf("%s%s/%d", chunkPrefix, c.Subscription, c.Chunk), c.Bitmap)
 	}
-	for _, d := range a.Dead {
-		n.log.Warn("notification put aside", "subscription", d.Sub, "job", d.Event.Job, "event", d.Event.Kind.String(), "why", d.Why)
-		put(deadLetterKey(&d), &deadLetterRecord{d.Sub, d.Event.Job, d.Event.Team, d.Event.Class, d.Event.Kind.String(), d.Event.Revision, int64(d.Event.At), d.Why})
+	for _, d := range a.PutDeadLetters {
+		n.log.Warn("notification put aside", "subscription", d.Subscription, "job", d.Event.Job, "event", d.Event.Kind.String(), "why", d.Reason)
+		put(deadLetterKey(&d), &deadLetterRecord{d.Subscription, d.Event.Job, d.Event.Team, d.Event.Class, d.Event.Kind.String(), d.Event.Revision, int64(d.Event.At), d.Reason})
 	}
-	for _, k := range a.Drop {
-		req.ops = append(req.ops, wire.Write{Delete: fmt.Sprintf("%s%s/%d", chunkPrefix, k.Sub, k.Chunk)})
+	for _, k := range a.DeleteChunks {
+		req.ops = append(req.ops, wire.Write{Delete: fmt.Sprintf("%s%s/%d", chunkPrefix, k.Subscription, k.Chunk)})
 	}
-	for _, d := range a.Alive {
+	for _, d := range a.DeleteDeadLetters {
 		req.ops = append(req.ops, wire.Write{Delete: deadLetterKey(&d)})
 	}
 	saved := func(ok bool) {
 		if n.notifier.outbox == box {
-			box.Saved(n.now(), a.ID, ok)
+			box.HandleSaveResult(n.now(), a.ID, ok)
 		}
 	}
 	req.done = func(_ uint64, err error) {
@@ -350,21 +350,21 @@
 
 // ControlNotifications carries out an operator's request. It fails with ErrNoLeader if this node
 // does not lead or has not started delivery.
-func (n *Node) ControlNotifications(ctx context.Context, a *control.Ask) (*control.Answer, error) {
-	return callWithError(ctx, n, control.ErrNoLeader, func(reply func(*control.Answer, error)) {
+func (n *Node) ControlNotifications(ctx context.Context, a *control.Request) (*control.Response, error) {
+	return callWithError(ctx, n, control.ErrNoLeader, func(reply func(*control.Response, error)) {
 		if n.notifier == nil || n.notifier.outbox == nil || !n.leaseValid() {
 			reply(nil, control.ErrNoLeader)
 			return
 		}
 		if a.Op == control.Retry || a.Op == control.Drop {
-			n.log.Info("operator request on notifications", "op", string(a.Op), "subscription", a.Sub, "job", a.Job, "event", a.Kind)
+			n.log.Info("operator request on notifications", "op", string(a.Op), "subscription", a.Subscription, "job", a.Job, "event", a.Kind)
 		}
-		reply(control.Do(n.notifier.outbox, n.settings.Notify.Subscriptions, n.now(), a))
+		reply(control.Execute(n.notifier.outbox, n.settings.Notify.Subscriptions, n.now(), a))
 	})
 }
 
 // Notifications has the leader carry out an operator's request. It works on any node.
-func (n *Node) Notifications(ctx context.Context, a *control.Ask) (*control.Answer, error) {
+func (n *Node) Notifications(ctx context.Context, a *control.Request) (*control.Response, error) {
 	c, here := n.leaderClient(ctx)
 	switch {
 	case here:
--- a/internal/nomad/httpapi/allocs.go
+++ b/internal/nomad/httpapi/allocs.go
@@ -158,7 +158,7 @@
 func unitsOf(r *registry.Registry, j *registry.Job, index uint64) []unit {
 	var out []unit
 	for i, g := range j.Groups {
-		rec, _ := r.Native(g.Native)
+		rec, _ := r.NativeRecord(g.Native)
 		out = append(out, unit{job: *j, group: i, rec: rec, index: index})
 	}
 	return out
--- a/internal/nomad/httpapi/jobs.go
+++ b/internal/nomad/httpapi/jobs.go
@@ -120,7 +120,7 @@
 	return registry.Registration{
 		Name:   registry.Name{Team: q.team, ID: job.ID},
 		Stub:   registry.Stub{Title: job.Name, Type: job.Type, Priority: job.Priority, Datacenters: job.Datacenters},
-		Source: src, Groups: groups, Enforce: reg.EnforceIndex, Index: reg.JobModifyIndex,
+		Source: src, Groups: groups, EnforceIndex: reg.EnforceIndex, ExpectedIndex: reg.JobModifyIndex,
 	}, err
 }
 
@@ -287,7 +287,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Enforce = false
+	r.EnforceIndex = false
 	ctx, cancel := q.work()
 	defer cancel()
 	ch, old, err := q.b.Plan(ctx, r)
--- a/internal/nomad/httpapi/server_test.go
+++ b/internal/nomad/httpapi/server_test.go
@@ -22,7 +22,7 @@
 type backend struct{ healthy bool }
 
 func (backend) Look(_ context.Context, q Query, see func(*registry.Registry)) (uint64, error) {
-	see(registry.New(registry.Limits{Ops: 12, ValueLen: 4096}, nil))
+	see(registry.New(registry.Limits{MaxOps: 12, MaxValueBytes: 4096}, nil))
 	return max(q.After, 1), nil
 }
 func (backend) Register(context.Context, registry.Registration) (Registered, error) {
--- a/internal/nomad/httpapi/views.go
+++ b/internal/nomad/httpapi/views.go
@@ -74,7 +74,7 @@
 		CreateIndex: j.CreateIndex, ModifyIndex: r.ModifyIndex(j),
 	}
 	for _, g := range j.Groups {
-		t := r.Tally(g)
+		t := r.TaskCounts(g)
 		s.Summary[g.Name] = groupSummary{Queued: t.Queued, Complete: t.Complete, Running: t.Running}
 	}
 	return s
@@ -158,7 +158,7 @@
 	for _, id := range ch.Keep {
 		kept[id] = true
 	}
-	for _, rec := range ch.End {
+	for _, rec := range ch.Cancel {
 		ended[rec.Spec.ID] = rec.Spec.Tasks
 	}
 	keptGroup := map[string]bool{}
@@ -255,7 +255,7 @@
 		e.TriggeredBy = "job-deregister"
 	}
 	for _, g := range j.Groups {
-		e.QueuedAllocations[g.Name] = r.Tally(g).Queued
+		e.QueuedAllocations[g.Name] = r.TaskCounts(g).Queued
 	}
 	return e
 }
--- a/internal/nomad/registry/change.go
+++ b/internal/nomad/registry/change.go
@@ -16,47 +16,47 @@
 	Groups []translate.Group // what it becomes
 	// Enforce makes it valid only if the job's JobModifyIndex is Index; 0 for a
 	// job that is not there.
-	Enforce bool
-	Index   uint64
+	EnforceIndex  bool
+	ExpectedIndex uint64
 }
 
 // ConflictError says that a job is not as its registration expects.
-type ConflictError struct{ Want, Have uint64 }
+type ConflictError struct{ Expected, Actual uint64 }
 
 func (e *ConflictError) Error() string {
 	switch {
-	case e.Want == 0:
+	case e.Expected == 0:
 		return "Enforcing job modify index 0: job already exists"
-	case e.Have == 0:
-		return fmt.Sprintf("Enforcing job modify index %d: job does not exist", e.Want)
+	case e.Actual == 0:
+		return fmt.Sprintf("Enforcing job modify index %d: job does not exist", e.Expected)
 	}
-	return fmt.Sprintf("Enforcing job modify index %d: job exists with conflicting job modify index: %d", e.Want, e.Have)
+	return fmt.Sprintf("Enforcing job modify index %d: job exists with conflicting job modify index: %d", e.Expected, e.Actual)
 }
 
 // TooLargeError says that a job does not fit into the state service's limits.
-type TooLargeError struct{ Why string }
+type TooLargeError struct{ Reason string }
 
-func (e *TooLargeError) Error() string { return e.Why }
+func (e *TooLargeError) Error() string { return e.Reason }
 
 // Change is what a registration or deregistration writes, all or nothing.
 type Change struct {
-	Conds []wire.Cond
-	Puts  []wire.Write
-	Start []core.JobSpec   // native jobs to be made
-	End   []core.JobRecord // native jobs to be cancelled, each if it is still as here
+	Conditions []wire.Cond
+	Writes     []wire.Write
+	Start      []core.JobSpec   // native jobs to be made
+	Cancel     []core.JobRecord // native jobs to be cancelled, each if it is still as here
 	// Keep are native jobs that go on, unchanged.
 	Keep []string
 }
 
 // Empty reports whether nothing is to be written.
-func (c *Change) Empty() bool { return len(c.Puts) == 0 }
+func (c *Change) Empty() bool { return len(c.Writes) == 0 }
 
-func encode(key string, v any) (wire.Write, error) {
+func encodePut(key string, v any) (wire.Write, error) {
 	b, err := wire.Marshal(v)
 	return wire.Write{Put: key, Value: b}, err
 }
 
-func (h *head) put(key string) (wire.Write, error) { return encode(headPrefix+key, h) }
+func (h *jobRecord) encodePut(key string) (wire.Write, error) { return encodePut(jobPrefix+key, h) }
 
 // Register works out the change that a registration makes. The same content as
 // the current version changes nothing, which is also what a retry finds whose
@@ -70,8 +70,8 @@
 		return nil, err
 	}
 	old := r.jobs[reg.Name]
-	same := old != nil && !old.Stopped && old.current() == packed
-	if err := reg.enforce(old, same); err != nil {
+	same := old != nil && !old.Stopped && old.currentSource() == packed
+	if err := reg.checkIndex(old, same); err != nil {
 		return nil, err
 	}
 	ch := &Change{}
@@ -82,16 +82,16 @@
 		return ch, nil
 	}
 	key := jobKey(reg.Name)
-	h := &head{Stub: reg.Stub, Team: reg.Team, ID: reg.ID, At: int64(now)}
-	cond := wire.Cond{Key: headPrefix + key}
+	h := &jobRecord{Stub: reg.Stub, Team: reg.Team, ID: reg.ID, At: int64(now)}
+	cond := wire.Cond{Key: jobPrefix + key}
 	if old != nil {
 		h.Version, h.Create, h.Before = old.Version+1, old.CreateIndex, old.JobModifyIndex
 		cond.ModRevision = old.JobModifyIndex
 	}
-	ch.Conds = append(ch.Conds, cond)
+	ch.Conditions = append(ch.Conditions, cond)
 	kept := map[string]bool{}
 	for _, g := range reg.Groups {
-		native := r.unchanged(old, g)
+		native := r.reusableNative(old, g)
 		if native != "" {
 			kept[native] = true
 			ch.Keep = append(ch.Keep, native)
@@ -103,54 +103,54 @@
 		}
 		h.Groups = append(h.Groups, Group{Name: g.Name, Native: native, Digest: g.Digest})
 	}
-	r.end(ch, old, kept)
-	src, err := encode(sourceKey(key, h.Version), &source{Packed: packed, At: int64(now)})
+	r.cancelNatives(ch, old, kept)
+	src, err := encodePut(sourceKey(key, h.Version), &sourceRecord{Packed: packed, At: int64(now)})
 	if err != nil {
 		return nil, err
 	}
-	hd, err := h.put(key)
+	hd, err := h.encodePut(key)
 	if err != nil {
 		return nil, err
 	}
 	for _, w := range []wire.Write{src, hd} {
-		if n := len(w.Value) + 100; n > r.limits.ValueLen {
-			return nil, &TooLargeError{fmt.Sprintf("the job takes %d bytes when packed; this deployment's state service holds %d", n, r.limits.ValueLen)}
+		if n := len(w.Value) + 100; n > r.limits.MaxValueBytes {
+			return nil, &TooLargeError{fmt.Sprintf("the job takes %d bytes when packed; this deployment's state service holds %d", n, r.limits.MaxValueBytes)}
 		}
 	}
-	ch.Puts = append(ch.Puts, hd, src)
-	if old != nil && len(old.versions) >= r.limits.kept() {
-		ch.Puts = append(ch.Puts, wire.Write{Delete: sourceKey(key, old.versions[0].number)})
+	ch.Writes = append(ch.Writes, hd, src)
+	if old != nil && len(old.versions) >= r.limits.maxVersions() {
+		ch.Writes = append(ch.Writes, wire.Write{Delete: sourceKey(key, old.versions[0].number)})
 	}
-	return ch, r.fits(ch)
+	return ch, r.checkLimits(ch)
 }
 
 // fits reports whether a change is within the limits. Jobs are held to them
 // when they are registered, so only lowered limits can be in its way.
-func (r *Registry) fits(ch *Change) error {
-	if n := len(ch.Puts) + len(ch.Start) + len(ch.End); n > r.limits.Ops {
-		return &TooLargeError{fmt.Sprintf("the change has %d parts; this deployment's state service takes %d at once", n, r.limits.Ops)}
+func (r *Registry) checkLimits(ch *Change) error {
+	if n := len(ch.Writes) + len(ch.Start) + len(ch.Cancel); n > r.limits.MaxOps {
+		return &TooLargeError{fmt.Sprintf("the change has %d parts; this deployment's state service takes %d at once", n, r.limits.MaxOps)}
 	}
 	return nil
 }
 
 // enforce checks a registration's index. What a retry of it sees is its own
 // work, if the content is the same and it replaced what it expected.
-func (reg *Registration) enforce(old *Job, same bool) error {
-	if !reg.Enforce {
+func (reg *Registration) checkIndex(old *Job, same bool) error {
+	if !reg.EnforceIndex {
 		return nil
 	}
 	have := uint64(0)
 	if old != nil {
 		have = old.JobModifyIndex
 	}
-	if have == reg.Index || same && old.before == reg.Index {
+	if have == reg.ExpectedIndex || same && old.previousModifyIndex == reg.ExpectedIndex {
 		return nil
 	}
-	return &ConflictError{reg.Index, have}
+	return &ConflictError{reg.ExpectedIndex, have}
 }
 
 // unchanged is the native job that serves a group already, "" for none.
-func (r *Registry) unchanged(old *Job, g translate.Group) string {
+func (r *Registry) reusableNative(old *Job, g translate.Group) string {
 	if old == nil || old.Stopped {
 		return ""
 	}
@@ -164,13 +164,13 @@
 }
 
 // end adds that the old job's native jobs end, but for those that are kept.
-func (r *Registry) end(ch *Change, old *Job, kept map[string]bool) {
+func (r *Registry) cancelNatives(ch *Change, old *Job, kept map[string]bool) {
 	if old == nil {
 		return
 	}
 	for _, g := range old.Groups {
 		if rec, ok := r.natives.Record(g.Native); ok && rec.Phase == core.Pending && !kept[g.Native] {
-			ch.End = append(ch.End, rec)
+			ch.Cancel = append(ch.Cancel, rec)
 		}
 	}
 }
@@ -187,37 +187,37 @@
 		return ch, nil
 	}
 	key := jobKey(n)
-	ch.Conds = append(ch.Conds, wire.Cond{Key: headPrefix + key, ModRevision: old.JobModifyIndex})
-	r.end(ch, old, nil)
+	ch.Conditions = append(ch.Conditions, wire.Cond{Key: jobPrefix + key, ModRevision: old.JobModifyIndex})
+	r.cancelNatives(ch, old, nil)
 	if purge {
-		ch.Puts = append(ch.Puts, wire.Write{Delete: headPrefix + key})
+		ch.Writes = append(ch.Writes, wire.Write{Delete: jobPrefix + key})
 		for _, v := range old.versions {
-			ch.Puts = append(ch.Puts, wire.Write{Delete: sourceKey(key, v.number)})
+			ch.Writes = append(ch.Writes, wire.Write{Delete: sourceKey(key, v.number)})
 		}
-		g, err := encode(goneKey(n.Team), &gone{n.Team})
+		g, err := encodePut(purgeKey(n.Team), &purgeRecord{n.Team})
 		if err != nil {
 			return nil, err
 		}
-		ch.Puts = append(ch.Puts, g)
-		return ch, r.fits(ch)
+		ch.Writes = append(ch.Writes, g)
+		return ch, r.checkLimits(ch)
 	}
-	h := &head{
+	h := &jobRecord{
 		Stub: old.Stub, Team: n.Team, ID: n.ID, Version: old.Version, Stopped: true, At: int64(old.Submitted),
 		Groups: old.Groups, Create: old.CreateIndex, Before: old.JobModifyIndex,
 	}
-	hd, err := h.put(key)
+	hd, err := h.encodePut(key)
 	if err != nil {
 		return nil, err
 	}
-	ch.Puts = append(ch.Puts, hd)
-	return ch, r.fits(ch)
+	ch.Writes = append(ch.Writes, hd)
+	return ch, r.checkLimits(ch)
 }
 
 // current is the packed source of the current version, "" if it is not kept.
-func (j *Job) current() string {
+func (j *Job) currentSource() string {
 	for _, v := range j.versions {
 		if v.number == j.Version {
-			return v.packed
+			return v.source
 		}
 	}
 	return ""
--- a/internal/nomad/registry/names_test.go
+++ b/internal/nomad/registry/names_test.go
@@ -128,12 +128,12 @@
 		name  string
 		value any // a pointer to it
 	}{
-		{"head", &head{
+		{"head", &jobRecord{
 			Team: "t", ID: "i", Version: 1, Groups: []Group{{Name: "n", Native: "job-2", Digest: "d"}}, Stopped: true, At: 3, Create: 4, Before: 5,
 			Stub: Stub{Title: "ti", Type: "ty", Priority: 6, Datacenters: []string{"dc"}},
 		}},
-		{"gone", &gone{Team: "t"}},
-		{"source", &source{Packed: "p", At: 1}},
+		{"gone", &purgeRecord{Team: "t"}},
+		{"source", &sourceRecord{Packed: "p", At: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			allSet(t, c.name, reflect.ValueOf(c.value), map[string]string{})
@@ -152,9 +152,9 @@
 
 func TestKeys(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{Prefix, "c/nomad/"}, {headPrefix, "c/nomad/job/"}, {sourcePrefix, "c/nomad/src/"}, {gonePrefix, "c/nomad/gone/"},
+		{Prefix, "c/nomad/"}, {jobPrefix, "c/nomad/job/"}, {sourcePrefix, "c/nomad/src/"}, {purgePrefix, "c/nomad/gone/"},
 		{sourceKey("k", 7), "c/nomad/src/k/7"},
-		{goneKey("team"), "c/nomad/gone/ca8b22d0db83a22db163b560b3e4e51527e533d31d067b614a0c33c4d2df8432"},
+		{purgeKey("team"), "c/nomad/gone/ca8b22d0db83a22db163b560b3e4e51527e533d31d067b614a0c33c4d2df8432"},
 		{jobKey(Name{Team: "team", ID: "id"}), "8197593ea53d657dd9b172c882835d774964eabc472b342c4e1e488197f10538"},
 	} {
 		if c.got != c.want {
@@ -164,7 +164,7 @@
 }
 
 // A packed source of an earlier version is read.
-func TestPacked(t *testing.T) {
+func TestUnpackEarlierSource(t *testing.T) {
 	if b, err := Unpack("q1bydFGyUkpUqgUA"); err != nil || string(b) != `{"ID":"a"}` {
 		t.Errorf("got %q, %v", b, err)
 	}
--- a/internal/nomad/registry/record.go
+++ b/internal/nomad/registry/record.go
@@ -22,24 +22,24 @@
 const Prefix = "c/nomad/"
 
 const (
-	headPrefix   = Prefix + "job/"
+	jobPrefix    = Prefix + "job/"
 	sourcePrefix = Prefix + "src/"
-	gonePrefix   = Prefix + "gone/"
+	purgePrefix  = Prefix + "gone/"
 )
 
 // gone is a team's record that is written with every purge, so that the team's
 // index does not go back when a node starts anew and reads what is left.
-type gone struct {
+type purgeRecord struct {
 	Team string `msgpack:"t"`
 }
 
-func goneKey(team string) string {
+func purgeKey(team string) string {
 	h := sha256.Sum256([]byte(team))
-	return gonePrefix + hex.EncodeToString(h[:])
+	return purgePrefix + hex.EncodeToString(h[:])
 }
 
 // head is a job's record.
-type head struct {
+type jobRecord struct {
 	Team    string  `msgpack:"t"`
 	ID      string  `msgpack:"i"`
 	Version uint64  `msgpack:"v"`
@@ -52,7 +52,7 @@
 }
 
 // source is a version's job, packed.
-type source struct {
+type sourceRecord struct {
 	Packed string `msgpack:"p"`
 	At     int64  `msgpack:"at"`
 }
@@ -84,7 +84,7 @@
 }
 
 // maxSource bounds what a packed source may unpack to.
-const maxSource = 4 << 20
+const maxSourceBytes = 4 << 20
 
 // Unpack is the reverse of Pack.
 func Unpack(s string) ([]byte, error) {
@@ -92,40 +92,40 @@
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxSource))
+	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxSourceBytes))
 }
 
 // Put takes over a record that was written, and tells whose it is, a job's or
 // with an empty ID a team's; a record that is older than what is known is
 // passed over.
-func (r *Registry) Put(key string, value []byte, stamp uint64) (Name, bool, error) {
+func (r *Registry) HandlePut(key string, value []byte, stamp uint64) (Name, bool, error) {
 	if rest, ok := strings.CutPrefix(key, sourcePrefix); ok {
 		id, number, _ := strings.Cut(rest, "/")
 		v, err := strconv.ParseUint(number, 10, 64)
 		if err != nil {
 			return Name{}, false, fmt.Errorf("record %s: %w", key, err)
 		}
-		var s source
+		var s sourceRecord
 		if err := wire.Unmarshal(value, &s); err != nil {
 			return Name{}, false, fmt.Errorf("record %s: %w", key, err)
 		}
-		r.putSource(id, version{v, s.Packed, stamp, core.Micros(s.At)})
+		r.addVersion(id, version{v, s.Packed, stamp, core.Micros(s.At)})
 		return Name{}, false, nil
 	}
-	if strings.HasPrefix(key, gonePrefix) {
-		var g gone
+	if strings.HasPrefix(key, purgePrefix) {
+		var g purgeRecord
 		if err := wire.Unmarshal(value, &g); err != nil {
 			return Name{}, false, fmt.Errorf("record %s: %w", key, err)
 		}
-		changed := stamp > r.index[g.Team]
-		r.index[g.Team] = max(r.index[g.Team], stamp)
+		changed := stamp > r.teamIndex[g.Team]
+		r.teamIndex[g.Team] = max(r.teamIndex[g.Team], stamp)
 		return Name{Team: g.Team}, changed, nil
 	}
-	id, ok := strings.CutPrefix(key, headPrefix)
+	id, ok := strings.CutPrefix(key, jobPrefix)
 	if !ok {
 		return Name{}, false, nil
 	}
-	var h head
+	var h jobRecord
 	if err := wire.Unmarshal(value, &h); err != nil {
 		return Name{}, false, fmt.Errorf("record %s: %w", key, err)
 	}
@@ -136,25 +136,25 @@
 	}
 	j := &Job{
 		Name: n, Stub: h.Stub, Version: h.Version, Groups: h.Groups, Stopped: h.Stopped, Submitted: core.Micros(h.At),
-		JobModifyIndex: stamp, CreateIndex: cmp.Or(h.Create, stamp), before: h.Before,
+		JobModifyIndex: stamp, CreateIndex: cmp.Or(h.Create, stamp), previousModifyIndex: h.Before,
 	}
 	if old != nil {
 		j.versions = old.versions
-		r.forgetNatives(old)
+		r.unindexNatives(old)
 	} else {
-		j.versions = r.orphans[id]
-		delete(r.orphans, id)
+		j.versions = r.orphanedSources[id]
+		delete(r.orphanedSources, id)
 	}
 	for _, g := range j.Groups {
 		r.byNative[g.Native] = j
 	}
-	r.jobs[n], r.keys[id] = j, n
+	r.jobs[n], r.namesByKey[id] = j, n
 	// A whole list has native jobs before the jobs that they are of.
-	r.index[n.Team] = max(r.index[n.Team], r.ModifyIndex(j))
+	r.teamIndex[n.Team] = max(r.teamIndex[n.Team], r.ModifyIndex(j))
 	return n, true, nil
 }
 
-func (r *Registry) forgetNatives(j *Job) {
+func (r *Registry) unindexNatives(j *Job) {
 	for _, g := range j.Groups {
 		if r.byNative[g.Native] == j {
 			delete(r.byNative, g.Native)
@@ -162,27 +162,27 @@
 	}
 }
 
-func (r *Registry) putSource(id string, v version) {
+func (r *Registry) addVersion(id string, v version) {
 	add := func(list []version) []version {
 		i, found := slices.BinarySearchFunc(list, v.number, func(o version, n uint64) int { return cmp.Compare(o.number, n) })
 		switch {
 		case !found:
 			return slices.Insert(slices.Clone(list), i, v)
-		case list[i].stamp < v.stamp:
+		case list[i].revision < v.revision:
 			list = slices.Clone(list)
 			list[i] = v
 		}
 		return list
 	}
-	if n, ok := r.keys[id]; ok {
+	if n, ok := r.namesByKey[id]; ok {
 		r.jobs[n].versions = add(r.jobs[n].versions)
 	} else {
-		r.orphans[id] = add(r.orphans[id])
+		r.orphanedSources[id] = add(r.orphanedSources[id])
 	}
 }
 
 // Drop takes over that a record was deleted, and tells whose it was.
-func (r *Registry) Drop(key string, stamp uint64) (Name, bool) {
+func (r *Registry) HandleDelete(key string, stamp uint64) (Name, bool) {
 	if rest, ok := strings.CutPrefix(key, sourcePrefix); ok {
 		id, number, _ := strings.Cut(rest, "/")
 		v, err := strconv.ParseUint(number, 10, 64)
@@ -190,19 +190,19 @@
 			return Name{}, false
 		}
 		drop := func(list []version) []version {
-			return slices.DeleteFunc(slices.Clone(list), func(o version) bool { return o.number == v && o.stamp < stamp })
+			return slices.DeleteFunc(slices.Clone(list), func(o version) bool { return o.number == v && o.revision < stamp })
 		}
-		if n, ok := r.keys[id]; ok {
+		if n, ok := r.namesByKey[id]; ok {
 			r.jobs[n].versions = drop(r.jobs[n].versions)
-		} else if list := drop(r.orphans[id]); len(list) > 0 {
-			r.orphans[id] = list
+		} else if list := drop(r.orphanedSources[id]); len(list) > 0 {
+			r.orphanedSources[id] = list
 		} else {
-			delete(r.orphans, id)
+			delete(r.orphanedSources, id)
 		}
 		return Name{}, false
 	}
-	id, ok := strings.CutPrefix(key, headPrefix)
-	n, known := r.keys[id]
+	id, ok := strings.CutPrefix(key, jobPrefix)
+	n, known := r.namesByKey[id]
 	if !ok || !known {
 		return Name{}, false
 	}
@@ -210,30 +210,30 @@
 	if j.JobModifyIndex >= stamp {
 		return n, false
 	}
-	r.forgetNatives(j)
+	r.unindexNatives(j)
 	delete(r.jobs, n)
-	delete(r.keys, id)
-	r.gone = append(r.gone, Gone{n, stamp})
-	if len(r.gone) > maxGone {
-		r.gone = slices.Delete(r.gone, 0, len(r.gone)-maxGone)
+	delete(r.namesByKey, id)
+	r.purged = append(r.purged, PurgedJob{n, stamp})
+	if len(r.purged) > maxPurged {
+		r.purged = slices.Delete(r.purged, 0, len(r.purged)-maxPurged)
 	}
 	return n, true
 }
 
 // Missing takes over a whole list of keys as of a revision: what is known and
 // not in it was deleted. It tells whose records those were.
-func (r *Registry) Missing(have map[string]bool, revision uint64) []Name {
+func (r *Registry) HandleKeyList(have map[string]bool, revision uint64) []Name {
 	var out []Name
-	for id, n := range r.keys {
+	for id, n := range r.namesByKey {
 		for _, v := range r.jobs[n].versions {
-			if k := sourceKey(id, v.number); !have[k] && v.stamp <= revision {
-				r.Drop(k, v.stamp+1)
+			if k := sourceKey(id, v.number); !have[k] && v.revision <= revision {
+				r.HandleDelete(k, v.revision+1)
 			}
 		}
-		if !have[headPrefix+id] && r.jobs[n].JobModifyIndex <= revision {
+		if !have[jobPrefix+id] && r.jobs[n].JobModifyIndex <= revision {
 			// When is not known; the team's record of purges, which is in the
 			// list, says by when at the latest.
-			if _, ok := r.Drop(headPrefix+id, r.index[n.Team]); ok {
+			if _, ok := r.HandleDelete(jobPrefix+id, r.teamIndex[n.Team]); ok {
 				out = append(out, n)
 			}
 		}
@@ -245,8 +245,8 @@
 func (j *Job) Source(number uint64) (b []byte, index uint64, at core.Micros, err error) {
 	for _, v := range j.versions {
 		if v.number == number {
-			b, err = Unpack(v.packed)
-			return b, v.stamp, v.at, err
+			b, err = Unpack(v.source)
+			return b, v.revision, v.submitted, err
 		}
 	}
 	return nil, 0, 0, fmt.Errorf("version %d of %s is not kept", number, j.ID)
--- a/internal/nomad/registry/registry.go
+++ b/internal/nomad/registry/registry.go
@@ -50,68 +50,68 @@
 	// CreateIndex of the first.
 	JobModifyIndex, CreateIndex uint64
 
-	before   uint64 // JobModifyIndex that the last registration replaced
-	versions []version
+	previousModifyIndex uint64 // JobModifyIndex that the last registration replaced
+	versions            []version
 }
 
 // version is a version's source.
 type version struct {
-	number uint64
-	packed string
-	stamp  uint64
-	at     core.Micros
+	number    uint64
+	source    string
+	revision  uint64
+	submitted core.Micros
 }
 
 // Gone is a job that was purged.
-type Gone struct {
+type PurgedJob struct {
 	Name
 	Index uint64
 }
 
 // Natives tells of native jobs.
-type Natives interface {
+type NativeJobs interface {
 	// Record is a native job's record; ok is false if there is none.
 	Record(id string) (core.JobRecord, bool)
 	// Counts says how far an unfinished native job has come.
-	Counts(id string) (done, running int)
+	TaskCounts(id string) (done, running int)
 }
 
 // Registry is all that is known. Its methods must not be called at once.
 type Registry struct {
-	natives  Natives
-	limits   Limits
-	jobs     map[Name]*Job
-	orphans  map[string][]version // sources by their job's key, whose head has not come
-	keys     map[string]Name
-	byNative map[string]*Job
-	index    map[string]uint64 // last change by team
-	gone     []Gone            // the last purged, the oldest first
+	natives         NativeJobs
+	limits          Limits
+	jobs            map[Name]*Job
+	orphanedSources map[string][]version // sources by their job's key, whose head has not come
+	namesByKey      map[string]Name
+	byNative        map[string]*Job
+	teamIndex       map[string]uint64 // last change by team
+	purged          []PurgedJob       // the last purged, the oldest first
 }
 
 // maxGone is how many purged jobs event streams that resume are still told of.
-const maxGone = 1000
+const maxPurged = 1000
 
 // Limits are the state service's, for one transaction.
 type Limits struct {
-	Ops      int // puts and deletes
-	ValueLen int // bytes of a value, as JSON
+	MaxOps        int // puts and deletes
+	MaxValueBytes int // bytes of a value, as JSON
 }
 
 // New returns an empty registry.
-func New(l Limits, n Natives) *Registry {
+func New(l Limits, n NativeJobs) *Registry {
 	return &Registry{
-		natives: n, limits: l, jobs: map[Name]*Job{}, orphans: map[string][]version{}, keys: map[string]Name{},
-		byNative: map[string]*Job{}, index: map[string]uint64{},
+		natives: n, limits: l, jobs: map[Name]*Job{}, orphanedSources: map[string][]version{}, namesByKey: map[string]Name{},
+		byNative: map[string]*Job{}, teamIndex: map[string]uint64{},
 	}
 }
 
 // MaxGroups is the largest number of groups in a job: a new version has to end
 // the old groups and begin the new ones in one transaction, with the job's
 // record, its source, and a source that is no longer kept.
-func (l Limits) MaxGroups() int { return max((l.Ops-3)/2, 1) }
+func (l Limits) MaxGroups() int { return max((l.MaxOps-3)/2, 1) }
 
 // kept is how many versions of a job are kept, so that a purge fits too.
-func (l Limits) kept() int { return max(min(6, l.Ops-2-l.MaxGroups()), 1) }
+func (l Limits) maxVersions() int { return max(min(6, l.MaxOps-2-l.MaxGroups()), 1) }
 
 // Get returns a job, nil if there is none.
 func (r *Registry) Get(n Name) *Job { return r.jobs[n] }
@@ -131,7 +131,7 @@
 }
 
 // Native is a native job's record.
-func (r *Registry) Native(id string) (core.JobRecord, bool) { return r.natives.Record(id) }
+func (r *Registry) NativeRecord(id string) (core.JobRecord, bool) { return r.natives.Record(id) }
 
 // List lists a team's jobs whose names begin with prefix, by name.
 func (r *Registry) List(team, prefix string) []*Job {
@@ -146,7 +146,7 @@
 }
 
 // TeamIndex is the index of the last change to any job of a team.
-func (r *Registry) TeamIndex(team string) uint64 { return r.index[team] }
+func (r *Registry) TeamIndex(team string) uint64 { return r.teamIndex[team] }
 
 // Index is the index of the last change to a job; for one that is not there, of
 // the last change to its team, since that may have been its purge.
@@ -154,7 +154,7 @@
 	if j := r.jobs[n]; j != nil {
 		return r.ModifyIndex(j)
 	}
-	return r.index[n.Team]
+	return r.teamIndex[n.Team]
 }
 
 // ModifyIndex is the index of the last change to a job or its native jobs.
@@ -169,9 +169,9 @@
 }
 
 // Purged lists a team's jobs that were purged after an index, the oldest first.
-func (r *Registry) Purged(team string, after uint64) []Gone {
-	var out []Gone
-	for _, g := range r.gone {
+func (r *Registry) Purged(team string, after uint64) []PurgedJob {
+	var out []PurgedJob
+	for _, g := range r.purged {
 		if g.Team == team && g.Index > after {
 			out = append(out, g)
 		}
@@ -190,22 +190,22 @@
 )
 
 // Tally is how far a group has come.
-type Tally struct{ Queued, Running, Complete, Stopped int }
+type TaskCounts struct{ Queued, Running, Complete, Stopped int }
 
 // Tally counts a group's tasks.
-func (r *Registry) Tally(g Group) Tally {
+func (r *Registry) TaskCounts(g Group) TaskCounts {
 	rec, ok := r.natives.Record(g.Native)
 	if !ok {
-		return Tally{}
+		return TaskCounts{}
 	}
 	switch rec.Phase {
 	case core.Done:
-		return Tally{Complete: rec.Spec.Tasks}
+		return TaskCounts{Complete: rec.Spec.Tasks}
 	case core.Cancelled:
-		return Tally{Stopped: rec.Spec.Tasks}
+		return TaskCounts{Stopped: rec.Spec.Tasks}
 	}
-	done, running := r.natives.Counts(g.Native)
-	return Tally{Queued: max(rec.Spec.Tasks-done-running, 0), Running: running, Complete: done}
+	done, running := r.natives.TaskCounts(g.Native)
+	return TaskCounts{Queued: max(rec.Spec.Tasks-done-running, 0), Running: running, Complete: done}
 }
 
 // Status is a job's state: dead once all its native jobs are over.
@@ -213,7 +213,7 @@
 	open, running := false, false
 	for _, g := range j.Groups {
 		if rec, ok := r.natives.Record(g.Native); ok && rec.Phase == core.Pending {
-			_, n := r.natives.Counts(g.Native)
+			_, n := r.natives.TaskCounts(g.Native)
 			open, running = true, running || n > 0
 		}
 	}
@@ -227,11 +227,11 @@
 }
 
 // NativeChanged notes that a native job's record changed, and tells whose it is.
-func (r *Registry) NativeChanged(id string, stamp uint64) (Name, bool) {
+func (r *Registry) HandleNativeChange(id string, stamp uint64) (Name, bool) {
 	j := r.byNative[id]
 	if j == nil {
 		return Name{}, false
 	}
-	r.index[j.Team] = max(r.index[j.Team], stamp)
+	r.teamIndex[j.Team] = max(r.teamIndex[j.Team], stamp)
 	return j.Name, true
 }
--- a/internal/notify/control/control.go
+++ b/internal/notify/control/control.go
@@ -30,106 +30,106 @@
 )
 
 // Ask is a request.
-type Ask struct {
-	Op   Op     `json:"op" msgpack:"o"`
-	Sub  string `json:"subscription,omitempty" msgpack:"s,omitempty"`
-	Job  string `json:"job,omitempty" msgpack:"j,omitempty"`
-	Kind string `json:"event,omitempty" msgpack:"k,omitempty"`
+type Request struct {
+	Op           Op     `json:"op" msgpack:"o"`
+	Subscription string `json:"subscription,omitempty" msgpack:"s,omitempty"`
+	Job          string `json:"job,omitempty" msgpack:"j,omitempty"`
+	Kind         string `json:"event,omitempty" msgpack:"k,omitempty"`
 }
 
 // Answer is what comes back.
-type Answer struct {
-	Subs []Sub    `json:"subscriptions,omitempty" msgpack:"s,omitempty"`
-	Dead []Letter `json:"aside,omitempty" msgpack:"d,omitempty"`
-	Done bool     `json:"done" msgpack:"ok"` // of Retry and Drop: there was one, and it is as was wanted
+type Response struct {
+	Subscriptions []SubscriptionStatus `json:"subscriptions,omitempty" msgpack:"s,omitempty"`
+	DeadLetters   []DeadLetter         `json:"aside,omitempty" msgpack:"d,omitempty"`
+	Succeeded     bool                 `json:"done" msgpack:"ok"` // of Retry and Drop: there was one, and it is as was wanted
 }
 
 // Sub is how a subscription stands.
-type Sub struct {
-	Name     string `json:"name" msgpack:"n"`
-	Receiver string `json:"receiver" msgpack:"r"`
-	Waiting  int    `json:"waiting" msgpack:"w"` // in memory, undelivered
-	More     bool   `json:"more" msgpack:"m"`    // there are others behind them
-	Aside    int    `json:"aside" msgpack:"d"`
+type SubscriptionStatus struct {
+	Name        string `json:"name" msgpack:"n"`
+	Receiver    string `json:"receiver" msgpack:"r"`
+	Waiting     int    `json:"waiting" msgpack:"w"` // in memory, undelivered
+	More        bool   `json:"more" msgpack:"m"`    // there are others behind them
+	DeadLetters int    `json:"aside" msgpack:"d"`
 }
 
 // Letter is a notification that was put aside.
-type Letter struct {
-	Sub  string    `json:"subscription" msgpack:"s"`
-	Job  string    `json:"job" msgpack:"j"`
-	Kind string    `json:"event" msgpack:"k"`
-	At   time.Time `json:"at" msgpack:"at"`
-	Key  string    `json:"key" msgpack:"y"`
-	Why  string    `json:"why" msgpack:"w"`
+type DeadLetter struct {
+	Subscription string    `json:"subscription" msgpack:"s"`
+	Job          string    `json:"job" msgpack:"j"`
+	Kind         string    `json:"event" msgpack:"k"`
+	At           time.Time `json:"at" msgpack:"at"`
+	Key          string    `json:"key" msgpack:"y"`
+	Reason       string    `json:"why" msgpack:"w"`
 }
 
 // ErrNoLeader: nobody delivers now.
 var ErrNoLeader = errors.New("no controller delivers now; try again")
 
 // Do carries out a request on a leader's outbox.
-func Do(box *notify.Outbox, subs []notify.Subscription, now core.Micros, a *Ask) (*Answer, error) {
-	out := &Answer{}
-	known := a.Sub == ""
+func Execute(box *notify.Outbox, subs []notify.Subscription, now core.Micros, a *Request) (*Response, error) {
+	out := &Response{}
+	known := a.Subscription == ""
 	for _, s := range subs {
-		if a.Sub != "" && s.Name != a.Sub {
+		if a.Subscription != "" && s.Name != a.Subscription {
 			continue
 		}
 		known = true
-		dead := box.Dead(s.Name)
+		dead := box.DeadLetters(s.Name)
 		waiting, more := box.Undelivered(s.Name)
-		out.Subs = append(out.Subs, Sub{s.Name, s.Receiver, waiting, more, len(dead)})
+		out.Subscriptions = append(out.Subscriptions, SubscriptionStatus{s.Name, s.Receiver, waiting, more, len(dead)})
 		if a.Op == List {
 			continue
 		}
 		for _, d := range dead {
-			out.Dead = append(out.Dead, Letter{d.Sub, d.Event.Job, d.Event.Kind.String(), time.UnixMicro(int64(d.Event.At)).UTC(), notify.Key(d.Sub, &d.Event), d.Why})
+			out.DeadLetters = append(out.DeadLetters, DeadLetter{d.Subscription, d.Event.Job, d.Event.Kind.String(), time.UnixMicro(int64(d.Event.At)).UTC(), notify.IdempotencyKey(d.Subscription, &d.Event), d.Reason})
 		}
 	}
 	if !known {
-		return nil, fmt.Errorf("there is no subscription %q", a.Sub)
+		return nil, fmt.Errorf("there is no subscription %q", a.Subscription)
 	}
 	kind, ok := notify.ParseKind(a.Kind)
 	switch a.Op {
 	case List, Show:
 		return out, nil
 	case Retry, Drop:
-		if !ok || a.Sub == "" || a.Job == "" {
+		if !ok || a.Subscription == "" || a.Job == "" {
 			return nil, errors.New("name a subscription, a job and an event")
 		}
 	default:
 		return nil, fmt.Errorf("there is no operation %q", a.Op)
 	}
-	out = &Answer{}
+	out = &Response{}
 	if a.Op == Drop {
-		out.Done = box.Drop(a.Sub, a.Job, kind)
+		out.Succeeded = box.DeleteDeadLetter(a.Subscription, a.Job, kind)
 	} else {
-		out.Done = box.Retry(now, a.Sub, a.Job, kind)
+		out.Succeeded = box.RetryDeadLetter(now, a.Subscription, a.Job, kind)
 	}
 	return out, nil
 }
 
 // Backend asks the leader.
 type Backend interface {
-	Notifications(ctx context.Context, a *Ask) (*Answer, error)
+	Notifications(ctx context.Context, a *Request) (*Response, error)
 }
 
 const (
 	// Path is where the handler is.
-	Path    = "/notify"
-	maxBody = 16 << 10
-	limit   = 5 * time.Second
+	Path            = "/notify"
+	maxRequestBytes = 16 << 10
+	requestTimeout  = 5 * time.Second
 )
 
 // Handler serves operators.
 func Handler(b Backend) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, r *http.Request) {
-		var a Ask
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&a); err != nil {
+		var a Request
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&a); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), limit)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
 		out, err := b.Notifications(ctx, &a)
 		switch {
@@ -147,7 +147,7 @@
 }
 
 // Call sends a request to a controller at an address.
-func Call(ctx context.Context, c *http.Client, address string, a *Ask) (*Answer, error) {
+func Call(ctx context.Context, c *http.Client, address string, a *Request) (*Response, error) {
 	b, err := json.Marshal(a)
 	if err != nil {
 		return nil, err
@@ -168,6 +168,6 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.New(strings.TrimSpace(string(text)))
 	}
-	var out Answer
+	var out Response
 	return &out, json.Unmarshal(text, &out)
 }
--- a/internal/notify/control/names_test.go
+++ b/internal/notify/control/names_test.go
@@ -161,11 +161,11 @@
 		name  string
 		value any // a pointer to it
 	}{
-		{"ask", &Ask{Op: Retry, Sub: "s", Job: "job-1", Kind: "done"}},
-		{"answer", &Answer{
-			Subs: []Sub{{Name: "n", Receiver: "r", Waiting: 1, More: true, Aside: 2}},
-			Dead: []Letter{{Sub: "s", Job: "job-3", Kind: "done", At: at, Key: "y", Why: "w"}},
-			Done: true,
+		{"ask", &Request{Op: Retry, Subscription: "s", Job: "job-1", Kind: "done"}},
+		{"answer", &Response{
+			Subscriptions: []SubscriptionStatus{{Name: "n", Receiver: "r", Waiting: 1, More: true, DeadLetters: 2}},
+			DeadLetters:   []DeadLetter{{Subscription: "s", Job: "job-3", Kind: "done", At: at, Key: "y", Reason: "w"}},
+			Succeeded:     true,
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -194,15 +194,15 @@
 
 // utc has the times of an answer in UTC: MessagePack keeps no place.
 func utc(v any) any {
-	if a, ok := v.(*Answer); ok {
-		for i := range a.Dead {
-			a.Dead[i].At = a.Dead[i].At.UTC()
+	if a, ok := v.(*Response); ok {
+		for i := range a.DeadLetters {
+			a.DeadLetters[i].At = a.DeadLetters[i].At.UTC()
 		}
 	}
 	return v
 }
 
-func TestWords(t *testing.T) {
+func TestOperationNames(t *testing.T) {
 	if got, want := []Op{List, Show, Retry, Drop}, []Op{"list", "show", "retry", "drop"}; !reflect.DeepEqual(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
--- a/internal/notify/deliver/deliver.go
+++ b/internal/notify/deliver/deliver.go
@@ -32,19 +32,19 @@
 
 // Header names of a delivery.
 const (
-	HeaderKey       = "Idempotency-Key"
-	HeaderToken     = "Aspenstall-Token"     // of the leader's term: a receiver may refuse a lower one than it has seen
-	HeaderTimestamp = "Aspenstall-Timestamp" // seconds since 1970
-	HeaderSignature = "Aspenstall-Signature" // "v1=" and a MAC in hexadecimal for each valid secret, with commas between
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderToken          = "Aspenstall-Token"     // of the leader's term: a receiver may refuse a lower one than it has seen
+	HeaderTimestamp      = "Aspenstall-Timestamp" // seconds since 1970
+	HeaderSignature      = "Aspenstall-Signature" // "v1=" and a MAC in hexadecimal for each valid secret, with commas between
 )
 
 const (
-	maxAnswer   = 4 << 10 // of a receiver's answer is read
-	maxBody     = 64 << 10
-	maxAfter    = time.Hour // a receiver's Retry-After counts up to this
-	breakAfter  = 5         // failures in a row
-	breakFor    = 30 * time.Second
-	defaultTime = 10 * time.Second
+	maxResponseBytes = 4 << 10 // of a receiver's answer is read
+	maxBodyBytes     = 64 << 10
+	maxRetryAfter    = time.Hour // a receiver's Retry-After counts up to this
+	breakerThreshold = 5         // failures in a row
+	breakerTimeout   = 30 * time.Second
+	defaultTimeout   = 10 * time.Second
 )
 
 // Receiver is how one receiver is reached.
@@ -53,12 +53,12 @@
 	URL  string
 	// Ask is where it is asked whether it has seen a key, for one that keeps none:
 	// it answers 200 for a key that it has seen, and 404.
-	Ask     string
-	Secrets [][]byte           // the first signs; both do while one is being replaced
-	Body    *template.Template // of a Message; nil for CloudEvents
-	Type    string             // the body's content type, with Body
-	TLS     *tls.Config
-	Timeout time.Duration // of an attempt; 0: 10 s
+	LookupURL    string
+	Secrets      [][]byte           // the first signs; both do while one is being replaced
+	BodyTemplate *template.Template // of a Message; nil for CloudEvents
+	ContentType  string             // the body's content type, with Body
+	TLS          *tls.Config
+	Timeout      time.Duration // of an attempt; 0: 10 s
 }
 
 // Message is what a body is made of. It is the same in every attempt.
@@ -82,23 +82,23 @@
 
 // Sender delivers to one receiver.
 type Sender struct {
-	r       Receiver
-	http    *http.Client
-	breaker *gobreaker.CircuitBreaker[result]
+	receiver Receiver
+	client   *http.Client
+	breaker  *gobreaker.CircuitBreaker[result]
 }
 
 // result is what became of an attempt.
 type result struct {
-	out   notify.Outcome
-	after time.Duration
+	outcome    notify.Outcome
+	retryAfter time.Duration
 }
 
 // New returns a sender; connections are made with dial.
 func New(r Receiver, dial netdial.Func) *Sender {
 	if r.Timeout == 0 {
-		r.Timeout = defaultTime
+		r.Timeout = defaultTimeout
 	}
-	s := &Sender{r: r, http: &http.Client{
+	s := &Sender{receiver: r, client: &http.Client{
 		Transport: &http.Transport{
 			DialContext: dial, TLSClientConfig: r.TLS, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute,
 			MaxResponseHeaderBytes: 16 << 10, DisableCompression: true,
@@ -107,106 +107,106 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 	s.breaker = gobreaker.NewCircuitBreaker[result](gobreaker.Settings{
-		Name: r.Name, Timeout: breakFor, MaxRequests: 1,
-		ReadyToTrip: func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= breakAfter },
+		Name: r.Name, Timeout: breakerTimeout, MaxRequests: 1,
+		ReadyToTrip: func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= breakerThreshold },
 	})
 	return s
 }
 
 // errAttempt tells the breaker that an attempt failed.
-var errAttempt = errors.New("attempt failed")
+var errAttemptFailed = errors.New("attempt failed")
 
 // Send makes one attempt, under the leader's token, and says what became of it
 // and when the receiver wants to be asked again, 0 if it does not say. It
 // returns before ctx ends or soon after.
 func (s *Sender) Send(ctx context.Context, a notify.Send, token uint64) (notify.Outcome, core.Micros) {
-	ctx, cancel := context.WithTimeout(ctx, s.r.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, s.receiver.Timeout)
 	defer cancel()
 	res, err := s.breaker.Execute(func() (result, error) {
-		if s.r.Ask != "" && a.Ask {
-			switch seen, res := s.ask(ctx, a.Key); {
+		if s.receiver.LookupURL != "" && a.PossiblyDelivered {
+			switch seen, res := s.lookUpKey(ctx, a.Key); {
 			case res != nil:
-				return *res, errAttempt
+				return *res, errAttemptFailed
 			case seen:
-				return result{out: notify.Delivered}, nil
+				return result{outcome: notify.Delivered}, nil
 			}
 		}
 		res := s.post(ctx, a, token)
-		if res.out == notify.Delivered || res.out == notify.Rejected {
+		if res.outcome == notify.Delivered || res.outcome == notify.Rejected {
 			return res, nil // the receiver is well
 		}
-		return res, errAttempt
+		return res, errAttemptFailed
 	})
-	if err != nil && !errors.Is(err, errAttempt) {
-		return notify.NotSent, core.Micros(breakFor / time.Microsecond / 4) // the breaker is open
+	if err != nil && !errors.Is(err, errAttemptFailed) {
+		return notify.NotDelivered, core.Micros(breakerTimeout / time.Microsecond / 4) // the breaker is open
 	}
-	return res.out, core.Micros(min(res.after, maxAfter) / time.Microsecond)
+	return res.outcome, core.Micros(min(res.retryAfter, maxRetryAfter) / time.Microsecond)
 }
 
 // ask asks the receiver whether it has seen a key; a result if it does not say.
-func (s *Sender) ask(ctx context.Context, key string) (seen bool, res *result) {
-	u, err := url.Parse(s.r.Ask)
+func (s *Sender) lookUpKey(ctx context.Context, key string) (seen bool, res *result) {
+	u, err := url.Parse(s.receiver.LookupURL)
 	if err != nil {
-		return false, &result{out: notify.NotSent}
+		return false, &result{outcome: notify.NotDelivered}
 	}
 	q := u.Query()
 	q.Set("key", key)
 	u.RawQuery = q.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
-		return false, &result{out: notify.NotSent}
+		return false, &result{outcome: notify.NotDelivered}
 	}
-	resp, err := s.http.Do(req)
+	resp, err := s.client.Do(req)
 	if err != nil {
-		return false, &result{out: notify.NotSent}
+		return false, &result{outcome: notify.NotDelivered}
 	}
 	defer resp.Body.Close()
-	_, _ = io.CopyN(io.Discard, resp.Body, maxAnswer)
+	_, _ = io.CopyN(io.Discard, resp.Body, maxResponseBytes)
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return true, nil
 	case http.StatusNotFound:
 		return false, nil
 	}
-	return false, &result{notify.NotSent, retryAfter(resp)}
+	return false, &result{notify.NotDelivered, parseRetryAfter(resp)}
 }
 
 func (s *Sender) post(ctx context.Context, a notify.Send, token uint64) result {
 	body, contentType, err := s.body(a)
 	if err != nil {
-		return result{out: notify.Rejected} // it is the same each time
+		return result{outcome: notify.Rejected} // it is the same each time
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.r.URL, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.receiver.URL, bytes.NewReader(body))
 	if err != nil {
-		return result{out: notify.NotSent}
+		return result{outcome: notify.NotDelivered}
 	}
 	stamp := strconv.FormatInt(time.Now().Unix(), 10)
 	req.Header.Set("Content-Type", contentType)
-	req.Header.Set(HeaderKey, a.Key)
+	req.Header.Set(HeaderIdempotencyKey, a.Key)
 	req.Header.Set(HeaderToken, strconv.FormatUint(token, 10))
 	req.Header.Set(HeaderTimestamp, stamp)
-	if len(s.r.Secrets) > 0 {
+	if len(s.receiver.Secrets) > 0 {
 		var macs []string
-		for _, secret := range s.r.Secrets {
+		for _, secret := range s.receiver.Secrets {
 			macs = append(macs, "v1="+Sign(secret, stamp, req.Header.Get(HeaderToken), a.Key, body))
 		}
 		req.Header.Set(HeaderSignature, strings.Join(macs, ","))
 	}
-	resp, err := s.http.Do(req)
+	resp, err := s.client.Do(req)
 	if err != nil {
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			return result{out: notify.NotSent} // there was no connection
+			return result{outcome: notify.NotDelivered} // there was no connection
 		}
-		return result{out: notify.Unknown}
+		return result{outcome: notify.Unknown}
 	}
 	defer resp.Body.Close()
-	_, _ = io.CopyN(io.Discard, resp.Body, maxAnswer)
-	return result{outcome(resp.StatusCode), retryAfter(resp)}
+	_, _ = io.CopyN(io.Discard, resp.Body, maxResponseBytes)
+	return result{outcomeOfStatus(resp.StatusCode), parseRetryAfter(resp)}
 }
 
 // outcome reads a receiver's answer.
-func outcome(status int) notify.Outcome {
+func outcomeOfStatus(status int) notify.Outcome {
 	switch {
 	case status/100 == 2:
 		return notify.Delivered
@@ -215,15 +215,15 @@
 		return notify.Rejected
 	case status/100 == 3, status/100 == 4:
 		// Not taken, for now: a limit, or something that its operators can mend.
-		return notify.NotSent
+		return notify.NotDelivered
 	}
 	return notify.Unknown // it may have had its effect before something failed
 }
 
-func retryAfter(resp *http.Response) time.Duration {
+func parseRetryAfter(resp *http.Response) time.Duration {
 	v := resp.Header.Get("Retry-After")
 	if n, err := strconv.Atoi(v); err == nil && n > 0 {
-		return time.Duration(min(n, int(maxAfter/time.Second))) * time.Second
+		return time.Duration(min(n, int(maxRetryAfter/time.Second))) * time.Second
 	}
 	if at, err := http.ParseTime(v); err == nil {
 		return max(time.Until(at), 0)
@@ -237,18 +237,18 @@
 		Key: a.Key, Kind: a.Event.Kind.String(), Job: a.Event.Job, Team: a.Event.Team, Class: a.Event.Class,
 		Time: time.UnixMicro(int64(a.Event.At)).UTC(),
 	}
-	if s.r.Body == nil {
+	if s.receiver.BodyTemplate == nil {
 		b, err := json.Marshal(cloudEvent(m))
 		return b, "application/cloudevents+json", err
 	}
 	var b bytes.Buffer
-	if err := s.r.Body.Execute(&b, m); err != nil {
+	if err := s.receiver.BodyTemplate.Execute(&b, m); err != nil {
 		return nil, "", err
 	}
-	if b.Len() > maxBody {
+	if b.Len() > maxBodyBytes {
 		return nil, "", fmt.Errorf("a body of %d bytes", b.Len())
 	}
-	return b.Bytes(), s.r.Type, nil
+	return b.Bytes(), s.receiver.ContentType, nil
 }
 
 // cloudEvent is a message as CloudEvents 1.0 has it.
@@ -276,7 +276,7 @@
 	if age := now.Sub(time.Unix(sec, 0)); err != nil || age > maxAge || age < -maxAge {
 		return false
 	}
-	want := []byte(Sign(secret, stamp, h.Get(HeaderToken), h.Get(HeaderKey), body))
+	want := []byte(Sign(secret, stamp, h.Get(HeaderToken), h.Get(HeaderIdempotencyKey), body))
 	good := false
 	for _, s := range strings.Split(h.Get(HeaderSignature), ",") {
 		mac, ok := strings.CutPrefix(strings.TrimSpace(s), "v1=")
--- a/internal/notify/deliver/deliver_test.go
+++ b/internal/notify/deliver/deliver_test.go
@@ -17,9 +17,9 @@
 	"aspenstall/internal/notify"
 )
 
-var anEvent = notify.Send{Sub: "s", Key: "k1", Attempt: 1, Event: notify.Event{Job: "job-000001", Team: "blue", Class: "c", Kind: notify.Done, At: 1_700_000_000_500_000}}
+var testSend = notify.Send{Subscription: "s", Key: "k1", Attempt: 1, Event: notify.Event{Job: "job-000001", Team: "blue", Class: "c", Kind: notify.Done, At: 1_700_000_000_500_000}}
 
-func sender(t *testing.T, r Receiver) *Sender {
+func newTestSender(t *testing.T, r Receiver) *Sender {
 	t.Helper()
 	if r.Timeout == 0 {
 		r.Timeout = time.Second
@@ -38,15 +38,15 @@
 		{"taken", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(204) }, notify.Delivered, 0},
 		{"gone", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(410) }, notify.Rejected, 0},
 		{"unreadable", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(422) }, notify.Rejected, 0},
-		{"too many", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "7"); w.WriteHeader(429) }, notify.NotSent, 7 * time.Second},
+		{"too many", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "7"); w.WriteHeader(429) }, notify.NotDelivered, 7 * time.Second},
 		{"for ages", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "999999")
 			w.WriteHeader(429)
-		}, notify.NotSent, maxAfter},
-		{"not allowed, for now", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(403) }, notify.NotSent, 0},
+		}, notify.NotDelivered, maxRetryAfter},
+		{"not allowed, for now", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(403) }, notify.NotDelivered, 0},
 		{"elsewhere", func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/other", http.StatusTemporaryRedirect)
-		}, notify.NotSent, 0},
+		}, notify.NotDelivered, 0},
 		{"failed", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, notify.Unknown, 0},
 		{"cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, notify.Unknown, 0},
 		{"garbage", func(w http.ResponseWriter, _ *http.Request) {
@@ -73,7 +73,7 @@
 				c.serve(w, r)
 			}))
 			defer srv.Close()
-			out, after := sender(t, Receiver{URL: srv.URL, Timeout: 1500 * time.Millisecond}).Send(t.Context(), anEvent, 9)
+			out, after := newTestSender(t, Receiver{URL: srv.URL, Timeout: 1500 * time.Millisecond}).Send(t.Context(), testSend, 9)
 			if out != c.out || after != core.Micros(c.after/time.Microsecond) || hits.Load() != 1 {
 				t.Errorf("outcome %d, again after %d us, %d requests", out, after, hits.Load())
 			}
@@ -81,7 +81,7 @@
 	}
 	srv := httptest.NewServer(nil)
 	srv.Close()
-	if out, _ := sender(t, Receiver{URL: srv.URL}).Send(t.Context(), anEvent, 9); out != notify.NotSent {
+	if out, _ := newTestSender(t, Receiver{URL: srv.URL}).Send(t.Context(), testSend, 9); out != notify.NotDelivered {
 		t.Errorf("nobody there: outcome %d", out)
 	}
 }
@@ -96,8 +96,8 @@
 		body, _ = io.ReadAll(r.Body)
 	}))
 	defer srv.Close()
-	s := sender(t, Receiver{URL: srv.URL, Secrets: [][]byte{[]byte("new"), []byte("old")}})
-	if out, _ := s.Send(t.Context(), anEvent, 41); out != notify.Delivered {
+	s := newTestSender(t, Receiver{URL: srv.URL, Secrets: [][]byte{[]byte("new"), []byte("old")}})
+	if out, _ := s.Send(t.Context(), testSend, 41); out != notify.Delivered {
 		t.Fatal(out)
 	}
 	var e struct {
@@ -108,7 +108,7 @@
 		e.Subject != "job-000001" || e.Time != "2023-11-14T22:13:20.5Z" || e.Data["class"] != "c" {
 		t.Errorf("%s: %+v %v", body, e, err)
 	}
-	if got.Get(HeaderKey) != "k1" || got.Get(HeaderToken) != "41" || got.Get("Content-Type") != "application/cloudevents+json" {
+	if got.Get(HeaderIdempotencyKey) != "k1" || got.Get(HeaderToken) != "41" || got.Get("Content-Type") != "application/cloudevents+json" {
 		t.Errorf("%v", got)
 	}
 	now := time.Now()
@@ -139,7 +139,7 @@
 
 // A receiver that keeps no keys is asked before what may have had its effect is
 // sent; one that has seen the key is not sent it again.
-func TestAsk(t *testing.T) {
+func TestKeyLookup(t *testing.T) {
 	seen, posts, down := false, 0, false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -153,7 +153,7 @@
 		}
 	}))
 	defer srv.Close()
-	s := sender(t, Receiver{URL: srv.URL, Ask: srv.URL + "/seen?of=us"})
+	s := newTestSender(t, Receiver{URL: srv.URL, LookupURL: srv.URL + "/seen?of=us"})
 	for _, c := range []struct {
 		ask, seen, down bool
 		out             notify.Outcome
@@ -162,10 +162,10 @@
 		{true, false, false, notify.Delivered, 1},
 		{true, true, false, notify.Delivered, 0},
 		{false, true, false, notify.Delivered, 1},
-		{true, false, true, notify.NotSent, 0},
+		{true, false, true, notify.NotDelivered, 0},
 	} {
-		a := anEvent
-		a.Ask, seen, down, posts = c.ask, c.seen, c.down, 0
+		a := testSend
+		a.PossiblyDelivered, seen, down, posts = c.ask, c.seen, c.down, 0
 		if out, _ := s.Send(t.Context(), a, 1); out != c.out || posts != c.posts {
 			t.Errorf("%+v: outcome %d, %d posts", c, out, posts)
 		}
@@ -177,20 +177,20 @@
 	hits := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { hits++; w.WriteHeader(500) }))
 	defer srv.Close()
-	s := sender(t, Receiver{URL: srv.URL})
+	s := newTestSender(t, Receiver{URL: srv.URL})
 	for range 20 {
-		out, after := s.Send(context.Background(), anEvent, 1)
-		if hits == breakAfter && out == notify.NotSent && after == 0 {
+		out, after := s.Send(context.Background(), testSend, 1)
+		if hits == breakerThreshold && out == notify.NotDelivered && after == 0 {
 			t.Error("no word of when to come back")
 		}
 	}
-	if hits != breakAfter {
+	if hits != breakerThreshold {
 		t.Errorf("%d attempts got through", hits)
 	}
 }
 
 // Templates are tried when they are read.
-func TestBody(t *testing.T) {
+func TestBodyTemplate(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"page": {{json .Job}}, "what": {{json .Kind}}}`: `{"page": "job-000001", "what": "done"}`,
 		`{{.Job | printf "%s done"}}`:                     "job-000001 done",
@@ -209,14 +209,14 @@
 			t.Errorf("%s: %v", text, err)
 			continue
 		}
-		got, kind, err := sender(t, Receiver{Body: b, Type: "text/plain"}).body(anEvent)
+		got, kind, err := newTestSender(t, Receiver{BodyTemplate: b, ContentType: "text/plain"}).body(testSend)
 		if err != nil || string(got) != want || kind != "text/plain" {
 			t.Errorf("%s: %q %q %v", text, got, kind, err)
 		}
 	}
 }
 
-func FuzzBody(f *testing.F) {
+func FuzzBodyTemplate(f *testing.F) {
 	f.Add("{{json .Job}}", "job-1", "blue")
 	f.Add("{{range .Job}}{{end}}", "\"\n\x00", "{{.}}")
 	f.Fuzz(func(t *testing.T, text, job, team string) {
@@ -227,10 +227,10 @@
 		if err != nil {
 			return
 		}
-		a := anEvent
+		a := testSend
 		a.Event.Job, a.Event.Team = job, team
-		one, _, err1 := New(Receiver{Body: b}, nil).body(a)
-		two, _, err2 := New(Receiver{Body: b}, nil).body(a)
+		one, _, err1 := New(Receiver{BodyTemplate: b}, nil).body(a)
+		two, _, err2 := New(Receiver{BodyTemplate: b}, nil).body(a)
 		if string(one) != string(two) || fmt.Sprint(err1) != fmt.Sprint(err2) {
 			t.Errorf("%q: %q and %q", text, one, two)
 		}
--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -24,20 +24,20 @@
 
 // The kinds, in the order in which they happen to a job.
 const (
-	Accepted  Kind = iota
-	Started        // all its tasks run
-	Late           // its deadline has passed, or is sure to
-	Failing        // its tasks fail on several machines
-	Unmet          // its team's guarantee is not met
-	Done           // all its tasks are done
-	Cancelled      // by its user
-	kinds
+	Accepted       Kind = iota
+	Started             // all its tasks run
+	Late                // its deadline has passed, or is sure to
+	Failing             // its tasks fail on several machines
+	GuaranteeUnmet      // its team's guarantee is not met
+	Done                // all its tasks are done
+	Cancelled           // by its user
+	kindCount
 )
 
-var kindNames = [kinds]string{"accepted", "started", "late", "failing", "unmet", "done", "cancelled"}
+var kindNames = [kindCount]string{"accepted", "started", "late", "failing", "unmet", "done", "cancelled"}
 
 // String is the kind's name in the operators' settings and in events.
-func (k Kind) String() string { return kindNames[min(k, kinds-1)] }
+func (k Kind) String() string { return kindNames[min(k, kindCount-1)] }
 
 // ParseKind is the reverse of String.
 func ParseKind(s string) (Kind, bool) {
@@ -58,32 +58,32 @@
 }
 
 // Promise is what a subscription may count on.
-type Promise uint8
+type DeliveryGuarantee uint8
 
 // The promises.
 const (
 	// Exactly once: the receiver keeps keys, or can be asked whether it has seen
 	// one, so that a repetition has no second effect.
-	Exactly Promise = iota
+	ExactlyOnce DeliveryGuarantee = iota
 	// AtLeast once: the receiver does neither. What is in doubt is sent again.
-	AtLeast
+	AtLeastOnce
 	// AtMost once: the receiver does neither. Each is put aside before it is sent,
 	// and taken from there once it is known to be delivered: what is in doubt
 	// stays for the operators.
-	AtMost
+	AtMostOnce
 )
 
 // Subscription says who is told of what.
 type Subscription struct {
-	Name        string
-	Team, Class string // "" for any
-	Kinds       []Kind
-	Receiver    string
-	Deadline    core.Micros // after the event: what is undelivered then is put aside
-	Promise     Promise
+	Name              string
+	Team, Class       string // "" for any
+	Kinds             []Kind
+	Receiver          string
+	Deadline          core.Micros // after the event: what is undelivered then is put aside
+	DeliveryGuarantee DeliveryGuarantee
 }
 
-func (s *Subscription) wants(e *Event) bool {
+func (s *Subscription) matches(e *Event) bool {
 	if s.Team != "" && s.Team != e.Team || s.Class != "" && s.Class != e.Class {
 		return false
 	}
@@ -97,19 +97,19 @@
 
 // Receiver limits what one receiver is sent.
 type Receiver struct {
-	Name      string
-	PerSecond float64 // 0: no limit
-	InFlight  int
+	Name        string
+	PerSecond   float64 // 0: no limit
+	MaxInFlight int
 	// MaxAge is of a receiver that keeps no keys and can be asked whether it has
 	// seen one: it refuses what was sent longer ago. What is in doubt is asked
 	// about, and sent again, only after that, since a message may still be on its
 	// way; a new leader waits as long for what the former may have sent.
-	MaxAge core.Micros
+	MaxMessageAge core.Micros
 }
 
 // Key is what a receiver knows a notification by. It follows from the event and
 // the subscription, so that every node and every retry has the same one.
-func Key(sub string, e *Event) string {
+func IdempotencyKey(sub string, e *Event) string {
 	h := sha256.Sum256(fmt.Appendf(nil, "%d:%s%d:%s%d", len(sub), sub, len(e.Job), e.Job, e.Kind))
 	return hex.EncodeToString(h[:16])
 }
@@ -122,7 +122,7 @@
 	// Delivered: the receiver has it.
 	Delivered Outcome = iota
 	// NotSent: it certainly has no effect: not sent, or refused for now.
-	NotSent
+	NotDelivered
 	// Unknown: it may have had its effect, or may yet.
 	Unknown
 	// Rejected: the receiver will never take it.
@@ -134,35 +134,35 @@
 
 // Send is an attempt to deliver; its result comes back through Sent.
 type Send struct {
-	ID      uint64
-	Sub     string
-	Event   Event
-	Key     string
-	Attempt int  // from 1
-	Ask     bool // it may have had its effect before: a receiver that can be asked is to be
+	ID                uint64
+	Subscription      string
+	Event             Event
+	Key               string
+	Attempt           int  // from 1
+	PossiblyDelivered bool // it may have had its effect before: a receiver that can be asked is to be
 }
 
 // Save writes what is settled; its result comes back through Saved. Everything
 // in it goes into one transaction.
 type Save struct {
-	ID    uint64
-	Marks []Mark       // none, or those of all subscriptions, for one record
-	Drop  []ChunkKey   // bitmaps that the marks have passed
-	Put   []Chunk      // bitmaps that changed
-	Dead  []DeadLetter // put aside: they are settled by this
-	Alive []DeadLetter // no longer: their records go
+	ID                uint64
+	Watermarks        []Watermark  // none, or those of all subscriptions, for one record
+	DeleteChunks      []ChunkKey   // bitmaps that the marks have passed
+	PutChunks         []Chunk      // bitmaps that changed
+	PutDeadLetters    []DeadLetter // put aside: they are settled by this
+	DeleteDeadLetters []DeadLetter // no longer: their records go
 }
 
 // Mark says that all of a subscription's events up to a revision are settled.
-type Mark struct {
-	Sub string
-	To  uint64
+type Watermark struct {
+	Subscription string
+	Revision     uint64
 }
 
 // ChunkKey names a part of a subscription's bitmap.
 type ChunkKey struct {
-	Sub   string
-	Chunk uint64
+	Subscription string
+	Chunk        uint64
 }
 
 // Chunk is a part of a subscription's bitmap: the settled revisions from
@@ -179,19 +179,19 @@
 
 // DeadLetter is a notification that was put aside.
 type DeadLetter struct {
-	Sub   string
-	Event Event
-	Why   string
+	Subscription string
+	Event        Event
+	Reason       string
 }
 
 // Page asks for a subscription's events after a revision, in order, through
 // Events: they did not fit into memory.
-type Page struct {
-	Sub   string
-	After uint64
-	Limit int
+type FetchEvents struct {
+	Subscription string
+	After        uint64
+	Limit        int
 }
 
-func (Send) action() {}
-func (Save) action() {}
-func (Page) action() {}
+func (Send) action()        {}
+func (Save) action()        {}
+func (FetchEvents) action() {}
--- a/internal/peer/names_test.go
+++ b/internal/peer/names_test.go
@@ -147,7 +147,7 @@
 			Jobs:     []JobView{{Job: "job-1", Tasks: []core.TaskView{{Index: 2, Attempt: 3, Done: true, Machine: "m", State: core.Exited, Age: 5}}, More: true}},
 			Machines: []core.MachineView{{Name: "mv", Type: "ty", Zone: "z", Spot: true, Ready: true}},
 		}},
-		{"notify ask", &control.Ask{Op: "retry", Sub: "s", Job: "job-1", Kind: "done"}},
+		{"notify ask", &control.Request{Op: "retry", Subscription: "s", Job: "job-1", Kind: "done"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			allSet(t, c.name, reflect.ValueOf(c.value), map[string]string{})
@@ -178,8 +178,8 @@
 func (handler) Views(context.Context, *ViewRequest) (*ViewResponse, error) {
 	return &ViewResponse{}, nil
 }
-func (handler) ControlNotifications(context.Context, *control.Ask) (*control.Answer, error) {
-	return &control.Answer{}, nil
+func (handler) ControlNotifications(context.Context, *control.Request) (*control.Response, error) {
+	return &control.Response{}, nil
 }
 
 // What a client calls is what is served, under the published names.
@@ -224,7 +224,7 @@
 	defer c2.Close()
 	_, _ = c2.ExchangeStatus(t.Context(), &Status{})
 	_, _ = c2.Views(t.Context(), &ViewRequest{})
-	_, _ = c2.ControlNotifications(t.Context(), &control.Ask{})
+	_, _ = c2.ControlNotifications(t.Context(), &control.Request{})
 	mu.Lock()
 	defer mu.Unlock()
 	if want := []string{"/aspenstall.Peer/Tell", "/aspenstall.Peer/Show", "/aspenstall.Peer/Notify"}; !slices.Equal(called, want) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -125,7 +125,7 @@
 	Views(ctx context.Context, req *ViewRequest) (*ViewResponse, error)
 	// ControlNotifications carries out an operator's request. It fails on a node that does not
 	// lead.
-	ControlNotifications(ctx context.Context, req *control.Ask) (*control.Answer, error)
+	ControlNotifications(ctx context.Context, req *control.Request) (*control.Response, error)
 }
 
 // Serve serves the calls of peers on l until l fails, and returns the error.
@@ -191,8 +191,8 @@
 }
 
 // ControlNotifications passes an operator's request to the peer, which must lead.
-func (c *Client) ControlNotifications(ctx context.Context, req *control.Ask) (*control.Answer, error) {
-	return invoke[control.Answer](ctx, c, notifyMethod, req)
+func (c *Client) ControlNotifications(ctx context.Context, req *control.Request) (*control.Response, error) {
+	return invoke[control.Response](ctx, c, notifyMethod, req)
 }
 
 func invoke[Out any](ctx context.Context, c *Client, method string, in any) (*Out, error) {
--- a/internal/scale/counts.go
+++ b/internal/scale/counts.go
@@ -11,33 +11,35 @@
 )
 
 // Count is how many messages of a kind there were, and their bodies' bytes both ways.
-type Count struct {
+type MessageCount struct {
 	Requests int64 `json:"requests"`
-	In       int64 `json:"in_bytes"`
-	Out      int64 `json:"out_bytes"`
+	BytesIn  int64 `json:"in_bytes"`
+	BytesOut int64 `json:"out_bytes"`
 }
 
 // counts counts messages by kind, and changes of the state service by kind of record. It is
 // safe for concurrent use.
-type counts struct {
-	mu      sync.Mutex
-	byKind  map[string]Count
-	changes map[string]int64
+type messageCounter struct {
+	mu          sync.Mutex
+	byKind      map[string]MessageCount
+	stateWrites map[string]int64
 }
 
-func newCounts() *counts { return &counts{byKind: map[string]Count{}, changes: map[string]int64{}} }
+func newMessageCounter() *messageCounter {
+	return &messageCounter{byKind: map[string]MessageCount{}, stateWrites: map[string]int64{}}
+}
 
-func (c *counts) add(kind string, in, out int) {
+func (c *messageCounter) add(kind string, in, out int) {
 	c.mu.Lock()
 	k := c.byKind[kind]
 	k.Requests++
-	k.In += int64(in)
-	k.Out += int64(out)
+	k.BytesIn += int64(in)
+	k.BytesOut += int64(out)
 	c.byKind[kind] = k
 	c.mu.Unlock()
 }
 
-func (c *counts) changed(body []byte) {
+func (c *messageCounter) addTransaction(body []byte) {
 	var t wire.Txn
 	if wire.Unmarshal(body, &t) != nil {
 		return
@@ -45,12 +47,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range t.Then {
-		c.changes[recordKind(w)]++
+		c.stateWrites[writeKind(w)]++
 	}
 }
 
 // recordKind is the key's prefix, with what is done to it.
-func recordKind(w wire.Write) string {
+func writeKind(w wire.Write) string {
 	key, how := w.Put, "write "
 	if key == "" {
 		key, how = w.Delete, "drop "
@@ -63,30 +65,30 @@
 }
 
 // copy gives the counts so far.
-func (c *counts) copy() (byKind map[string]Count, changes map[string]int64) {
+func (c *messageCounter) snapshot() (byKind map[string]MessageCount, changes map[string]int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	byKind, changes = map[string]Count{}, map[string]int64{}
+	byKind, changes = map[string]MessageCount{}, map[string]int64{}
 	for k, v := range c.byKind {
 		byKind[k] = v
 	}
-	for k, v := range c.changes {
+	for k, v := range c.stateWrites {
 		changes[k] = v
 	}
 	return byKind, changes
 }
 
 // count has a handler's messages counted.
-func (c *counts) count(service string, h http.Handler) http.Handler {
+func (c *messageCounter) middleware(service string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		if r.URL.Path == wire.CommitPath {
-			c.changed(body)
+			c.addTransaction(body)
 		}
 		out := &countingWriter{ResponseWriter: w}
 		h.ServeHTTP(out, r)
-		c.add(service+" "+requestKind(r), len(body), out.n)
+		c.add(service+" "+requestKind(r), len(body), out.written)
 	})
 }
 
@@ -102,12 +104,12 @@
 
 type countingWriter struct {
 	http.ResponseWriter
-	n int
+	written int
 }
 
 // Write writes a part of the body.
 func (w *countingWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
-	w.n += n
+	w.written += n
 	return n, err
 }
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -23,25 +23,25 @@
 
 // Event is what a process of workers tells the run.
 type Event struct {
-	AtNS    int64           `json:"at"` // by the time of day
-	Kind    EventKind       `json:"kind"`
-	Task    string          `json:"task,omitempty"`
-	Attempt uint64          `json:"attempt,omitempty"`
-	Why     string          `json:"why,omitempty"`
-	Place   simulator.Place `json:"place"`
-	Tasks   int             `json:"tasks,omitempty"` // on the machine, with EventExpired
-	Spent   *Spent          `json:"spent,omitempty"`
+	AtNS    int64                 `json:"at"` // by the time of day
+	Kind    EventKind             `json:"kind"`
+	Task    string                `json:"task,omitempty"`
+	Attempt uint64                `json:"attempt,omitempty"`
+	Cause   string                `json:"why,omitempty"`
+	Place   simulator.MachineInfo `json:"place"`
+	Tasks   int                   `json:"tasks,omitempty"` // on the machine, with EventExpired
+	Traffic *WorkerTraffic        `json:"spent,omitempty"`
 }
 
 // Spent is what a process's workers have sent and received.
-type Spent struct {
-	Workers         int   `json:"workers"`
-	Reports         int64 `json:"reports"`
-	ReportsSent     int64 `json:"reports_sent_bytes"`
-	ReportsReceived int64 `json:"reports_received_bytes"`
-	Commands        int64 `json:"commands"`
-	CommandsSent    int64 `json:"commands_sent_bytes"`
-	CommandsGot     int64 `json:"commands_received_bytes"`
+type WorkerTraffic struct {
+	Workers              int   `json:"workers"`
+	Reports              int64 `json:"reports"`
+	ReportBytesSent      int64 `json:"reports_sent_bytes"`
+	ReportBytesReceived  int64 `json:"reports_received_bytes"`
+	Commands             int64 `json:"commands"`
+	CommandBytesSent     int64 `json:"commands_sent_bytes"`
+	CommandBytesReceived int64 `json:"commands_received_bytes"`
 }
 
 // CommandKind says what a process of workers is to do.
@@ -49,52 +49,52 @@
 
 // The kinds.
 const (
-	CommandStart   CommandKind = "start"
-	CommandDie     CommandKind = "die"
-	CommandLeader  CommandKind = "leader" // the zone that commands come from
-	CommandCutZone CommandKind = "cut-zone"
-	CommandApart   CommandKind = "apart"
+	CommandStart            CommandKind = "start"
+	CommandKill             CommandKind = "die"
+	CommandLeaderZone       CommandKind = "leader" // the zone that commands come from
+	CommandPartitionZone    CommandKind = "cut-zone"
+	CommandPartitionRegions CommandKind = "apart"
 )
 
 // Command is what the run tells a process of workers.
 type Command struct {
-	Kind    CommandKind     `json:"kind"`
-	Place   simulator.Place `json:"place"`
-	Address string          `json:"address,omitempty"`
-	Zone    string          `json:"zone,omitempty"`
-	On      bool            `json:"on,omitempty"`
+	Kind    CommandKind           `json:"kind"`
+	Place   simulator.MachineInfo `json:"place"`
+	Address string                `json:"address,omitempty"`
+	Zone    string                `json:"zone,omitempty"`
+	On      bool                  `json:"on,omitempty"`
 }
 
 // settleFor is how long what happened is held back, so that what several processes tell is
 // judged in the order in which it happened.
-const settleFor = 5 * time.Second
+const reorderDelay = 5 * time.Second
 
 // timeline hands on what happened in its order, some time later.
 type timeline struct {
-	mu   sync.Mutex
-	heap eventHeap
-	next int
+	mu       sync.Mutex
+	events   eventHeap
+	sequence int
 }
 
-type happened struct {
-	at  time.Time
-	nth int
-	do  func()
+type timedEvent struct {
+	at       time.Time
+	sequence int
+	apply    func()
 }
 
-type eventHeap []happened
+type eventHeap []timedEvent
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
-	return h[i].nth < h[j].nth
+	return h[i].sequence < h[j].sequence
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push adds an element.
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(happened)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(timedEvent)) }
 
 // Pop removes the last element.
 func (h *eventHeap) Pop() any {
@@ -106,8 +106,8 @@
 // add notes what happened at a time.
 func (t *timeline) add(at time.Time, do func()) {
 	t.mu.Lock()
-	t.next++
-	heap.Push(&t.heap, happened{at, t.next, do})
+	t.sequence++
+	heap.Push(&t.events, timedEvent{at, t.sequence, do})
 	t.mu.Unlock()
 }
 
@@ -115,13 +115,13 @@
 func (t *timeline) drain(before time.Time, now func(time.Time)) {
 	for {
 		t.mu.Lock()
-		if len(t.heap) == 0 || !t.heap[0].at.Before(before) {
+		if len(t.events) == 0 || !t.events[0].at.Before(before) {
 			t.mu.Unlock()
 			return
 		}
-		h := heap.Pop(&t.heap).(happened)
+		h := heap.Pop(&t.events).(timedEvent)
 		t.mu.Unlock()
 		now(h.at)
-		h.do()
+		h.apply()
 	}
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -22,36 +22,36 @@
 	Settings     Settings
 	Number       int    // of the process
 	Descriptions string // address at which jobs' descriptions are read
-	Controllers  []ControllerAt
+	Controllers  []ControllerInfo
 	Type         simulator.MachineType
 }
 
 // ControllerAt is a controller and where it is.
-type ControllerAt struct {
+type ControllerInfo struct {
 	Name, Zone, Address string
 }
 
 // host is a process of workers: one of a real worker, or many hollow ones.
 type host struct {
-	cfg    HostConfig
-	ctx    context.Context
-	links  *Links
-	leader atomic.Pointer[string] // zone of the leader
-	zoneAt map[string]string      // of controllers, by address
+	cfg             HostConfig
+	ctx             context.Context
+	network         *Network
+	leaderZone      atomic.Pointer[string] // zone of the leader
+	controllerZones map[string]string      // of controllers, by address
 
 	outMu sync.Mutex
 	out   *json.Encoder
 
-	mu      sync.Mutex
-	workers map[string]*simulator.Worker
-	jobs    map[string]*simulator.Spec
-	random  *rand.Rand
+	mu           sync.Mutex
+	workers      map[string]*simulator.Worker
+	descriptions map[string]*simulator.Spec
+	random       *rand.Rand
 
-	reports          atomic.Int64
-	commands         atomic.Int64
-	toControllers    Traffic
-	fromControllers  Traffic
-	descriptionsHTTP *http.Client
+	reportCount       atomic.Int64
+	commandCount      atomic.Int64
+	reportTraffic     TrafficCounter
+	commandTraffic    TrafficCounter
+	descriptionClient *http.Client
 }
 
 // RunHost runs a process of workers: commands come in, events go out, one JSON value a line.
@@ -60,17 +60,17 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h := &host{
-		cfg: cfg, ctx: ctx, links: NewLinks(&cfg.Settings), zoneAt: map[string]string{}, out: json.NewEncoder(out),
-		workers: map[string]*simulator.Worker{}, jobs: map[string]*simulator.Spec{},
-		random:           rand.New(rand.NewPCG(uint64(cfg.Settings.Seed), uint64(1000+cfg.Number))),
-		descriptionsHTTP: &http.Client{Timeout: 5 * time.Second},
+		cfg: cfg, ctx: ctx, network: NewNetwork(&cfg.Settings), controllerZones: map[string]string{}, out: json.NewEncoder(out),
+		workers: map[string]*simulator.Worker{}, descriptions: map[string]*simulator.Spec{},
+		random:            rand.New(rand.NewPCG(uint64(cfg.Settings.Seed), uint64(1000+cfg.Number))),
+		descriptionClient: &http.Client{Timeout: 5 * time.Second},
 	}
 	for _, c := range cfg.Controllers {
-		h.zoneAt[c.Address] = c.Zone
+		h.controllerZones[c.Address] = c.Zone
 	}
 	first := cfg.Controllers[0].Zone
-	h.leader.Store(&first)
-	go h.tellTraffic()
+	h.leaderZone.Store(&first)
+	go h.emitTraffic()
 	dec := json.NewDecoder(bufio.NewReader(in))
 	for {
 		var c Command
@@ -80,35 +80,35 @@
 			}
 			return fmt.Errorf("commands: %w", err)
 		}
-		h.carryOut(c)
+		h.execute(c)
 	}
 }
 
-func (h *host) carryOut(c Command) {
+func (h *host) execute(c Command) {
 	switch c.Kind {
 	case CommandStart:
 		k := simulator.StartWorker(hostSite{h}, c.Address, c.Place, &h.cfg.Type)
 		h.mu.Lock()
 		h.workers[c.Place.Machine] = k
 		h.mu.Unlock()
-	case CommandDie:
+	case CommandKill:
 		h.mu.Lock()
 		k := h.workers[c.Place.Machine]
 		delete(h.workers, c.Place.Machine)
 		h.mu.Unlock()
 		if k != nil {
-			k.Die()
+			k.Terminate()
 		}
-	case CommandLeader:
-		h.leader.Store(&c.Zone)
-	case CommandCutZone:
-		h.links.CutZone(c.Zone, c.On)
-	case CommandApart:
-		h.links.CutRegions(c.On)
+	case CommandLeaderZone:
+		h.leaderZone.Store(&c.Zone)
+	case CommandPartitionZone:
+		h.network.SetZonePartitioned(c.Zone, c.On)
+	case CommandPartitionRegions:
+		h.network.SetRegionsPartitioned(c.On)
 	}
 }
 
-func (h *host) tell(e Event) {
+func (h *host) emit(e Event) {
 	e.AtNS = time.Now().UnixNano()
 	h.outMu.Lock()
 	_ = h.out.Encode(&e)
@@ -116,10 +116,10 @@
 }
 
 // trafficEvery is how often a process tells what its workers have sent.
-const trafficEvery = time.Second
+const trafficInterval = time.Second
 
-func (h *host) tellTraffic() {
-	t := time.NewTicker(trafficEvery)
+func (h *host) emitTraffic() {
+	t := time.NewTicker(trafficInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -130,9 +130,9 @@
 		h.mu.Lock()
 		workers := len(h.workers)
 		h.mu.Unlock()
-		h.tell(Event{Kind: EventTraffic, Spent: &Spent{
-			Workers: workers, Reports: h.reports.Load(), ReportsSent: h.toControllers.Sent.Load(), ReportsReceived: h.toControllers.Received.Load(),
-			Commands: h.commands.Load(), CommandsSent: h.fromControllers.Sent.Load(), CommandsGot: h.fromControllers.Received.Load(),
+		h.emit(Event{Kind: EventTraffic, Traffic: &WorkerTraffic{
+			Workers: workers, Reports: h.reportCount.Load(), ReportBytesSent: h.reportTraffic.Sent.Load(), ReportBytesReceived: h.reportTraffic.Received.Load(),
+			Commands: h.commandCount.Load(), CommandBytesSent: h.commandTraffic.Sent.Load(), CommandBytesReceived: h.commandTraffic.Received.Load(),
 		}})
 	}
 }
@@ -140,12 +140,12 @@
 // description reads a job's description once.
 func (h *host) description(id string) *simulator.Spec {
 	h.mu.Lock()
-	s := h.jobs[id]
+	s := h.descriptions[id]
 	h.mu.Unlock()
 	if s != nil {
 		return s
 	}
-	resp, err := h.descriptionsHTTP.Get("http://" + h.cfg.Descriptions + "/" + id)
+	resp, err := h.descriptionClient.Get("http://" + h.cfg.Descriptions + "/" + id)
 	if err != nil {
 		return nil
 	}
@@ -155,7 +155,7 @@
 		return nil
 	}
 	h.mu.Lock()
-	h.jobs[id] = &d
+	h.descriptions[id] = &d
 	h.mu.Unlock()
 	return &d
 }
@@ -163,13 +163,13 @@
 // hostSite is what the workers of a process find round them.
 type hostSite struct{ h *host }
 
-func (s hostSite) Context() context.Context       { return s.h.ctx }
-func (s hostSite) Logger() *slog.Logger           { return slog.New(slog.DiscardHandler) }
-func (s hostSite) Still(string, bool)             {}
-func (s hostSite) Job(id string) *simulator.Spec  { return s.h.description(id) }
-func (s hostSite) FileJob(string) *simulator.Spec { return nil }
-func (s hostSite) ServesFiles() bool              { return false }
-func (s hostSite) Observer() simulator.Observer   { return s }
+func (s hostSite) Context() context.Context           { return s.h.ctx }
+func (s hostSite) Logger() *slog.Logger               { return slog.New(slog.DiscardHandler) }
+func (s hostSite) Freeze(string, bool)                {}
+func (s hostSite) Job(id string) *simulator.Spec      { return s.h.description(id) }
+func (s hostSite) JobFromFile(string) *simulator.Spec { return nil }
+func (s hostSite) ServesJobFiles() bool               { return false }
+func (s hostSite) Observer() simulator.Observer       { return s }
 func (s hostSite) Controllers() []simulator.Controller {
 	out := make([]simulator.Controller, len(s.h.cfg.Controllers))
 	for i, c := range s.h.cfg.Controllers {
@@ -180,13 +180,13 @@
 
 // Serve listens at the worker's address. A connection to it is the leader's.
 func (s hostSite) Serve(k *simulator.Worker) (stop func()) {
-	leader := func() string { return *s.h.leader.Load() }
-	l, err := s.h.links.Listen(k.Addr(), k.Zone(), leader, &s.h.fromControllers)
+	leader := func() string { return *s.h.leaderZone.Load() }
+	l, err := s.h.network.Listen(k.Address(), k.Zone(), leader, &s.h.commandTraffic)
 	if err != nil {
 		return func() {}
 	}
 	counted := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.h.commands.Add(1)
+		s.h.commandCount.Add(1)
 		k.ServeHTTP(w, r)
 	})
 	srv := &http.Server{Handler: counted, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
@@ -199,63 +199,65 @@
 	from, _, _ := net.SplitHostPort(address)
 	zone := s.zoneOf(address)
 	dial := func(ctx context.Context, _, to string) (net.Conn, error) {
-		return s.h.links.Dial(ctx, from, zone, to, func() string { return s.h.zoneAt[to] }, &s.h.toControllers)
+		return s.h.network.Dial(ctx, from, zone, to, func() string { return s.h.controllerZones[to] }, &s.h.reportTraffic)
 	}
 	t := &http.Transport{DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}
-	return &http.Client{Transport: counting{t, &s.h.reports}}
+	return &http.Client{Transport: countingTransport{t, &s.h.reportCount}}
 }
 
 // zoneOf is the zone of a worker's address: the address says which one.
 func (s hostSite) zoneOf(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host).To4()
-	if i := int(ip[1]) - firstZoneNet; i >= 0 && i < len(s.h.cfg.Settings.Zones) {
+	if i := int(ip[1]) - firstZoneOctet; i >= 0 && i < len(s.h.cfg.Settings.Zones) {
 		return s.h.cfg.Settings.Zones[i]
 	}
 	return ""
 }
 
 // counting counts requests.
-type counting struct {
-	next http.RoundTripper
-	n    *atomic.Int64
+type countingTransport struct {
+	next     http.RoundTripper
+	requests *atomic.Int64
 }
 
 // RoundTrip carries out a request.
-func (c counting) RoundTrip(r *http.Request) (*http.Response, error) {
-	c.n.Add(1)
+func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	c.requests.Add(1)
 	return c.next.RoundTrip(r)
 }
 
 // Timing has reports come up to a quarter sooner or later, as the protocol has it.
 func (s hostSite) Timing() simulator.Timing {
 	set := &s.h.cfg.Settings
-	return simulator.Timing{Lease: seconds(set.LeaseS), GangWait: time.Minute, ReportGap: func() time.Duration {
+	return simulator.Timing{Lease: seconds(set.LeaseS), GangWait: time.Minute, ReportInterval: func() time.Duration {
 		s.h.mu.Lock()
 		defer s.h.mu.Unlock()
 		return seconds(set.ReportS * (0.75 + 0.5*s.h.random.Float64()))
 	}}
 }
 
-func (s hostSite) Gangs() simulator.Gangs { return nil }
+func (s hostSite) Gangs() simulator.GangCoordinator { return nil }
 
 // Started tells that a task is on its machine.
-func (s hostSite) Started(t simulator.TaskOn) {
-	s.h.tell(Event{Kind: EventStarted, Task: t.Task, Attempt: t.Attempt, Place: t.At})
+func (s hostSite) TaskStarted(t simulator.TaskOnMachine) {
+	s.h.emit(Event{Kind: EventStarted, Task: t.Task, Attempt: t.Attempt, Place: t.Host})
 }
 
 // Left tells that a task is not on its machine any more.
-func (s hostSite) Left(t simulator.TaskOn) {
-	s.h.tell(Event{Kind: EventLeft, Task: t.Task, Attempt: t.Attempt, Why: t.Why, Place: t.At})
+func (s hostSite) TaskLeft(t simulator.TaskOnMachine) {
+	s.h.emit(Event{Kind: EventLeft, Task: t.Task, Attempt: t.Attempt, Cause: t.Cause, Place: t.Host})
 }
 
 // Done tells that a task is done.
-func (s hostSite) Done(task string, _ *simulator.Spec) { s.h.tell(Event{Kind: EventDone, Task: task}) }
+func (s hostSite) TaskDone(task string, _ *simulator.Spec) {
+	s.h.emit(Event{Kind: EventDone, Task: task})
+}
 
 // Ordered tells that a command to start a task is executed.
-func (s hostSite) Ordered(task string) { s.h.tell(Event{Kind: EventOrdered, Task: task}) }
+func (s hostSite) StartExecuted(task string) { s.h.emit(Event{Kind: EventOrdered, Task: task}) }
 
 // Expired tells that a worker's lease runs out.
-func (s hostSite) Expired(m simulator.Place, _ uint64, tasks []simulator.TaskOn) {
-	s.h.tell(Event{Kind: EventExpired, Place: m, Tasks: len(tasks)})
+func (s hostSite) LeaseExpired(m simulator.MachineInfo, _ uint64, tasks []simulator.TaskOnMachine) {
+	s.h.emit(Event{Kind: EventExpired, Place: m, Tasks: len(tasks)})
 }
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -12,39 +12,39 @@
 
 // Links is the network between zones: delays, loss and cuts. A host without a zone (the
 // state service, the cloud, users) is in the first region.
-type Links struct {
-	settings *Settings
-	mu       sync.Mutex
-	changed  *sync.Cond
-	cutZones map[string]bool // cut off from all other zones
-	apart    bool            // the regions are
-	random   *rand.Rand
+type Network struct {
+	settings           *Settings
+	mu                 sync.Mutex
+	changed            *sync.Cond
+	partitionedZones   map[string]bool // cut off from all other zones
+	regionsPartitioned bool            // the regions are
+	random             *rand.Rand
 }
 
 // NewLinks returns links that nothing is wrong with.
-func NewLinks(s *Settings) *Links {
-	l := &Links{settings: s, cutZones: map[string]bool{}, random: rand.New(rand.NewPCG(uint64(s.Seed), 2))}
+func NewNetwork(s *Settings) *Network {
+	l := &Network{settings: s, partitionedZones: map[string]bool{}, random: rand.New(rand.NewPCG(uint64(s.Seed), 2))}
 	l.changed = sync.NewCond(&l.mu)
 	return l
 }
 
 // CutZone cuts a zone off from all others, or mends that.
-func (l *Links) CutZone(zone string, cut bool) {
+func (l *Network) SetZonePartitioned(zone string, cut bool) {
 	l.mu.Lock()
-	l.cutZones[zone] = cut
+	l.partitionedZones[zone] = cut
 	l.changed.Broadcast()
 	l.mu.Unlock()
 }
 
 // CutRegions cuts the regions off from each other, or mends that.
-func (l *Links) CutRegions(cut bool) {
+func (l *Network) SetRegionsPartitioned(cut bool) {
 	l.mu.Lock()
-	l.apart = cut
+	l.regionsPartitioned = cut
 	l.changed.Broadcast()
 	l.mu.Unlock()
 }
 
-func (l *Links) region(zone string) string {
+func (l *Network) region(zone string) string {
 	if zone == "" {
 		return l.settings.Regions[0]
 	}
@@ -52,12 +52,12 @@
 }
 
 // holds reports whether packets between two zones are held; l.mu is held.
-func (l *Links) holds(a, b string) bool {
-	return a != b && (l.cutZones[a] || l.cutZones[b]) || l.apart && l.region(a) != l.region(b)
+func (l *Network) blocked(a, b string) bool {
+	return a != b && (l.partitionedZones[a] || l.partitionedZones[b]) || l.regionsPartitioned && l.region(a) != l.region(b)
 }
 
 // delay is how long a packet is under way.
-func (l *Links) delay(a, b string) time.Duration {
+func (l *Network) delay(a, b string) time.Duration {
 	switch {
 	case l.region(a) != l.region(b):
 		ms := l.settings.RegionDelayMS
@@ -77,33 +77,33 @@
 }
 
 // Traffic counts bytes.
-type Traffic struct{ Sent, Received atomic.Int64 }
+type TrafficCounter struct{ Sent, Received atomic.Int64 }
 
 // conn is a connection over a link, seen from its near end.
 type conn struct {
 	net.Conn
-	links   *Links
-	near    string        // zone
-	far     func() string // zone; it may be known only later
-	traffic *Traffic
-	closed  atomic.Bool
+	network    *Network
+	localZone  string        // zone
+	remoteZone func() string // zone; it may be known only later
+	traffic    *TrafficCounter
+	closed     atomic.Bool
 }
 
 // wrap puts a connection between two zones onto the links.
-func (l *Links) wrap(c net.Conn, near string, far func() string, t *Traffic) net.Conn {
-	return &conn{Conn: c, links: l, near: near, far: far, traffic: t}
+func (l *Network) wrap(c net.Conn, near string, far func() string, t *TrafficCounter) net.Conn {
+	return &conn{Conn: c, network: l, localZone: near, remoteZone: far, traffic: t}
 }
 
 // pass waits until a packet may go from one end to the other.
-func (c *conn) pass() error {
-	far := c.far()
-	if d := c.links.delay(c.near, far); d > 0 {
+func (c *conn) awaitDelivery() error {
+	far := c.remoteZone()
+	if d := c.network.delay(c.localZone, far); d > 0 {
 		time.Sleep(d)
 	}
-	c.links.mu.Lock()
-	defer c.links.mu.Unlock()
-	for c.links.holds(c.near, far) && !c.closed.Load() {
-		c.links.changed.Wait()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	for c.network.blocked(c.localZone, far) && !c.closed.Load() {
+		c.network.changed.Wait()
 	}
 	if c.closed.Load() {
 		return net.ErrClosed
@@ -112,7 +112,7 @@
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.pass(); err != nil {
+	if err := c.awaitDelivery(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
@@ -124,7 +124,7 @@
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.traffic.Received.Add(int64(n))
-		if held := c.pass(); held != nil {
+		if held := c.awaitDelivery(); held != nil {
 			return 0, held
 		}
 	}
@@ -133,19 +133,19 @@
 
 func (c *conn) Close() error {
 	c.closed.Store(true)
-	c.links.mu.Lock()
-	c.links.changed.Broadcast()
-	c.links.mu.Unlock()
+	c.network.mu.Lock()
+	c.network.changed.Broadcast()
+	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // listener accepts connections over the links.
 type listener struct {
 	net.Listener
-	links   *Links
-	near    string
-	far     func() string
-	traffic *Traffic
+	network    *Network
+	localZone  string
+	remoteZone func() string
+	traffic    *TrafficCounter
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -153,25 +153,25 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.links.wrap(c, l.near, l.far, l.traffic), nil
+	return l.network.wrap(c, l.localZone, l.remoteZone, l.traffic), nil
 }
 
 // Listen listens at an address in a zone for what comes from another.
-func (l *Links) Listen(address, near string, far func() string, t *Traffic) (net.Listener, error) {
+func (l *Network) Listen(address, near string, far func() string, t *TrafficCounter) (net.Listener, error) {
 	nl, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: nl, links: l, near: near, far: far, traffic: t}, nil
+	return &listener{Listener: nl, network: l, localZone: near, remoteZone: far, traffic: t}, nil
 }
 
 // dialTimeout is how long a connection attempt waits behind a cut.
 const dialTimeout = time.Second
 
 // Dial connects from an IP address in one zone to an address in another.
-func (l *Links) Dial(ctx context.Context, from, near, address string, far func() string, t *Traffic) (net.Conn, error) {
+func (l *Network) Dial(ctx context.Context, from, near, address string, far func() string, t *TrafficCounter) (net.Conn, error) {
 	l.mu.Lock()
-	held := l.holds(near, far())
+	held := l.blocked(near, far())
 	l.mu.Unlock()
 	if held {
 		timer := time.NewTimer(dialTimeout)
@@ -195,7 +195,7 @@
 
 // Forward carries connections from a listener to an address over a link between two zones,
 // until the listener is closed.
-func (l *Links) Forward(in net.Listener, near, far, to string, t *Traffic) {
+func (l *Network) Forward(in net.Listener, near, far, to string, t *TrafficCounter) {
 	for {
 		c, err := in.Accept()
 		if err != nil {
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -19,31 +19,31 @@
 }
 
 // latencies collects waits. It is safe for concurrent use.
-type latencies struct {
+type latencyHistogram struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
 const maxLatency = 10 * time.Minute
 
-func newLatencies() *latencies {
-	return &latencies{hist: hdrhistogram.New(1, int64(maxLatency/time.Microsecond), 3)}
+func newLatencyHistogram() *latencyHistogram {
+	return &latencyHistogram{hist: hdrhistogram.New(1, int64(maxLatency/time.Microsecond), 3)}
 }
 
-func (l *latencies) add(d time.Duration) {
+func (l *latencyHistogram) add(d time.Duration) {
 	l.mu.Lock()
 	_ = l.hist.RecordValue(int64(min(max(d, time.Microsecond), maxLatency) / time.Microsecond))
 	l.mu.Unlock()
 }
 
 // reset forgets what was collected.
-func (l *latencies) reset() {
+func (l *latencyHistogram) reset() {
 	l.mu.Lock()
 	l.hist.Reset()
 	l.mu.Unlock()
 }
 
-func (l *latencies) result() Latency {
+func (l *latencyHistogram) summary() Latency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ms := func(us int64) float64 { return float64(us) / 1000 }
@@ -79,50 +79,50 @@
 
 // sampler follows processes through /proc.
 type sampler struct {
-	procs map[int]*sampled
+	processes map[int]*processSamples
 }
 
-type sampled struct {
-	usage    Usage
-	cpu      float64 // seconds at the last sample
-	at       time.Time
-	firstCPU float64
-	firstAt  time.Time
-	memory   float64 // sum over samples
-	samples  int
+type processSamples struct {
+	usage     Usage
+	lastCPU   float64 // seconds at the last sample
+	lastAt    time.Time
+	firstCPU  float64
+	firstAt   time.Time
+	memorySum float64 // sum over samples
+	samples   int
 }
 
-func newSampler() *sampler { return &sampler{procs: map[int]*sampled{}} }
+func newSampler() *sampler { return &sampler{processes: map[int]*processSamples{}} }
 
 // sample reads a process once; a process that is gone is left out.
 func (s *sampler) sample(pid int, role Role, name string, workers int) {
-	p, stat, err := statOf(pid)
+	p, stat, err := processStat(pid)
 	if err != nil {
 		return
 	}
 	now, cpu := time.Now(), stat.CPUTime()
-	k := s.procs[pid]
+	k := s.processes[pid]
 	if k == nil {
-		k = &sampled{firstCPU: cpu, firstAt: now, cpu: cpu, at: now}
-		s.procs[pid] = k
+		k = &processSamples{firstCPU: cpu, firstAt: now, lastCPU: cpu, lastAt: now}
+		s.processes[pid] = k
 	}
 	u := &k.usage
 	u.Role, u.Name, u.Workers = role, name, workers
-	if d := now.Sub(k.at).Seconds(); d > 0 {
-		u.PeakCores = max(u.PeakCores, (cpu-k.cpu)/d)
+	if d := now.Sub(k.lastAt).Seconds(); d > 0 {
+		u.PeakCores = max(u.PeakCores, (cpu-k.lastCPU)/d)
 		u.Cores = (cpu - k.firstCPU) / now.Sub(k.firstAt).Seconds()
 	}
-	k.cpu, k.at = cpu, now
-	mb := megabytes(stat)
+	k.lastCPU, k.lastAt = cpu, now
+	mb := statResidentMB(stat)
 	k.samples++
-	k.memory += mb
-	u.MemMB, u.PeakMemMB = k.memory/float64(k.samples), max(u.PeakMemMB, mb)
+	k.memorySum += mb
+	u.MemMB, u.PeakMemMB = k.memorySum/float64(k.samples), max(u.PeakMemMB, mb)
 	u.Threads = max(u.Threads, stat.NumThreads)
-	u.Sockets = max(u.Sockets, sockets(p))
+	u.Sockets = max(u.Sockets, countSockets(p))
 }
 
 // sockets counts a process's sockets.
-func sockets(p procfs.Proc) int {
+func countSockets(p procfs.Proc) int {
 	targets, err := p.FileDescriptorTargets()
 	if err != nil {
 		return 0
@@ -138,15 +138,15 @@
 
 // residentMB is what a process holds now.
 func residentMB(pid int) float64 {
-	_, stat, err := statOf(pid)
+	_, stat, err := processStat(pid)
 	if err != nil {
 		return 0
 	}
-	return megabytes(stat)
+	return statResidentMB(stat)
 }
 
 // statOf reads how a process stands.
-func statOf(pid int) (procfs.Proc, procfs.ProcStat, error) {
+func processStat(pid int) (procfs.Proc, procfs.ProcStat, error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return p, procfs.ProcStat{}, err
@@ -155,7 +155,7 @@
 	return p, stat, err
 }
 
-func megabytes(stat procfs.ProcStat) float64 { return float64(stat.ResidentMemory()) / (1 << 20) }
+func statResidentMB(stat procfs.ProcStat) float64 { return float64(stat.ResidentMemory()) / (1 << 20) }
 
 // machineMemoryMB is the memory of the machine that this runs on.
 func machineMemoryMB() float64 {
@@ -170,4 +170,4 @@
 	return float64(*m.MemTotal) / 1024
 }
 
-var self = os.Getpid()
+var ownPID = os.Getpid()
--- a/internal/scale/names_test.go
+++ b/internal/scale/names_test.go
@@ -12,31 +12,31 @@
 )
 
 // allSet checks that every field has a value.
-func allSet(t *testing.T, path string, v reflect.Value) {
+func assertAllFieldsSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			allSet(t, path+"."+v.Type().Field(i).Name, v.Field(i))
+			assertAllFieldsSet(t, path+"."+v.Type().Field(i).Name, v.Field(i))
 		}
 	case reflect.Pointer:
 		if v.IsNil() {
 			t.Errorf("%s is not set", path)
 			return
 		}
-		allSet(t, path, v.Elem())
+		assertAllFieldsSet(t, path, v.Elem())
 	case reflect.Slice:
 		if v.Len() == 0 {
 			t.Errorf("%s is empty", path)
 			return
 		}
-		allSet(t, path+"[0]", v.Index(0))
+		assertAllFieldsSet(t, path+"[0]", v.Index(0))
 	case reflect.Map:
 		if v.Len() == 0 {
 			t.Errorf("%s is empty", path)
 		}
 		for _, k := range v.MapKeys() {
-			allSet(t, path+"["+k.String()+"]", v.MapIndex(k))
+			assertAllFieldsSet(t, path+"["+k.String()+"]", v.MapIndex(k))
 		}
 	default:
 		if v.IsZero() {
@@ -45,7 +45,7 @@
 	}
 }
 
-func allSettings() Settings {
+func settingsWithAllFields() Settings {
 	return Settings{
 		Seed: 2, Workers: 300, RealWorkers: 3, PerProcess: 40, Controllers: 5, Zones: []string{"z1", "z2"}, Regions: []string{"r1", "r2"}, Teams: 6,
 		RunningTasks: 70, StartsPerS: 8.5, ServiceShare: 0.25, ArrayTasks: 9, UrgentPerS: 10.5, UrgentWithinS: 11.5, ChangesPerS: 12.5,
@@ -54,7 +54,7 @@
 		StateRPS: 20.5, StateWriteRPS: 21.5, StateValueKB: 22.5, StateTxnOps: 23, CloudRPS: 24.5, CloudListLagS: 25.5,
 		ControllerMemMB: 260.5, ControllerConnections: 270,
 		RegionDelayMS: 28.5, ZoneDelayMS: 29.5, Loss: 0.125, ResendMS: 30.5,
-		Troubles: []Trouble{
+		Troubles: []Fault{
 			{Kind: "leader-ends", AtS: 31.5, ForS: 32.5, Count: 33}, {Kind: "rack", AtS: 34.5, Count: 1},
 			{Kind: "zone-cut", Count: 1}, {Kind: "regions-apart", Count: 1}, {Kind: "replacements", Count: 1},
 		},
@@ -65,10 +65,10 @@
 func TestSettingsNames(t *testing.T) {
 	const path = "testdata/settings.sexp"
 	s, err := LoadSettings(path)
-	if want := allSettings(); err != nil || !reflect.DeepEqual(s, want) {
+	if want := settingsWithAllFields(); err != nil || !reflect.DeepEqual(s, want) {
 		t.Errorf("got %+v, %v, want %+v", s, err, want)
 	}
-	allSet(t, "settings", reflect.ValueOf(s))
+	assertAllFieldsSet(t, "settings", reflect.ValueOf(s))
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -77,37 +77,37 @@
 	if err := edn.Unmarshal(b, &given); err != nil {
 		t.Fatal(err)
 	}
-	for name := range s.known() {
+	for name := range s.parsers() {
 		if _, ok := given[edn.Keyword(name)]; !ok {
 			t.Errorf(":%s is not in the file", name)
 		}
 	}
-	if want := []string{"leader-ends", "rack", "zone-cut", "regions-apart", "replacements"}; !slices.Equal(troubleKinds, want) {
-		t.Errorf("kinds of troubles %q, want %q", troubleKinds, want)
+	if want := []string{"leader-ends", "rack", "zone-cut", "regions-apart", "replacements"}; !slices.Equal(faultKinds, want) {
+		t.Errorf("kinds of troubles %q, want %q", faultKinds, want)
 	}
 }
 
 // A result with every field is written and read as earlier ones were.
 func TestResultNames(t *testing.T) {
 	r := &Result{
-		Settings: allSettings(), Version: "v", Date: "d", Cores: 1,
+		Settings: settingsWithAllFields(), Version: "v", Date: "d", Cores: 1,
 		MeasuredS: 2.5, Workers: 3, RunningTasks: 4.5, Starts: 5, StartsPerS: 6.5, Stopped: 7, LeasesLost: 8, JobsSubmitted: 9,
-		JobsByClass: map[string]int{"c": 10}, Failed: 11, Asked: 12, Unanswered: 13,
+		JobsByClass: map[string]int{"c": 10}, SubmissionsFailed: 11, Queries: 12, QueriesUnanswered: 13,
 		Usage: []Usage{
 			{Role: "leader", Name: "n", Workers: 14, Cores: 15.5, PeakCores: 16.5, MemMB: 17.5, PeakMemMB: 18.5, Threads: 19, Sockets: 20},
 		},
-		Counts: map[string]Count{"k": {Requests: 21, In: 22, Out: 23}}, Changes: map[string]int64{"p": 24},
-		WorkersSpent: Spent{Workers: 25, Reports: 26, ReportsSent: 27, ReportsReceived: 28, Commands: 29, CommandsSent: 30, CommandsGot: 31},
-		Peers:        Bytes{Sent: 32, Received: 33}, State: Bytes{Sent: 34, Received: 35}, Cloud: Bytes{Sent: 36, Received: 37},
+		MessageCounts: map[string]MessageCount{"k": {Requests: 21, BytesIn: 22, BytesOut: 23}}, StateWrites: map[string]int64{"p": 24},
+		WorkerTraffic: WorkerTraffic{Workers: 25, Reports: 26, ReportBytesSent: 27, ReportBytesReceived: 28, Commands: 29, CommandBytesSent: 30, CommandBytesReceived: 31},
+		PeerTraffic:   TrafficBytes{Sent: 32, Received: 33}, StateTraffic: TrafficBytes{Sent: 34, Received: 35}, CloudTraffic: TrafficBytes{Sent: 36, Received: 37},
 		Records: 38, RecordBytes: 39,
-		Submission: Latency{Count: 40, P50: 41.5, P99: 42.5, Max: 43.5}, Urgent: Latency{Count: 44, P50: 45.5, P99: 46.5, Max: 47.5}, UrgentLate: 48,
-		Config: Latency{Count: 49, P50: 50.5, P99: 51.5, Max: 52.5}, ConfigMade: 53, ConfigFailed: 54, ConfigByTime: 55,
-		Troubles: []TroubleSeen{
-			{Trouble: Trouble{Kind: "rack", AtS: 56.5, ForS: 57.5, Count: 58}, NextLeaderS: 59.5, FirstStartS: 60.5, LeasesLost: 61},
+		SubmissionLatency: Latency{Count: 40, P50: 41.5, P99: 42.5, Max: 43.5}, UrgentLatency: Latency{Count: 44, P50: 45.5, P99: 46.5, Max: 47.5}, UrgentLate: 48,
+		ConfigLatency: Latency{Count: 49, P50: 50.5, P99: 51.5, Max: 52.5}, ConfigApplied: 53, ConfigFailed: 54, ConfigUnconfirmed: 55,
+		Faults: []FaultResult{
+			{Fault: Fault{Kind: "rack", AtS: 56.5, ForS: 57.5, Count: 58}, NextLeaderS: 59.5, FirstStartS: 60.5, LeasesLost: 61},
 		},
-		RulesBroken: []string{"b"}, EndedAlone: 62, PeakTotalMB: 63.5, Processes: 64,
+		Violations: []string{"b"}, UnexpectedExits: 62, PeakTotalMB: 63.5, Processes: 64,
 	}
-	allSet(t, "result", reflect.ValueOf(*r))
+	assertAllFieldsSet(t, "result", reflect.ValueOf(*r))
 	const golden = "testdata/result.json"
 	path := filepath.Join(t.TempDir(), "result.json")
 	if err := r.Write(path); err != nil {
@@ -126,17 +126,17 @@
 	}
 }
 
-func TestWords(t *testing.T) {
+func TestEnumValues(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		got, want any
 	}{
 		{"roles", []Role{RoleLeader, RoleFollower, RoleWorker, RoleHollow, RoleRun}, []Role{"leader", "follower", "worker", "hollow", "run"}},
-		{"troubles", []string{TroubleLeaderEnds, TroubleRack, TroubleZoneCut, TroubleRegionsCut, TroubleReplacement},
+		{"troubles", []string{FaultLeaderKilled, FaultRack, FaultZonePartition, FaultRegionPartition, FaultRollingReplacement},
 			[]string{"leader-ends", "rack", "zone-cut", "regions-apart", "replacements"}},
 		{"events", []EventKind{EventStarted, EventLeft, EventDone, EventOrdered, EventExpired, EventTraffic},
 			[]EventKind{"started", "left", "done", "ordered", "expired", "traffic"}},
-		{"commands", []CommandKind{CommandStart, CommandDie, CommandLeader, CommandCutZone, CommandApart},
+		{"commands", []CommandKind{CommandStart, CommandKill, CommandLeaderZone, CommandPartitionZone, CommandPartitionRegions},
 			[]CommandKind{"start", "die", "leader", "cut-zone", "apart"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -21,13 +21,13 @@
 
 // Addresses on loopback, all of them 127.0.0.0/8.
 const (
-	firstZoneNet = 10 // workers of the nth zone are in 127.(10+n).0.0/16
-	workerPort   = 9000
-	hostsPerNet  = 250
+	firstZoneOctet   = 10 // workers of the nth zone are in 127.(10+n).0.0/16
+	workerPort       = 9000
+	workersPerSubnet = 250
 )
 
 func workerAddress(zone, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", firstZoneNet+zone, n/hostsPerNet, n%hostsPerNet+1, workerPort)
+	return fmt.Sprintf("127.%d.%d.%d:%d", firstZoneOctet+zone, n/workersPerSubnet, n%workersPerSubnet+1, workerPort)
 }
 
 func controllerAddress(i int) string { return fmt.Sprintf("127.0.1.%d:8080", i+1) }
@@ -39,7 +39,7 @@
 func peerAddress(i, j int) string { return fmt.Sprintf("127.0.3.%d:8081", 16*i+j+1) }
 
 // command starts a process that ends with this one.
-func command(ctx context.Context, log io.Writer, name string, args ...string) *exec.Cmd {
+func childCommand(ctx context.Context, log io.Writer, name string, args ...string) *exec.Cmd {
 	c := exec.CommandContext(ctx, name, args...)
 	c.Stderr = log
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -48,19 +48,19 @@
 
 // controller is a process of the real program.
 type controller struct {
-	number   int
-	name     string
-	zone     string
-	binary   string
-	platform string // file
-	settings string // file
-	log      *os.File
-	group    *sync.WaitGroup // of all processes
-
-	mu     sync.Mutex
-	cancel context.CancelFunc
-	pid    int // 0: it does not run
-	ended  int // by itself
+	index        int
+	name         string
+	zone         string
+	binary       string
+	platformPath string // file
+	settingsPath string // file
+	logFile      *os.File
+	processes    *sync.WaitGroup // of all processes
+
+	mu              sync.Mutex
+	cancel          context.CancelFunc
+	pid             int // 0: it does not run
+	unexpectedExits int // by itself
 }
 
 // start starts the process unless it runs.
@@ -72,22 +72,22 @@
 	}
 	outer := ctx
 	ctx, cancel := context.WithCancel(ctx)
-	cmd := command(ctx, c.log, c.binary, "--settings", c.settings, "--config", c.platform)
+	cmd := childCommand(ctx, c.logFile, c.binary, "--settings", c.settingsPath, "--config", c.platformPath)
 	if err := cmd.Start(); err != nil {
 		cancel()
 		return fmt.Errorf("controller %s: %w", c.name, err)
 	}
 	c.cancel, c.pid = cancel, cmd.Process.Pid
-	c.group.Go(func() {
+	c.processes.Go(func() {
 		_ = cmd.Wait()
 		c.mu.Lock()
 		alone := ctx.Err() == nil
 		if alone {
-			c.ended++
+			c.unexpectedExits++
 		}
 		c.pid = 0
 		c.mu.Unlock()
-		if alone && wait.For(ctx, restartAfter) {
+		if alone && wait.For(ctx, restartDelay) {
 			_ = c.start(outer)
 		}
 	})
@@ -95,7 +95,7 @@
 }
 
 // restartAfter is until a controller that ended by itself is started again.
-const restartAfter = time.Second
+const restartDelay = time.Second
 
 // kill ends the process without a word.
 func (c *controller) kill() {
@@ -107,23 +107,23 @@
 	}
 }
 
-func (c *controller) running() (pid int) {
+func (c *controller) runningPID() (pid int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pid
 }
 
 // platformFile is what the platform's file says to a controller.
-func (c *controller) platformFile(s *Settings, all []*controller, teams []Team) *config.Platform {
+func (c *controller) platformConfig(s *Settings, all []*controller, teams []Team) *config.Platform {
 	p := &config.Platform{}
 	p.Member, p.Zone = c.name, c.zone
-	p.Listen, p.ClusterListen = controllerAddress(c.number), clusterAddress(c.number)
+	p.Listen, p.ClusterListen = controllerAddress(c.index), clusterAddress(c.index)
 	for _, o := range all {
 		if o != c {
-			p.Peers = append(p.Peers, config.Peer{Member: o.name, Zone: o.zone, Endpoint: peerAddress(c.number, o.number)})
+			p.Peers = append(p.Peers, config.Peer{Member: o.name, Zone: o.zone, Endpoint: peerAddress(c.index, o.index)})
 		}
 	}
-	p.Services.State, p.Services.Cloud = stateAddress(c.number), cloudAddress(c.number)
+	p.Services.State, p.Services.Cloud = stateAddress(c.index), cloudAddress(c.index)
 	q := &p.Params
 	q.Zones = s.Zones
 	for _, t := range teams {
@@ -144,25 +144,25 @@
 	if err != nil {
 		return err
 	}
-	c.platform, c.settings = filepath.Join(dir, c.name+".json"), filepath.Join(dir, c.name+".sexp")
-	if err := os.WriteFile(c.platform, b, 0o600); err != nil {
+	c.platformPath, c.settingsPath = filepath.Join(dir, c.name+".json"), filepath.Join(dir, c.name+".sexp")
+	if err := os.WriteFile(c.platformPath, b, 0o600); err != nil {
 		return err
 	}
 	// Machines stay: what is measured is the fleet at its size.
-	return os.WriteFile(c.settings, []byte("{:idle-return-s 86400}\n"), 0o600)
+	return os.WriteFile(c.settingsPath, []byte("{:idle-return-s 86400}\n"), 0o600)
 }
 
 // hostProcess is a process of workers, seen from the run.
 type hostProcess struct {
-	number int
-	real   bool
-	pid    int
-	most   int // workers
-
-	mu      sync.Mutex
-	in      *json.Encoder
-	workers int
-	spent   Spent
+	index      int
+	realWorker bool
+	pid        int
+	capacity   int // workers
+
+	mu       sync.Mutex
+	commands *json.Encoder
+	reserved int
+	traffic  WorkerTraffic
 }
 
 // startHost starts a process of workers, whose events go to tell.
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := command(ctx, log, binary, "host")
+	cmd := childCommand(ctx, log, binary, "host")
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 	if _, err := stdin.Write(append(bytes.TrimSpace(b), '\n')); err != nil {
 		return nil, err
 	}
-	h := &hostProcess{number: cfg.Number, real: real, pid: cmd.Process.Pid, most: most, in: json.NewEncoder(stdin)}
+	h := &hostProcess{index: cfg.Number, realWorker: real, pid: cmd.Process.Pid, capacity: most, commands: json.NewEncoder(stdin)}
 	group.Go(func() {
 		dec := json.NewDecoder(bufio.NewReader(stdout))
 		for {
@@ -206,34 +206,34 @@
 }
 
 // do has the process carry out a command.
-func (h *hostProcess) do(c Command) {
+func (h *hostProcess) send(c Command) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.in.Encode(&c)
+	_ = h.commands.Encode(&c)
 }
 
 // takes reserves a place for one more worker, if there is one.
-func (h *hostProcess) takes() bool {
+func (h *hostProcess) reserve() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.workers >= h.most {
+	if h.reserved >= h.capacity {
 		return false
 	}
-	h.workers++
+	h.reserved++
 	return true
 }
 
 // remoteWorker is a worker in another process.
 type remoteWorker struct {
-	host *hostProcess
-	at   simulator.Place
+	host    *hostProcess
+	machine simulator.MachineInfo
 }
 
 // Die ends the machine.
-func (r *remoteWorker) Die() {
-	r.host.do(Command{Kind: CommandDie, Place: r.at})
+func (r *remoteWorker) Terminate() {
+	r.host.send(Command{Kind: CommandKill, Place: r.machine})
 	r.host.mu.Lock()
-	r.host.workers--
+	r.host.reserved--
 	r.host.mu.Unlock()
 }
 
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -20,44 +20,44 @@
 	fmt.Fprintf(w, "%d workers (%d alone in a process), %.0f tasks running, %.1f starts a second, %.0f s measured on %d cores; %d processes, %.0f MB at the most\n",
 		r.Workers, r.Settings.RealWorkers, r.RunningTasks, r.StartsPerS, r.MeasuredS, r.Cores, r.Processes, r.PeakTotalMB)
 	for _, role := range []Role{RoleLeader, RoleFollower, RoleWorker, RoleHollow, RoleRun} {
-		if u, n := r.of(role); n > 0 {
+		if u, n := r.usageOf(role); n > 0 {
 			fmt.Fprintf(w, "  %-9s %3d: %.4f cores (peak %.2f), %.0f MB (peak %.0f), %d threads, %d sockets\n",
 				role, n, u.Cores, u.PeakCores, u.MemMB, u.PeakMemMB, u.Threads, u.Sockets)
 		}
 	}
 	per := float64(r.Workers) * r.MeasuredS
-	s := r.WorkersSpent
+	s := r.WorkerTraffic
 	fmt.Fprintf(w, "  a worker and second: %.3f reports, %.0f B sent, %.0f B received; %.3f direct commands, %.0f B received, %.0f B sent\n",
-		float64(s.Reports)/per, float64(s.ReportsSent)/per, float64(s.ReportsReceived)/per,
-		float64(s.Commands)/per, float64(s.CommandsGot)/per, float64(s.CommandsSent)/per)
-	for _, kind := range slices.Sorted(maps.Keys(r.Counts)) {
-		if c := r.Counts[kind]; c.Requests > 0 {
-			fmt.Fprintf(w, "  %-28s %8.2f/s, %.0f B in, %.0f B out each\n", kind, float64(c.Requests)/r.MeasuredS, mean(c.In, c.Requests), mean(c.Out, c.Requests))
+		float64(s.Reports)/per, float64(s.ReportBytesSent)/per, float64(s.ReportBytesReceived)/per,
+		float64(s.Commands)/per, float64(s.CommandBytesReceived)/per, float64(s.CommandBytesSent)/per)
+	for _, kind := range slices.Sorted(maps.Keys(r.MessageCounts)) {
+		if c := r.MessageCounts[kind]; c.Requests > 0 {
+			fmt.Fprintf(w, "  %-28s %8.2f/s, %.0f B in, %.0f B out each\n", kind, float64(c.Requests)/r.MeasuredS, mean(c.BytesIn, c.Requests), mean(c.BytesOut, c.Requests))
 		}
 	}
-	for _, kind := range slices.Sorted(maps.Keys(r.Changes)) {
-		fmt.Fprintf(w, "  change: %-20s %8.2f/s\n", kind, float64(r.Changes[kind])/r.MeasuredS)
+	for _, kind := range slices.Sorted(maps.Keys(r.StateWrites)) {
+		fmt.Fprintf(w, "  change: %-20s %8.2f/s\n", kind, float64(r.StateWrites[kind])/r.MeasuredS)
 	}
-	fmt.Fprintf(w, "  peers %.0f B/s, state %.0f B/s, cloud %.0f B/s; %d records of %d bytes\n", r.Peers.perS(r.MeasuredS), r.State.perS(r.MeasuredS), r.Cloud.perS(r.MeasuredS), r.Records, r.RecordBytes)
-	fmt.Fprintf(w, "  submission %s\n  urgent work %s, %d after %v s\n", r.Submission, r.Urgent, r.UrgentLate, r.Settings.UrgentWithinS)
-	if r.ConfigMade+r.ConfigFailed > 0 {
-		fmt.Fprintf(w, "  configuration in force %s, %d failed, %d in force by time\n", r.Config, r.ConfigFailed, r.ConfigByTime)
+	fmt.Fprintf(w, "  peers %.0f B/s, state %.0f B/s, cloud %.0f B/s; %d records of %d bytes\n", r.PeerTraffic.perSecond(r.MeasuredS), r.StateTraffic.perSecond(r.MeasuredS), r.CloudTraffic.perSecond(r.MeasuredS), r.Records, r.RecordBytes)
+	fmt.Fprintf(w, "  submission %s\n  urgent work %s, %d after %v s\n", r.SubmissionLatency, r.UrgentLatency, r.UrgentLate, r.Settings.UrgentWithinS)
+	if r.ConfigApplied+r.ConfigFailed > 0 {
+		fmt.Fprintf(w, "  configuration in force %s, %d failed, %d in force by time\n", r.ConfigLatency, r.ConfigFailed, r.ConfigUnconfirmed)
 	}
 	fmt.Fprintf(w, "  tasks stopped %d, leases lost %d, submissions failed %d, questions %d (unanswered %d), controllers ended by themselves %d\n",
-		r.Stopped, r.LeasesLost, r.Failed, r.Asked, r.Unanswered, r.EndedAlone)
-	for _, t := range r.Troubles {
+		r.Stopped, r.LeasesLost, r.SubmissionsFailed, r.Queries, r.QueriesUnanswered, r.UnexpectedExits)
+	for _, t := range r.Faults {
 		fmt.Fprintf(w, "  trouble %s at %v s for %v s: next leader after %.2f s, next start after %.2f s, leases lost %d\n",
-			t.Trouble.Kind, t.Trouble.AtS, t.Trouble.ForS, t.NextLeaderS, t.FirstStartS, t.LeasesLost)
+			t.Fault.Kind, t.Fault.AtS, t.Fault.ForS, t.NextLeaderS, t.FirstStartS, t.LeasesLost)
 	}
-	fmt.Fprintf(w, "  rules broken: %d\n", len(r.RulesBroken))
-	for _, b := range r.RulesBroken {
+	fmt.Fprintf(w, "  rules broken: %d\n", len(r.Violations))
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, "   ", b)
 	}
 }
 
 func mean(sum, n int64) float64 { return float64(sum) / float64(max(n, 1)) }
 
-func (b Bytes) perS(seconds float64) float64 { return float64(b.Sent+b.Received) / seconds }
+func (b TrafficBytes) perSecond(seconds float64) float64 { return float64(b.Sent+b.Received) / seconds }
 
 // String is for people.
 func (l Latency) String() string {
@@ -65,29 +65,29 @@
 }
 
 // quantity is something that grows with the number of workers.
-type quantity struct {
-	name string // of the table's row
-	unit string
-	file string // of the plot
-	of   func(r *Result) float64
+type metric struct {
+	name  string // of the table's row
+	unit  string
+	file  string // of the plot
+	value func(r *Result) float64
 }
 
-func usage(role Role, of func(Usage) float64) func(*Result) float64 {
+func usageMetric(role Role, of func(Usage) float64) func(*Result) float64 {
 	return func(r *Result) float64 {
-		u, _ := r.of(role)
+		u, _ := r.usageOf(role)
 		return of(u)
 	}
 }
 
-func cores(u Usage) float64     { return u.Cores }
-func memory(u Usage) float64    { return u.PeakMemMB }
-func socketsOf(u Usage) float64 { return float64(u.Sockets) }
+func meanCores(u Usage) float64   { return u.Cores }
+func peakMemory(u Usage) float64  { return u.PeakMemMB }
+func openSockets(u Usage) float64 { return float64(u.Sockets) }
 
 // requestsOf counts the requests whose kind begins so.
-func requestsOf(prefix string) func(*Result) float64 {
+func requestRate(prefix string) func(*Result) float64 {
 	return func(r *Result) float64 {
 		n := int64(0)
-		for kind, c := range r.Counts {
+		for kind, c := range r.MessageCounts {
 			if strings.HasPrefix(kind, prefix) {
 				n += c.Requests
 			}
@@ -96,54 +96,54 @@
 	}
 }
 
-func changesPerS(r *Result) float64 {
+func stateWriteRate(r *Result) float64 {
 	n := int64(0)
-	for _, c := range r.Changes {
+	for _, c := range r.StateWrites {
 		n += c
 	}
 	return float64(n) / r.MeasuredS
 }
 
-var quantities = []quantity{
-	{"leader, processor", "cores", "leader-cores", usage(RoleLeader, cores)},
-	{"leader, memory at its peak", "MB", "leader-memory", usage(RoleLeader, memory)},
-	{"leader, sockets", "sockets", "leader-sockets", usage(RoleLeader, socketsOf)},
-	{"follower, processor", "cores", "follower-cores", usage(RoleFollower, cores)},
-	{"follower, memory at its peak", "MB", "follower-memory", usage(RoleFollower, memory)},
-	{"workers' reports", "a second", "reports", func(r *Result) float64 { return float64(r.WorkersSpent.Reports) / r.MeasuredS }},
-	{"direct commands", "a second", "commands", func(r *Result) float64 { return float64(r.WorkersSpent.Commands) / r.MeasuredS }},
+var metrics = []metric{
+	{"leader, processor", "cores", "leader-cores", usageMetric(RoleLeader, meanCores)},
+	{"leader, memory at its peak", "MB", "leader-memory", usageMetric(RoleLeader, peakMemory)},
+	{"leader, sockets", "sockets", "leader-sockets", usageMetric(RoleLeader, openSockets)},
+	{"follower, processor", "cores", "follower-cores", usageMetric(RoleFollower, meanCores)},
+	{"follower, memory at its peak", "MB", "follower-memory", usageMetric(RoleFollower, peakMemory)},
+	{"workers' reports", "a second", "reports", func(r *Result) float64 { return float64(r.WorkerTraffic.Reports) / r.MeasuredS }},
+	{"direct commands", "a second", "commands", func(r *Result) float64 { return float64(r.WorkerTraffic.Commands) / r.MeasuredS }},
 	{"workers' bytes, all ways", "KB a second", "worker-bytes", func(r *Result) float64 {
-		s := r.WorkersSpent
-		return float64(s.ReportsSent+s.ReportsReceived+s.CommandsSent+s.CommandsGot) / r.MeasuredS / 1024
+		s := r.WorkerTraffic
+		return float64(s.ReportBytesSent+s.ReportBytesReceived+s.CommandBytesSent+s.CommandBytesReceived) / r.MeasuredS / 1024
 	}},
-	{"state service, requests", "a second", "state-requests", requestsOf("state ")},
-	{"state service, changes", "a second", "state-changes", changesPerS},
-	{"cloud, requests", "a second", "cloud-requests", requestsOf("cloud ")},
-	{"between controllers", "KB a second", "peer-bytes", func(r *Result) float64 { return r.Peers.perS(r.MeasuredS) / 1024 }},
-	{"users' requests", "a second", "user-requests", requestsOf("users ")},
+	{"state service, requests", "a second", "state-requests", requestRate("state ")},
+	{"state service, changes", "a second", "state-changes", stateWriteRate},
+	{"cloud, requests", "a second", "cloud-requests", requestRate("cloud ")},
+	{"between controllers", "KB a second", "peer-bytes", func(r *Result) float64 { return r.PeerTraffic.perSecond(r.MeasuredS) / 1024 }},
+	{"users' requests", "a second", "user-requests", requestRate("users ")},
 }
 
 // fit is a straight line through measurements.
-type fit struct {
-	base, slope float64
-	residual    float64 // the largest, as a share of the largest value
+type linearFit struct {
+	intercept, slope float64
+	maxResidual      float64 // the largest, as a share of the largest value
 }
 
-func fitLine(x, y []float64) fit {
-	var f fit
-	f.base, f.slope = stat.LinearRegression(x, y, nil, false)
+func fitLine(x, y []float64) linearFit {
+	var f linearFit
+	f.intercept, f.slope = stat.LinearRegression(x, y, nil, false)
 	largest := slices.Max(y)
 	for i := range x {
-		f.residual = max(f.residual, math.Abs(y[i]-f.base-f.slope*x[i]))
+		f.maxResidual = max(f.maxResidual, math.Abs(y[i]-f.intercept-f.slope*x[i]))
 	}
 	if largest > 0 {
-		f.residual /= largest
+		f.maxResidual /= largest
 	}
 	return f
 }
 
 // fewest is how many sizes a slope needs.
-const fewest = 3
+const minSizesForFit = 3
 
 // WriteReport prints what results at several sizes show, with a line fitted to each
 // quantity; plots go into a folder, if one is given.
@@ -157,41 +157,41 @@
 	}
 	fmt.Fprint(w, " at none | a thousand workers more | residual |\n|")
 	fmt.Fprintln(w, strings.Repeat(" --- |", len(all)+4))
-	for _, q := range quantities {
+	for _, q := range metrics {
 		y := make([]float64, len(all))
 		fmt.Fprintf(w, "| %s, %s |", q.name, q.unit)
 		for i, r := range all {
-			y[i] = q.of(r)
-			fmt.Fprintf(w, " %s |", short(y[i]))
+			y[i] = q.value(r)
+			fmt.Fprintf(w, " %s |", formatNumber(y[i]))
 		}
-		if len(all) < fewest {
+		if len(all) < minSizesForFit {
 			fmt.Fprintln(w, " | | |")
 			continue
 		}
 		f := fitLine(x, y)
-		fmt.Fprintf(w, " %s | %s | %.0f%% |\n", short(f.base), short(f.slope*1000), 100*f.residual)
+		fmt.Fprintf(w, " %s | %s | %.0f%% |\n", formatNumber(f.intercept), formatNumber(f.slope*1000), 100*f.maxResidual)
 		if plots != "" {
-			if err := draw(filepath.Join(plots, q.file+".png"), q, x, y, f); err != nil {
+			if err := savePlot(filepath.Join(plots, q.file+".png"), q, x, y, f); err != nil {
 				return err
 			}
 		}
 	}
 	for _, r := range all {
 		fmt.Fprintf(w, "\n%d workers, sources %s, %s: %.0f tasks running, %.1f starts a second; urgent work %s; submission %s; rules broken %d\n",
-			r.Workers, r.Version, r.Date, r.RunningTasks, r.StartsPerS, r.Urgent, r.Submission, len(r.RulesBroken))
+			r.Workers, r.Version, r.Date, r.RunningTasks, r.StartsPerS, r.UrgentLatency, r.SubmissionLatency, len(r.Violations))
 	}
 	return nil
 }
 
 // short is a number with three digits that count.
-func short(v float64) string {
+func formatNumber(v float64) string {
 	if math.Abs(v) >= 100 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-func draw(path string, q quantity, x, y []float64, f fit) error {
+func savePlot(path string, q metric, x, y []float64, f linearFit) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = q.name, "workers", q.unit
 	p.X.Min, p.Y.Min = 0, 0
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	line := plotter.NewFunction(func(x float64) float64 { return f.base + f.slope*x })
+	line := plotter.NewFunction(func(x float64) float64 { return f.intercept + f.slope*x })
 	p.Add(plotter.NewGrid(), scatter, line)
 	return p.Save(12*vg.Centimeter, 8*vg.Centimeter, path)
 }
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -13,54 +13,54 @@
 	Date     string   `json:"date"`
 	Cores    int      `json:"cores"` // of the machine
 
-	MeasuredS     float64        `json:"measured_s"`
-	Workers       int            `json:"workers"`       // up, at the end
-	RunningTasks  float64        `json:"running_tasks"` // mean
-	Starts        int            `json:"starts"`
-	StartsPerS    float64        `json:"starts_per_s"`
-	Stopped       int            `json:"stopped"` // tasks stopped by command
-	LeasesLost    int            `json:"leases_lost"`
-	JobsSubmitted int            `json:"jobs_submitted"` // in the whole run
-	JobsByClass   map[string]int `json:"jobs_by_class"`
-	Failed        int            `json:"submissions_failed"` // in the whole run
-	Asked         int            `json:"asked"`              // in the whole run
-	Unanswered    int            `json:"unanswered"`         // in the whole run
+	MeasuredS         float64        `json:"measured_s"`
+	Workers           int            `json:"workers"`       // up, at the end
+	RunningTasks      float64        `json:"running_tasks"` // mean
+	Starts            int            `json:"starts"`
+	StartsPerS        float64        `json:"starts_per_s"`
+	Stopped           int            `json:"stopped"` // tasks stopped by command
+	LeasesLost        int            `json:"leases_lost"`
+	JobsSubmitted     int            `json:"jobs_submitted"` // in the whole run
+	JobsByClass       map[string]int `json:"jobs_by_class"`
+	SubmissionsFailed int            `json:"submissions_failed"` // in the whole run
+	Queries           int            `json:"asked"`              // in the whole run
+	QueriesUnanswered int            `json:"unanswered"`         // in the whole run
 
-	Usage        []Usage          `json:"usage"`
-	Counts       map[string]Count `json:"counts"`  // of messages, by kind
-	Changes      map[string]int64 `json:"changes"` // of the state service, by kind of record
-	WorkersSpent Spent            `json:"workers_spent"`
-	Peers        Bytes            `json:"peers"`
-	State        Bytes            `json:"state"` // with headers
-	Cloud        Bytes            `json:"cloud"`
-	Records      int              `json:"records"` // of the state service, at the end
-	RecordBytes  int              `json:"record_bytes"`
+	Usage         []Usage                 `json:"usage"`
+	MessageCounts map[string]MessageCount `json:"counts"`  // of messages, by kind
+	StateWrites   map[string]int64        `json:"changes"` // of the state service, by kind of record
+	WorkerTraffic WorkerTraffic           `json:"workers_spent"`
+	PeerTraffic   TrafficBytes            `json:"peers"`
+	StateTraffic  TrafficBytes            `json:"state"` // with headers
+	CloudTraffic  TrafficBytes            `json:"cloud"`
+	Records       int                     `json:"records"` // of the state service, at the end
+	RecordBytes   int                     `json:"record_bytes"`
 
-	Submission Latency `json:"submission"` // in the whole run after warm-up
-	Urgent     Latency `json:"urgent"`
-	UrgentLate int     `json:"urgent_late"`
+	SubmissionLatency Latency `json:"submission"` // in the whole run after warm-up
+	UrgentLatency     Latency `json:"urgent"`
+	UrgentLate        int     `json:"urgent_late"`
 
-	Config       Latency `json:"config"` // until a change was in force
-	ConfigMade   int     `json:"config_made"`
-	ConfigFailed int     `json:"config_failed"`
-	ConfigByTime int     `json:"config_by_time"` // in force by time, as a controller said nothing
+	ConfigLatency     Latency `json:"config"` // until a change was in force
+	ConfigApplied     int     `json:"config_made"`
+	ConfigFailed      int     `json:"config_failed"`
+	ConfigUnconfirmed int     `json:"config_by_time"` // in force by time, as a controller said nothing
 
-	Troubles    []TroubleSeen `json:"troubles"`
-	RulesBroken []string      `json:"rules_broken"`
-	EndedAlone  int           `json:"ended_alone"` // controllers that ended by themselves
-	PeakTotalMB float64       `json:"peak_total_mb"`
-	Processes   int           `json:"processes"`
+	Faults          []FaultResult `json:"troubles"`
+	Violations      []string      `json:"rules_broken"`
+	UnexpectedExits int           `json:"ended_alone"` // controllers that ended by themselves
+	PeakTotalMB     float64       `json:"peak_total_mb"`
+	Processes       int           `json:"processes"`
 }
 
 // Bytes are those of connections, both ways.
-type Bytes struct {
+type TrafficBytes struct {
 	Sent     int64 `json:"sent"`
 	Received int64 `json:"received"`
 }
 
 // TroubleSeen is a trouble and what was seen of it.
-type TroubleSeen struct {
-	Trouble Trouble `json:"trouble"`
+type FaultResult struct {
+	Fault Fault `json:"trouble"`
 	// NextLeaderS is until there was another leader's key, FirstStartS until the next task
 	// began after that; 0: not seen.
 	NextLeaderS float64 `json:"next_leader_s,omitempty"`
@@ -69,7 +69,7 @@
 }
 
 // Usage of a role: the mean of the processes of that role.
-func (r *Result) of(role Role) (u Usage, n int) {
+func (r *Result) usageOf(role Role) (u Usage, n int) {
 	for _, o := range r.Usage {
 		if o.Role != role {
 			continue
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -47,16 +47,16 @@
 	if err := s.check(); err != nil {
 		t.Fatal(err)
 	}
-	res, err := New(s, io.Discard).Do(t.Context(), Programs{Binary: binary}, dir)
+	res, err := New(s, io.Discard).Execute(t.Context(), Programs{Binary: binary}, dir)
 	if err != nil {
 		log, _ := os.ReadFile(filepath.Join(dir, "processes.log"))
 		t.Fatalf("%v\n%s", err, log)
 	}
-	if len(res.RulesBroken) > 0 || res.EndedAlone > 0 {
-		t.Errorf("rules broken %q, controllers ended by themselves %d", res.RulesBroken, res.EndedAlone)
+	if len(res.Violations) > 0 || res.UnexpectedExits > 0 {
+		t.Errorf("rules broken %q, controllers ended by themselves %d", res.Violations, res.UnexpectedExits)
 	}
-	if res.Workers != s.Workers || res.WorkersSpent.Reports == 0 || len(res.Usage) == 0 {
-		t.Errorf("%d workers, %d reports, usage of %d processes", res.Workers, res.WorkersSpent.Reports, len(res.Usage))
+	if res.Workers != s.Workers || res.WorkerTraffic.Reports == 0 || len(res.Usage) == 0 {
+		t.Errorf("%d workers, %d reports, usage of %d processes", res.Workers, res.WorkerTraffic.Reports, len(res.Usage))
 	}
 	path := filepath.Join(dir, "result.json")
 	if err := res.Write(path); err != nil {
@@ -115,11 +115,11 @@
 }
 
 // TestLinks: bytes are counted, and held while a zone is cut off.
-func TestLinks(t *testing.T) {
+func TestNetwork(t *testing.T) {
 	s := DefaultSettings()
 	s.RegionDelayMS, s.ZoneDelayMS = 0, 0
-	l := NewLinks(&s)
-	var near, far Traffic
+	l := NewNetwork(&s)
+	var near, far TrafficCounter
 	ln, err := l.Listen("127.0.0.1:0", "a1", func() string { return "b1" }, &far)
 	if err != nil {
 		t.Fatal(err)
@@ -151,14 +151,14 @@
 	if err := <-echo(); err != nil {
 		t.Fatal(err)
 	}
-	l.CutRegions(true)
+	l.SetRegionsPartitioned(true)
 	answer := echo()
 	select {
 	case err := <-answer:
 		t.Errorf("something came through a cut: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	l.CutRegions(false)
+	l.SetRegionsPartitioned(false)
 	if err := <-answer; err != nil {
 		t.Error(err)
 	}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -51,11 +51,11 @@
 	Loss          float64 // of the writes between regions, each of which is sent again
 	ResendMS      float64 // after a loss
 
-	Troubles []Trouble
+	Troubles []Fault
 }
 
 // Trouble is something that goes wrong at a time, counted from when measuring begins.
-type Trouble struct {
+type Fault struct {
 	Kind  string
 	AtS   float64
 	ForS  float64
@@ -64,14 +64,14 @@
 
 // Kinds of troubles.
 const (
-	TroubleLeaderEnds  = "leader-ends"   // and is back after ForS
-	TroubleRack        = "rack"          // Count machines of one zone stop
-	TroubleZoneCut     = "zone-cut"      // a zone is cut off from the others for ForS
-	TroubleRegionsCut  = "regions-apart" // nothing crosses between regions for ForS
-	TroubleReplacement = "replacements"  // Count machines stop, one after the other during ForS
+	FaultLeaderKilled       = "leader-ends"   // and is back after ForS
+	FaultRack               = "rack"          // Count machines of one zone stop
+	FaultZonePartition      = "zone-cut"      // a zone is cut off from the others for ForS
+	FaultRegionPartition    = "regions-apart" // nothing crosses between regions for ForS
+	FaultRollingReplacement = "replacements"  // Count machines stop, one after the other during ForS
 )
 
-var troubleKinds = []string{TroubleLeaderEnds, TroubleRack, TroubleZoneCut, TroubleRegionsCut, TroubleReplacement}
+var faultKinds = []string{FaultLeaderKilled, FaultRack, FaultZonePartition, FaultRegionPartition, FaultRollingReplacement}
 
 // Limits of a run on one machine.
 const (
@@ -101,7 +101,7 @@
 	if err != nil {
 		return s, err
 	}
-	if err := ednmap.Parse(b, s.known()); err != nil {
+	if err := ednmap.Parse(b, s.parsers()); err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := s.check(); err != nil {
@@ -110,7 +110,7 @@
 	return s, nil
 }
 
-func (s *Settings) known() map[string]ednmap.Parser {
+func (s *Settings) parsers() map[string]ednmap.Parser {
 	return map[string]ednmap.Parser{
 		"seed":                   ednmap.Integer(0, 1e9, &s.Seed),
 		"workers":                ednmap.Integer(1, maxWorkers, &s.Workers),
@@ -146,11 +146,11 @@
 		"zone-delay-ms":          ednmap.Number(0, 1000, &s.ZoneDelayMS),
 		"loss":                   ednmap.Number(0, 0.5, &s.Loss),
 		"resend-ms":              ednmap.Number(1, 5000, &s.ResendMS),
-		"troubles":               troubles(&s.Troubles),
+		"troubles":               parseFaults(&s.Troubles),
 	}
 }
 
-func troubles(to *[]Trouble) ednmap.Parser {
+func parseFaults(to *[]Fault) ednmap.Parser {
 	return func(b edn.RawMessage) error {
 		var list []edn.RawMessage
 		if err := edn.Unmarshal(b, &list); err != nil {
@@ -158,13 +158,13 @@
 		}
 		*to = nil
 		for i, raw := range list {
-			t := Trouble{Count: 1}
+			t := Fault{Count: 1}
 			err := ednmap.ParseMap(raw, map[string]ednmap.Parser{
 				"kind": ednmap.String(&t.Kind), "at-s": ednmap.Number(0, 3600, &t.AtS),
 				"for-s": ednmap.Number(0, 3600, &t.ForS), "count": ednmap.Integer(1, maxWorkers, &t.Count),
 			})
-			if err == nil && !slices.Contains(troubleKinds, t.Kind) {
-				err = fmt.Errorf(":kind: want one of %q, not %q", troubleKinds, t.Kind)
+			if err == nil && !slices.Contains(faultKinds, t.Kind) {
+				err = fmt.Errorf(":kind: want one of %q, not %q", faultKinds, t.Kind)
 			}
 			if err != nil {
 				return fmt.Errorf("trouble %d: %w", i+1, err)
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -27,7 +27,7 @@
 	Zones     []string `msgpack:"paddocks"`
 }
 
-type stall struct {
+type cloudMachine struct {
 	ID      string  `msgpack:"uid"`
 	Address string  `msgpack:"address"`
 	Type    string  `msgpack:"breed"`
@@ -36,48 +36,48 @@
 	State   string  `msgpack:"phase"`
 	AgeS    float64 `msgpack:"age_s"`
 
-	running Running // nil until it is up
-	born    time.Time
+	running   MachineProcess // nil until it is up
+	createdAt time.Time
 }
 
 // Running is what runs on a machine that is up.
-type Running interface {
+type MachineProcess interface {
 	// Die ends the machine and everything on it.
-	Die()
+	Terminate()
 }
 
 // Cloud is a stand-in for the machine cloud.
 type Cloud struct {
-	mu       sync.Mutex
-	start    func(m Place, at string, t *MachineType) Running
-	address  func(n int, zone string) string // of the nth machine
-	Types    []MachineType
-	Capacity int                 // machines at most
-	boots    func(n int) float64 // see Boots
-	machines map[string]*stall
-	requests map[string][]string
-	next     int
+	mu             sync.Mutex
+	startProcess   func(m MachineInfo, at string, t *MachineType) MachineProcess
+	addressOf      func(n int, zone string) string // of the nth machine
+	Types          []MachineType
+	Capacity       int                 // machines at most
+	bootFactor     func(n int) float64 // see Boots
+	machines       map[string]*cloudMachine
+	namesByRequest map[string][]string
+	lastID         int
 }
 
 // NewCloud returns a cloud whose machines are at addresses, and are started with start when
 // they are up: nil if the cloud is over by then.
 func NewCloud(types []MachineType, capacity int, address func(n int, zone string) string,
-	start func(m Place, at string, t *MachineType) Running) *Cloud {
+	start func(m MachineInfo, at string, t *MachineType) MachineProcess) *Cloud {
 	return &Cloud{
-		start: start, address: address, Types: types, Capacity: capacity,
-		machines: map[string]*stall{}, requests: map[string][]string{},
+		startProcess: start, addressOf: address, Types: types, Capacity: capacity,
+		machines: map[string]*cloudMachine{}, namesByRequest: map[string][]string{},
 	}
 }
 
 // Boot starts a machine that nobody has asked for.
-func (c *Cloud) Boot(typ, zone string, spot bool) (name string) {
+func (c *Cloud) StartUnrequested(typ, zone string, spot bool) (name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.boot(typ, zone, spot)
+	return c.startMachine(typ, zone, spot)
 }
 
 // Fail ends a machine by itself: it stays listed until it is returned.
-func (c *Cloud) Fail(name string) {
+func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.machines[name]
@@ -85,12 +85,12 @@
 		return
 	}
 	m.State = "failed"
-	m.running.Die()
+	m.running.Terminate()
 	m.running = nil
 }
 
 // Machines counts the machines that are rented.
-func (c *Cloud) Machines() int {
+func (c *Cloud) MachineCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
@@ -98,9 +98,9 @@
 
 // Boots has the nth machine take so many times as long to boot; it never comes up if
 // that is not positive. nil: as usual.
-func (c *Cloud) Boots(times func(n int) float64) {
+func (c *Cloud) SetBootFactor(times func(n int) float64) {
 	c.mu.Lock()
-	c.boots = times
+	c.bootFactor = times
 	c.mu.Unlock()
 }
 
@@ -131,16 +131,16 @@
 	case r.URL.Path == wire.MachinesPath && r.Method == http.MethodPost:
 		var q wire.RentRequest
 		_ = wire.Unmarshal(b, &q)
-		names, ok := c.requests[q.Request]
+		names, ok := c.namesByRequest[q.RequestID]
 		if !ok {
 			for i := 0; i < q.Count && len(c.machines) < c.Capacity; i++ {
-				names = append(names, c.boot(q.Type, q.Zone, q.Spot))
+				names = append(names, c.startMachine(q.Type, q.Zone, q.Spot))
 			}
 			if len(names) == 0 {
 				respond(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 				return
 			}
-			c.requests[q.Request] = names
+			c.namesByRequest[q.RequestID] = names
 		}
 		respond(w, http.StatusOK, &wire.MachineNames{Machines: names})
 	case r.URL.Path == wire.MachineReleasePath:
@@ -150,13 +150,13 @@
 			if m := c.machines[n]; m != nil {
 				delete(c.machines, n)
 				if m.running != nil {
-					m.running.Die()
+					m.running.Terminate()
 				}
 			}
 		}
 		respond(w, http.StatusOK, map[string]any{})
 	case r.URL.Path == wire.MachinesPath:
-		list, more := c.page(r.URL.Query())
+		list, more := c.listPage(r.URL.Query())
 		respond(w, http.StatusOK, map[string]any{"stalls": list, "more": more})
 	default:
 		w.WriteHeader(http.StatusNotFound)
@@ -164,12 +164,12 @@
 }
 
 // page lists machines by name, after one and so many of them; c.mu is held.
-func (c *Cloud) page(query url.Values) (list []*stall, more bool) {
+func (c *Cloud) listPage(query url.Values) (list []*cloudMachine, more bool) {
 	since := query.Get("since")
 	limit, _ := strconv.Atoi(query.Get("limit"))
 	for _, m := range c.machines {
 		if m.ID > since {
-			m.AgeS = time.Since(m.born).Seconds()
+			m.AgeS = time.Since(m.createdAt).Seconds()
 			list = append(list, m)
 		}
 	}
@@ -181,18 +181,18 @@
 }
 
 // boot starts a machine; c.mu is held.
-func (c *Cloud) boot(typ, zone string, spot bool) string {
-	c.next++
-	m := &stall{
-		ID: fmt.Sprintf("n-%06d", c.next), Address: c.address(c.next, zone),
-		Type: typ, Zone: zone, Spot: spot, State: "booting", born: time.Now(),
+func (c *Cloud) startMachine(typ, zone string, spot bool) string {
+	c.lastID++
+	m := &cloudMachine{
+		ID: fmt.Sprintf("n-%06d", c.lastID), Address: c.addressOf(c.lastID, zone),
+		Type: typ, Zone: zone, Spot: spot, State: "booting", createdAt: time.Now(),
 	}
 	c.machines[m.ID] = m
 	for i := range c.Types {
 		if t := &c.Types[i]; t.Name == typ {
 			times := 1.0
-			if c.boots != nil {
-				times = c.boots(c.next)
+			if c.bootFactor != nil {
+				times = c.bootFactor(c.lastID)
 			}
 			if times <= 0 {
 				continue
@@ -204,7 +204,7 @@
 				if c.machines[m.ID] != m {
 					return
 				}
-				if up := c.start(Place{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.Address, t); up != nil {
+				if up := c.startProcess(MachineInfo{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.Address, t); up != nil {
 					m.State, m.running = "running", up
 				}
 			}()
@@ -214,13 +214,13 @@
 }
 
 // Up lists the machines that are up, by name.
-func (c *Cloud) Up() []Place {
+func (c *Cloud) RunningMachines() []MachineInfo {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []Place
+	var out []MachineInfo
 	for _, m := range c.machines {
 		if m.running != nil {
-			out = append(out, Place{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+			out = append(out, MachineInfo{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Machine < out[b].Machine })
--- a/internal/simulator/config_test.go
+++ b/internal/simulator/config_test.go
@@ -54,7 +54,7 @@
 	o := &operator{t: t, w: w, base: config.ClusterConfigBase(&p, w.Settings)}
 	o.client = o.newClient("operator", p)
 	o.history = []inForce{{config: &clusterconfig.Config{}}}
-	w.SetLimit(o.limit)
+	w.SetTeamLimit(o.limit)
 	return o
 }
 
@@ -143,27 +143,27 @@
 }
 
 // playConfig plays a day with an operator.
-func playConfig(t *testing.T, d day, p config.Platform, act func(t *testing.T, o *operator, u *users)) {
+func playConfig(t *testing.T, d scenario, p config.Platform, act func(t *testing.T, o *operator, u *users)) {
 	t.Helper()
 	var o *operator
 	setup := d.setup
-	d.ends = true
+	d.setupFaultsEnd = true
 	d.setup = func(w *simulator.World) {
 		o = newOperator(t, w, p)
 		if setup != nil {
 			setup(w)
 		}
 	}
-	play(t, d, p, machineTypes[:1], func(t *testing.T, u *users) { act(t, o, u) })
+	runScenario(t, d, p, machineTypes[:1], func(t *testing.T, u *users) { act(t, o, u) })
 }
 
 // tight is a platform whose state service takes few changes.
-func tight() config.Platform { return sizes[1].of() }
+func tight() config.Platform { return stateBudgets[1].platform() }
 
 // TestConfigMeaning: what each kind of change does to running and waiting work.
 func TestConfigMeaning(t *testing.T) {
 	const s = time.Second
-	on := func(w *simulator.World, id string) int { return w.On(id) }
+	on := func(w *simulator.World, id string) int { return w.RunningTasks(id) }
 	for _, c := range []struct {
 		name string
 		act  func(t *testing.T, o *operator, u *users)
@@ -186,12 +186,12 @@
 			time.Sleep(70 * s)
 			before := on(u.w, "job-000001")
 			must(t, o, "low", o.team("blue", maxCPUs(20)))
-			starts := u.w.Starts()
+			starts := u.w.TaskStarts()
 			time.Sleep(10 * s)
 			if n := on(u.w, "job-000001"); n != before || before <= 10 {
 				t.Errorf("%d tasks ran before, %d after", before, n)
 			}
-			if n := u.w.Starts(); n != starts {
+			if n := u.w.TaskStarts(); n != starts {
 				t.Errorf("%d tasks were started over the limit", n-starts)
 			}
 			time.Sleep(100 * s)
@@ -224,11 +224,11 @@
 		{"a team that is added, drained and removed", func(t *testing.T, o *operator, u *users) {
 			job := array(1, 2, 30)
 			job.Team = "red"
-			if got := u.w.Post(0, &job); got != http.StatusUnprocessableEntity {
+			if got := u.w.PostJob(0, &job); got != http.StatusUnprocessableEntity {
 				t.Errorf("a job of a team that there is not is answered %d", got)
 			}
 			must(t, o, "add", o.team("red", maxCPUs(8)))
-			if got := u.w.Post(1, &job); got != http.StatusCreated {
+			if got := u.w.PostJob(1, &job); got != http.StatusCreated {
 				t.Errorf("a job of the new team is answered %d", got)
 			}
 			u.w.Submit(job)
@@ -239,15 +239,15 @@
 			must(t, o, "drain", o.team("red", func(t *clusterconfig.Team) { t.Draining = true }))
 			late := array(2, 1, 1)
 			late.Team = "red"
-			if got := u.w.Post(2, &late); got != http.StatusUnprocessableEntity {
+			if got := u.w.PostJob(2, &late); got != http.StatusUnprocessableEntity {
 				t.Errorf("a job of a draining team is answered %d", got)
 			}
 			if _, err := o.change("gone", 10*s, gone); !errors.Is(err, configclient.ErrTeamHasJobs) {
 				t.Errorf("removed with a job that runs: %v", err)
 			}
-			u.must(job.ID, "done")
+			u.expectState(job.ID, "done")
 			must(t, o, "gone", gone)
-			if got, told := u.w.Repeat(0, job.ID, &job); got != http.StatusOK || told != "done" {
+			if got, told := u.w.Resubmit(0, job.ID, &job); got != http.StatusOK || told != "done" {
 				t.Errorf("a repeat of its job is answered %d, %q", got, told)
 			}
 		}},
@@ -255,29 +255,29 @@
 			must(t, o, "cap", o.team("green", func(t *clusterconfig.Team) { t.PriorityCap = core.Normal }))
 			job := service(1, 1)
 			for i := range 3 {
-				if got := u.w.Post(i, &job); got != http.StatusUnprocessableEntity {
+				if got := u.w.PostJob(i, &job); got != http.StatusUnprocessableEntity {
 					t.Errorf("node %d answers %d to a production job", i, got)
 				}
 			}
 			must(t, o, "lift", o.team("green", func(t *clusterconfig.Team) { t.PriorityCap = core.Production }))
 			for i := range 3 {
-				if got := u.w.Post(i, &job); got != http.StatusCreated && got != http.StatusOK {
+				if got := u.w.PostJob(i, &job); got != http.StatusCreated && got != http.StatusOK {
 					t.Errorf("node %d answers %d once it may", i, got)
 				}
 			}
 			u.w.Submit(job)
-			u.must(job.ID, "running")
+			u.expectState(job.ID, "running")
 			u.w.Cancel(job.ID)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			playConfig(t, day{seed: 500}, twoTeams(), func(t *testing.T, o *operator, u *users) {
+			playConfig(t, scenario{seed: 500}, twoTeams(), func(t *testing.T, o *operator, u *users) {
 				time.Sleep(10 * s)
 				c.act(t, o, u)
-				if n := u.w.Starts(); n == 0 {
+				if n := u.w.TaskStarts(); n == 0 {
 					u.w.Submit(array(9, 1, 1))
-					u.must("job-000009", "done")
+					u.expectState("job-000009", "done")
 				}
 			})
 		})
@@ -295,15 +295,15 @@
 // TestConfigHardCases brings about what can come between a change and its being in force.
 func TestConfigHardCases(t *testing.T) {
 	const s = time.Second
-	busy := func(u *users) { short(u, 0, 80*s, 1500*time.Millisecond) }
+	busy := func(u *users) { submitShortJobs(u, 0, 80*s, 1500*time.Millisecond) }
 	lower := func(o *operator, n int64) func(*clusterconfig.Config) { return o.team("blue", maxCPUs(n)) }
-	for _, size := range sizes {
+	for _, size := range stateBudgets {
 		for _, c := range []struct {
 			name string
 			act  func(t *testing.T, o *operator, u *users)
 		}{
 			{"two operators at once", func(t *testing.T, o *operator, u *users) {
-				other := &operator{t: t, w: o.w, base: o.base, client: o.newClient("operator-2", size.of())}
+				other := &operator{t: t, w: o.w, base: o.base, client: o.newClient("operator-2", size.platform())}
 				ctx, cancel := context.WithTimeout(context.Background(), 10*s)
 				defer cancel()
 				must(t, o, "first", lower(o, 50))
@@ -335,16 +335,16 @@
 			{"the answer is lost after the write", func(t *testing.T, o *operator, u *users) {
 				must(t, o, "first", lower(o, 50))
 				unanswered := 0
-				o.w.StateFaults.Set(func(f *simulator.Faults) {
-					f.NoAnswer, f.LateOnly = 1, wire.CommitPath
-					f.Unanswered = func(_ string, status int, body []byte) {
+				o.w.StateFaults.Update(func(f *simulator.Faults) {
+					f.WithholdResponse, f.LatePath = 1, wire.CommitPath
+					f.OnUnanswered = func(_ string, status int, body []byte) {
 						if status == http.StatusOK && strings.Contains(string(body), clusterconfig.HeadKey) && strings.Contains(string(body), "lost") {
 							unanswered++
 						}
 					}
 				})
 				time.AfterFunc(1200*time.Millisecond, func() {
-					o.w.StateFaults.Set(func(f *simulator.Faults) { f.NoAnswer = 0 })
+					o.w.StateFaults.Update(func(f *simulator.Faults) { f.WithholdResponse = 0 })
 				})
 				if _, err := o.change("lost", 20*s, lower(o, 30)); err != nil {
 					t.Error(err)
@@ -356,16 +356,16 @@
 			{"the write is carried out late", func(t *testing.T, o *operator, u *users) {
 				must(t, o, "first", lower(o, 50))
 				var refused int
-				o.w.StateFaults.Set(func(f *simulator.Faults) {
-					f.Late, f.LateBy, f.LateOnly = 1, 8*s, wire.CommitPath
-					f.Repeated = func(_ string, status int) {
+				o.w.StateFaults.Update(func(f *simulator.Faults) {
+					f.ExecuteLate, f.LateDelay, f.LatePath = 1, 8*s, wire.CommitPath
+					f.OnRepeated = func(_ string, status int) {
 						if status == http.StatusConflict {
 							refused++
 						}
 					}
 				})
 				time.AfterFunc(1200*time.Millisecond, func() {
-					o.w.StateFaults.Set(func(f *simulator.Faults) { f.Late = 0 })
+					o.w.StateFaults.Update(func(f *simulator.Faults) { f.ExecuteLate = 0 })
 				})
 				if _, err := o.change("late", 20*s, lower(o, 30)); err != nil {
 					t.Error(err)
@@ -383,7 +383,7 @@
 			{"the leader ends between write and force, and its successor too", func(t *testing.T, o *operator, u *users) {
 				must(t, o, "first", lower(o, 50))
 				leader := max(o.w.Leader(), 0)
-				o.w.Looks(nil)
+				o.w.OnUserState(nil)
 				u.group.Go(func() {
 					o.w.Kill(leader)
 					time.Sleep(3500 * time.Millisecond)
@@ -432,7 +432,7 @@
 				time.Sleep(60 * s)
 				leader := max(o.w.Leader(), 0)
 				refuseReads := func(on bool) {
-					o.w.StateFaults.Set(func(f *simulator.Faults) { f.RefuseReads[o.w.NodeAddr(leader)] = on })
+					o.w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseReadClients[o.w.NodeAddr(leader)] = on })
 				}
 				refuseReads(true)
 				f, err := o.change("unread", 4*s, lower(o, 10))
@@ -441,9 +441,9 @@
 				}
 				// It still has the older version and leads on for a while: what ends is not replaced.
 				time.Sleep(300 * time.Millisecond)
-				before, starts := u.w.On(many.ID), u.w.Starts()
+				before, starts := u.w.RunningTasks(many.ID), u.w.TaskStarts()
 				time.Sleep(1200 * time.Millisecond)
-				if n := u.w.Starts() - starts; n > 0 || before < 6 || o.w.Leader() != leader {
+				if n := u.w.TaskStarts() - starts; n > 0 || before < 6 || o.w.Leader() != leader {
 					t.Errorf("%d tasks begin over a limit of 10 CPUs, %d ran before; leader %d, it was %d", n, before, o.w.Leader(), leader)
 				}
 				time.Sleep(30 * s)
@@ -456,7 +456,7 @@
 				must(t, o, "first", lower(o, 50))
 				other := (max(o.w.Leader(), 0) + 1) % 3
 				refuseReads := func(on bool) {
-					o.w.StateFaults.Set(func(f *simulator.Faults) { f.RefuseReads[o.w.NodeAddr(other)] = on })
+					o.w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseReadClients[o.w.NodeAddr(other)] = on })
 				}
 				refuseReads(true)
 				ctx, cancel := context.WithTimeout(context.Background(), 4*s)
@@ -473,7 +473,7 @@
 				answers := map[int]int{}
 				for i := range 30 {
 					job := array(950+i, 1, 1)
-					answers[u.w.Post(other, &job)]++
+					answers[u.w.PostJob(other, &job)]++
 					time.Sleep(50 * time.Millisecond)
 				}
 				if answers[http.StatusCreated] > 0 || answers[http.StatusServiceUnavailable] == 0 {
@@ -485,24 +485,24 @@
 			}},
 			{"the changes that a controller watches from are forgotten", func(t *testing.T, o *operator, u *users) {
 				must(t, o, "first", lower(o, 50))
-				o.w.State.Forget()
+				o.w.State.CompactLog()
 				must(t, o, "forgotten", lower(o, 20))
 			}},
 			{"the state service refuses one, then all", func(t *testing.T, o *operator, u *users) {
 				must(t, o, "first", lower(o, 50))
 				one := (max(o.w.Leader(), 0) + 1) % 3
-				refuseOne(o.w, one, true)
+				setStateRefused(o.w, one, true)
 				if f, err := o.change("one", 4*s, lower(o, 20)); err != nil || len(f.Unconfirmed) != 1 {
 					t.Errorf("one refused: in force by %+v, %v", f, err)
 				}
-				refuseOne(o.w, one, false)
+				setStateRefused(o.w, one, false)
 				time.Sleep(8 * s)
-				o.w.StateFaults.Set(func(f *simulator.Faults) { f.Down = true })
+				o.w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true })
 				if _, err := o.change("out", 4*s, lower(o, 30)); err == nil {
 					t.Error("a change is made while the state service is out")
 				}
-				o.w.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-				o.w.State.Renewed()
+				o.w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+				o.w.State.RenewLeases()
 				time.Sleep(8 * s)
 				must(t, o, "out", lower(o, 30))
 				v, err := o.client.Read(context.Background())
@@ -512,7 +512,7 @@
 			}},
 			{"the state service is slow", func(t *testing.T, o *operator, u *users) {
 				must(t, o, "first", lower(o, 50))
-				o.w.StateFaults.Set(func(f *simulator.Faults) { f.Delay = 400 * time.Millisecond })
+				o.w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 400 * time.Millisecond })
 				for i := range 8 { // the command itself reads three times before it writes
 					if _, err := o.change(fmt.Sprint("slow-", i), 10*s, lower(o, int64(20+i))); err != nil {
 						t.Error(err)
@@ -521,7 +521,7 @@
 				if o.longest > 4*s {
 					t.Errorf("in force %v after the write", o.longest)
 				}
-				o.w.StateFaults.Set(func(f *simulator.Faults) { f.Delay = 0 })
+				o.w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 0 })
 			}},
 			{"quotas change as a gang is placed and room is taken back for it", func(t *testing.T, o *operator, u *users) {
 				u.w.Cloud.Capacity = 8 // 32 CPUs
@@ -530,9 +530,9 @@
 				u.w.Submit(filler)
 				time.Sleep(50 * s)
 				for i := range 4 {
-					g := gang(710+i, 3, 6)
+					g := gangState(710+i, 3, 6)
 					g.Team = "green"
-					u.group.Go(func() { u.run(g) })
+					u.group.Go(func() { u.runToDone(g) })
 				}
 				for i := range 20 {
 					least := int64(i%2) * 24
@@ -540,7 +540,7 @@
 					time.Sleep(700 * time.Millisecond)
 				}
 				must(t, o, "last", o.team("green", func(t *clusterconfig.Team) { t.Min.CPU = 24_000 }))
-				u.must(filler.ID, "done")
+				u.expectState(filler.ID, "done")
 			}},
 			{"jobs of a team as it is added", func(t *testing.T, o *operator, u *users) {
 				must(t, o, "first", lower(o, 50))
@@ -556,7 +556,7 @@
 					job.Team = "red"
 					u.group.Go(func() {
 						time.Sleep(time.Until(begin.Add(time.Duration(k) * 4 * time.Millisecond)))
-						if u.w.Post(k%3, &job) == http.StatusUnprocessableEntity {
+						if u.w.PostJob(k%3, &job) == http.StatusUnprocessableEntity {
 							mu.Lock()
 							refused = append(refused, refusal{time.Now(), k % 3})
 							mu.Unlock()
@@ -600,7 +600,7 @@
 				time.Sleep(2 * s)
 				job := array(900, 1, 1)
 				for i := range 3 {
-					if got := u.w.Post(i, &job); got != http.StatusServiceUnavailable {
+					if got := u.w.PostJob(i, &job); got != http.StatusServiceUnavailable {
 						t.Errorf("node %d answers %d to a job under a configuration that it can't read", i, got)
 					}
 				}
@@ -668,7 +668,7 @@
 		} {
 			t.Run(size.name+"/"+c.name, func(t *testing.T) {
 				t.Parallel()
-				playConfig(t, day{seed: 510}, size.of(), func(t *testing.T, o *operator, u *users) {
+				playConfig(t, scenario{seed: 510}, size.platform(), func(t *testing.T, o *operator, u *users) {
 					busy(u)
 					time.Sleep(30 * s)
 					c.act(t, o, u)
@@ -681,7 +681,7 @@
 // TestConfigBesideUsers: ten changes a second for a minute beside users' writes, with few
 // changes to be had: users are accepted as ever, and each change is in force in time.
 func TestConfigBesideUsers(t *testing.T) {
-	playConfig(t, day{seed: 520}, tight(), func(t *testing.T, o *operator, u *users) {
+	playConfig(t, scenario{seed: 520}, tight(), func(t *testing.T, o *operator, u *users) {
 		time.Sleep(20 * time.Second)
 		slowest := time.Duration(0)
 		var mu sync.Mutex
@@ -693,7 +693,7 @@
 				mu.Lock()
 				slowest = max(slowest, time.Since(begun))
 				mu.Unlock()
-				u.must(job.ID, "done")
+				u.expectState(job.ID, "done")
 			})
 		}
 		made := 0
@@ -722,20 +722,20 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			r := rand.New(rand.NewPCG(uint64(seed), 50))
-			kinds := slices.Concat(meetingKinds, newKinds, troubleKinds)
-			var troubles []trouble
+			kinds := slices.Concat(combinationFaults, raceFaults, partitionFaults)
+			var troubles []faultKind
 			for range 2 + r.IntN(3) {
 				troubles = append(troubles, kinds[r.IntN(len(kinds))])
 			}
-			d := drawn(r, seed, uint64(5000+seed), troubles, 30, 90)
-			p := sizes[seed%2].of()
+			d := randomScenario(r, seed, uint64(5000+seed), troubles, 30, 90)
+			p := stateBudgets[seed%2].platform()
 			playConfig(t, d, p, func(t *testing.T, o *operator, u *users) {
 				changed := make(chan struct{})
 				go func() {
 					defer close(changed)
 					o.wander(rand.New(rand.NewPCG(uint64(seed), 51)), 170*time.Second)
 				}()
-				mixedJobs(t, u)
+				mixedWorkload(t, u)
 				<-changed
 				for i := 1; i < len(o.numbers); i++ {
 					if o.numbers[i] <= o.numbers[i-1] {
