--- a/internal/simulator/cut_test.go
+++ b/internal/simulator/cut_test.go
@@ -13,11 +13,11 @@
 	"aspenstall/internal/simulator"
 )
 
-var drawnDays = flag.Int("drawn", 12, "how many drawn days of cuts TestDrawnCuts plays")
+var randomPartitionRuns = flag.Int("drawn", 12, "how many drawn days of cuts TestDrawnCuts plays")
 
 // wideJobs keep some twenty machines busy in three zones: services above all, of
 // which some end while a zone is cut off, and arrays beside them.
-func wideJobs(t *testing.T, u *users) {
+func threeZoneWorkload(t *testing.T, u *users) {
 	const s = time.Second
 	w := u.w
 	for i := range 12 {
@@ -29,136 +29,138 @@
 			if !w.Submit(job) {
 				return
 			}
-			u.must(job.ID, "running")
+			u.expectState(job.ID, "running")
 			time.Sleep(time.Duration(25+i*9) * s)
 			w.Cancel(job.ID)
 		})
 	}
 	for i := range 8 {
 		job := array(600+i, 6, 12)
-		u.after(time.Duration(12*i)*s, func() { u.run(job) })
+		u.after(time.Duration(12*i)*s, func() { u.runToDone(job) })
 	}
 }
 
 // cuts are troubles that a day begins and ends: what they took is remembered in
 // between.
-type cuts struct {
-	zone   string // of the node that led when the cut began, or another's
-	hung   []*simulator.Worker
-	frozen int
-	ended  int
+type activeFaults struct {
+	partitionedZone string // of the node that led when the cut began, or another's
+	hungWorkers     []*simulator.Worker
+	frozenNode      int
+	killedNode      int
 }
 
-func cutZone(zone string, on bool) func(*simulator.World) {
-	return func(w *simulator.World) { w.Net.CutZone(zone, on) }
+func setZonePartition(zone string, on bool) func(*simulator.World) {
+	return func(w *simulator.World) { w.Net.PartitionZone(zone, on) }
 }
 
 // cutOff cuts off the zone of the node that comes so many after the leader.
-func (c *cuts) cutOff(after int) func(*simulator.World) {
+func (c *activeFaults) partitionZone(after int) func(*simulator.World) {
 	return func(w *simulator.World) {
-		c.zone = w.Nodes[(max(w.Leader(), 0)+after)%3].Zone
-		w.Net.CutZone(c.zone, true)
+		c.partitionedZone = w.Nodes[(max(w.Leader(), 0)+after)%3].Zone
+		w.Net.PartitionZone(c.partitionedZone, true)
 	}
 }
 
-func (c *cuts) mend(w *simulator.World) { w.Net.CutZone(c.zone, false) }
+func (c *activeFaults) healZone(w *simulator.World) { w.Net.PartitionZone(c.partitionedZone, false) }
 
-func (c *cuts) hang(w *simulator.World) {
+func (c *activeFaults) hangWorkers(w *simulator.World) {
 	for i, k := range w.Cloud.Workers() {
 		if i%3 == 0 {
-			k.Hang(true)
-			c.hung = append(c.hung, k)
+			k.SetHung(true)
+			c.hungWorkers = append(c.hungWorkers, k)
 		}
 	}
 }
 
-func (c *cuts) goOn(*simulator.World) {
-	for _, k := range c.hung {
-		k.Hang(false)
+func (c *activeFaults) resumeWorkers(*simulator.World) {
+	for _, k := range c.hungWorkers {
+		k.SetHung(false)
 	}
-	c.hung = nil
+	c.hungWorkers = nil
 }
 
-func (c *cuts) freeze(w *simulator.World) {
-	c.frozen = max(w.Leader(), 0)
-	w.Freeze(c.frozen, true)
+func (c *activeFaults) freezeLeader(w *simulator.World) {
+	c.frozenNode = max(w.Leader(), 0)
+	w.Freeze(c.frozenNode, true)
 }
 
-func (c *cuts) thaw(w *simulator.World) { w.Freeze(c.frozen, false) }
+func (c *activeFaults) unfreezeNode(w *simulator.World) { w.Freeze(c.frozenNode, false) }
 
-func stateDown(on bool) func(*simulator.World) {
+func setStateDown(on bool) func(*simulator.World) {
 	return func(w *simulator.World) {
-		w.StateFaults.Set(func(f *simulator.Faults) { f.Down = on })
+		w.StateFaults.Update(func(f *simulator.Faults) { f.Down = on })
 		if !on {
-			w.State.Renewed()
+			w.State.RenewLeases()
 		}
 	}
 }
 
-func blindLeader(w *simulator.World) {
-	w.StateFaults.Set(func(f *simulator.Faults) { f.RefuseReads[w.NodeAddr(max(w.Leader(), 0))] = true })
+func refuseLeaderReads(w *simulator.World) {
+	w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseReadClients[w.NodeAddr(max(w.Leader(), 0))] = true })
 }
 
 // fill submits more than there is room for.
-func fill(w *simulator.World) {
+func submitExcessJobs(w *simulator.World) {
 	for i := range 3 {
 		w.Submit(array(700+i, 40, 40))
 	}
 }
 
-func refuseText(text string) func(*simulator.World) {
-	return func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.RefuseText = text }) }
+func refuseRequestsContaining(text string) func(*simulator.World) {
+	return func(w *simulator.World) {
+		w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseContaining = text })
+	}
 }
 
-func sighted(w *simulator.World) {
-	w.StateFaults.Set(func(f *simulator.Faults) { clear(f.RefuseReads) })
+func allowReads(w *simulator.World) {
+	w.StateFaults.Update(func(f *simulator.Faults) { clear(f.RefuseReadClients) })
 }
 
-func playCut(t *testing.T, d day) {
+func runPartitionScenario(t *testing.T, d scenario) {
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:1] // blue
 	addTeam(&p, "green", 100, 200, 0, 0)
-	play(t, d, p, machineTypes[:1], wideJobs)
+	runScenario(t, d, p, machineTypes[:1], threeZoneWorkload)
 }
 
 // TestCutDays plays days on which many machines or a controller fall silent
 // together and go on later. What fails without which guard is in
 // docs/design/zone-cut.md.
-func TestCutDays(t *testing.T) {
+func TestPartitionScenarios(t *testing.T) {
 	const s = time.Second
-	c := &cuts{}
-	for _, day := range []day{
-		{name: "a zone without the leader is cut off for a while", seed: 31, kept: true, acts: []act{{50 * s, c.cutOff(1)}, {70 * s, c.mend}}},
-		{name: "the leader's zone is cut off for a while", seed: 32, kept: true, acts: []act{{50 * s, c.cutOff(0)}, {70 * s, c.mend}}},
-		{name: "a zone is cut off for longer than its leases last", seed: 33, acts: []act{{50 * s, c.cutOff(1)}, {110 * s, c.mend}}},
-		{name: "the leader's zone is cut off for longer than that", seed: 34, acts: []act{{50 * s, c.cutOff(0)}, {110 * s, c.mend}}},
-		{name: "a zone is cut off and mended twice", seed: 35, acts: []act{
-			{45 * s, cutZone("b", true)}, {60 * s, cutZone("b", false)}, {63 * s, cutZone("b", true)}, {83 * s, cutZone("b", false)},
+	c := &activeFaults{}
+	for _, sc := range []scenario{
+		{name: "a zone without the leader is cut off for a while", seed: 31, keepsLeases: true, actions: []action{{50 * s, c.partitionZone(1)}, {70 * s, c.healZone}}},
+		{name: "the leader's zone is cut off for a while", seed: 32, keepsLeases: true, actions: []action{{50 * s, c.partitionZone(0)}, {70 * s, c.healZone}}},
+		{name: "a zone is cut off for longer than its leases last", seed: 33, actions: []action{{50 * s, c.partitionZone(1)}, {110 * s, c.healZone}}},
+		{name: "the leader's zone is cut off for longer than that", seed: 34, actions: []action{{50 * s, c.partitionZone(0)}, {110 * s, c.healZone}}},
+		{name: "a zone is cut off and mended twice", seed: 35, actions: []action{
+			{45 * s, setZonePartition("b", true)}, {60 * s, setZonePartition("b", false)}, {63 * s, setZonePartition("b", true)}, {83 * s, setZonePartition("b", false)},
 		}},
-		{name: "two leaders are cut off one after the other", seed: 36, acts: []act{
-			{45 * s, c.cutOff(0)}, {65 * s, c.mend}, {66 * s, c.cutOff(0)}, {90 * s, c.mend},
+		{name: "two leaders are cut off one after the other", seed: 36, actions: []action{
+			{45 * s, c.partitionZone(0)}, {65 * s, c.healZone}, {66 * s, c.partitionZone(0)}, {90 * s, c.healZone},
 		}},
-		{name: "controllers end while a zone is cut off", seed: 37, acts: []act{
-			{45 * s, cutZone("a", true)}, {52 * s, kill(0)}, {56 * s, start(0)}, {58 * s, kill(1)}, {62 * s, start(1)}, {85 * s, cutZone("a", false)},
+		{name: "controllers end while a zone is cut off", seed: 37, actions: []action{
+			{45 * s, setZonePartition("a", true)}, {52 * s, killNode(0)}, {56 * s, startNode(0)}, {58 * s, killNode(1)}, {62 * s, startNode(1)}, {85 * s, setZonePartition("a", false)},
 		}},
-		{name: "a zone is cut off in an outage of the state service", seed: 38, acts: []act{
-			{45 * s, stateDown(true)}, {50 * s, cutZone("b", true)}, {62 * s, stateDown(false)}, {88 * s, cutZone("b", false)},
+		{name: "a zone is cut off in an outage of the state service", seed: 38, actions: []action{
+			{45 * s, setStateDown(true)}, {50 * s, setZonePartition("b", true)}, {62 * s, setStateDown(false)}, {88 * s, setZonePartition("b", false)},
 		}},
-		{name: "many machines hang and go on", seed: 39, acts: []act{{45 * s, c.hang}, {70 * s, c.goOn}, {80 * s, c.hang}, {88 * s, c.goOn}}},
-		{name: "the leader stands still for half a minute", seed: 40, acts: []act{{45 * s, c.freeze}, {75 * s, c.thaw}, {78 * s, c.freeze}, {108 * s, c.thaw}}},
-		{name: "a leader ends before the record of a cut that is over does", seed: 43, acts: []act{
-			{50 * s, c.cutOff(1)}, {58 * s, refuseText("b/kept/")}, {60 * s, c.mend}, {66 * s, fill}, {75 * s, func(w *simulator.World) {
-				w.Net.CutZone(c.zone, true)
-				c.ended = max(w.Leader(), 0)
-				w.Kill(c.ended)
-			}}, {95 * s, c.mend}, {96 * s, refuseText("")}, {96 * s, func(w *simulator.World) { w.StartNode(c.ended) }},
+		{name: "many machines hang and go on", seed: 39, actions: []action{{45 * s, c.hangWorkers}, {70 * s, c.resumeWorkers}, {80 * s, c.hangWorkers}, {88 * s, c.resumeWorkers}}},
+		{name: "the leader stands still for half a minute", seed: 40, actions: []action{{45 * s, c.freezeLeader}, {75 * s, c.unfreezeNode}, {78 * s, c.freezeLeader}, {108 * s, c.unfreezeNode}}},
+		{name: "a leader ends before the record of a cut that is over does", seed: 43, actions: []action{
+			{50 * s, c.partitionZone(1)}, {58 * s, refuseRequestsContaining("b/kept/")}, {60 * s, c.healZone}, {66 * s, submitExcessJobs}, {75 * s, func(w *simulator.World) {
+				w.Net.PartitionZone(c.partitionedZone, true)
+				c.killedNode = max(w.Leader(), 0)
+				w.Kill(c.killedNode)
+			}}, {95 * s, c.healZone}, {96 * s, refuseRequestsContaining("")}, {96 * s, func(w *simulator.World) { w.StartNode(c.killedNode) }},
 		}},
-		{name: "the leader reads nothing from the state service", seed: 42, acts: []act{{50 * s, blindLeader}, {130 * s, sighted}}},
-		{name: "all controllers end in an outage of the state service", seed: 41, acts: []act{
-			{45 * s, stateDown(true)}, {50 * s, killAll}, {54 * s, startAll}, {66 * s, stateDown(false)},
+		{name: "the leader reads nothing from the state service", seed: 42, actions: []action{{50 * s, refuseLeaderReads}, {130 * s, allowReads}}},
+		{name: "all controllers end in an outage of the state service", seed: 41, actions: []action{
+			{45 * s, setStateDown(true)}, {50 * s, killAllNodes}, {54 * s, startAllNodes}, {66 * s, setStateDown(false)},
 		}},
 	} {
-		t.Run(day.name, func(t *testing.T) { playCut(t, day) })
+		t.Run(sc.name, func(t *testing.T) { runPartitionScenario(t, sc) })
 	}
 }
 
@@ -166,18 +168,18 @@
 // later, as the protocol has it. It looked twice a second, so up to half a second too
 // late, and drawn days broke ran_twice: a leader that counted the lease down rightly
 // started the tasks elsewhere meanwhile.
-func TestLeaseEnds(t *testing.T) {
+func TestTasksEndWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
 		w := simulator.NewWorld(61, p, machineTypes[:1])
 		defer w.Close()
-		startAll(w)
+		startAllNodes(w)
 		time.Sleep(10 * time.Second)
 		w.Submit(service(1, 1))
 		time.Sleep(60*time.Second + 137*time.Millisecond)
 		var k *simulator.Worker
 		for _, o := range w.Cloud.Workers() {
-			if len(o.Running()) > 0 {
+			if len(o.RunningTasks()) > 0 {
 				k = o
 			}
 		}
@@ -185,33 +187,33 @@
 			t.Fatal("nothing runs")
 		}
 		lease := time.Duration(p.Params.Workers.LeaseS * float64(time.Second))
-		killAll(w)
-		over := k.Answered().Add(lease)
+		killAllNodes(w)
+		over := k.LastAcknowledged().Add(lease)
 		time.Sleep(time.Until(over) - time.Millisecond)
-		if len(k.Running()) == 0 {
+		if len(k.RunningTasks()) == 0 {
 			t.Error("its tasks ended before its lease did")
 		}
 		time.Sleep(2 * time.Millisecond)
-		if got := k.Running(); len(got) > 0 {
+		if got := k.RunningTasks(); len(got) > 0 {
 			t.Errorf("%v run after the lease", got)
 		}
 	})
 }
 
 // trouble is a kind of trouble; it gives the acts of one that begins at a time.
-type trouble struct {
-	name string
-	acts func(r *rand.Rand, at time.Duration) []act
+type faultKind struct {
+	name    string
+	actions func(r *rand.Rand, at time.Duration) []action
 }
 
 // drawn is the day of a seed on which troubles begin, each at a time that is drawn from
 // so many seconds on.
-func drawn(r *rand.Rand, number int, seed uint64, troubles []trouble, from, to int) day {
-	d := day{seed: seed}
+func randomScenario(r *rand.Rand, number int, seed uint64, faults []faultKind, from, to int) scenario {
+	d := scenario{seed: seed}
 	var names []string
-	for _, k := range troubles {
+	for _, k := range faults {
 		names = append(names, k.name)
-		d.acts = append(d.acts, k.acts(r, between(r, from, to))...)
+		d.actions = append(d.actions, k.actions(r, randomDuration(r, from, to))...)
 	}
 	slices.Sort(names)
 	d.name = fmt.Sprintf("%d %s", number, strings.Join(names, ", "))
@@ -219,44 +221,44 @@
 }
 
 // troubleKinds are the kinds that TestDrawnCuts combines.
-var troubleKinds = []trouble{
-	{"zone cut", func(r *rand.Rand, at time.Duration) []act {
-		c := &cuts{}
-		return []act{{at, c.cutOff(r.IntN(3))}, {at + between(r, 12, 60), c.mend}}
+var partitionFaults = []faultKind{
+	{"zone cut", func(r *rand.Rand, at time.Duration) []action {
+		c := &activeFaults{}
+		return []action{{at, c.partitionZone(r.IntN(3))}, {at + randomDuration(r, 12, 60), c.healZone}}
 	}},
-	{"leader frozen", func(r *rand.Rand, at time.Duration) []act {
-		c := &cuts{}
-		return []act{{at, c.freeze}, {at + between(r, 4, 30), c.thaw}}
+	{"leader frozen", func(r *rand.Rand, at time.Duration) []action {
+		c := &activeFaults{}
+		return []action{{at, c.freezeLeader}, {at + randomDuration(r, 4, 30), c.unfreezeNode}}
 	}},
-	{"leader ends", func(r *rand.Rand, at time.Duration) []act {
+	{"leader ends", func(r *rand.Rand, at time.Duration) []action {
 		ended := 0
-		return []act{{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
-			{at + between(r, 2, 10), func(w *simulator.World) { w.StartNode(ended) }}}
+		return []action{{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
+			{at + randomDuration(r, 2, 10), func(w *simulator.World) { w.StartNode(ended) }}}
 	}},
-	{"all end", func(r *rand.Rand, at time.Duration) []act {
-		return []act{{at, killAll}, {at + between(r, 2, 10), startAll}}
+	{"all end", func(r *rand.Rand, at time.Duration) []action {
+		return []action{{at, killAllNodes}, {at + randomDuration(r, 2, 10), startAllNodes}}
 	}},
-	{"state out", func(r *rand.Rand, at time.Duration) []act {
-		return []act{{at, stateDown(true)}, {at + between(r, 4, 35), stateDown(false)}}
+	{"state out", func(r *rand.Rand, at time.Duration) []action {
+		return []action{{at, setStateDown(true)}, {at + randomDuration(r, 4, 35), setStateDown(false)}}
 	}},
-	{"state out for one", func(r *rand.Rand, at time.Duration) []act {
+	{"state out for one", func(r *rand.Rand, at time.Duration) []action {
 		i := r.IntN(3)
 		refuse := func(on bool) func(*simulator.World) {
 			return func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.Refuse[w.NodeAddr(i)] = on })
+				w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseClients[w.NodeAddr(i)] = on })
 			}
 		}
-		return []act{{at, refuse(true)}, {at + between(r, 4, 40), refuse(false)}}
+		return []action{{at, refuse(true)}, {at + randomDuration(r, 4, 40), refuse(false)}}
 	}},
-	{"peers refused", func(r *rand.Rand, at time.Duration) []act {
+	{"peers refused", func(r *rand.Rand, at time.Duration) []action {
 		refuse := func(on bool) func(*simulator.World) {
-			return func(w *simulator.World) { w.CutPeers(on) }
+			return func(w *simulator.World) { w.BlockPeerLinks(on) }
 		}
-		return []act{{at, refuse(true)}, {at + between(r, 5, 40), refuse(false)}}
+		return []action{{at, refuse(true)}, {at + randomDuration(r, 5, 40), refuse(false)}}
 	}},
 }
 
-func between(r *rand.Rand, from, to int) time.Duration {
+func randomDuration(r *rand.Rand, from, to int) time.Duration {
 	return time.Duration(from*1000+r.IntN((to-from)*1000)) * time.Millisecond
 }
 
@@ -264,14 +266,14 @@
 // troubles fall into the same half minute, drawn by seed. The long form, outside CI:
 //
 //	go test ./internal/simulator -run TestDrawnCuts -drawn 500
-func TestDrawnCuts(t *testing.T) {
-	for seed := range *drawnDays {
+func TestRandomPartitions(t *testing.T) {
+	for seed := range *randomPartitionRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 22))
-		kinds := troubleKinds[:1:1]
-		for _, k := range r.Perm(len(troubleKinds) - 1)[:1+r.IntN(3)] {
-			kinds = append(kinds, troubleKinds[k+1])
+		kinds := partitionFaults[:1:1]
+		for _, k := range r.Perm(len(partitionFaults) - 1)[:1+r.IntN(3)] {
+			kinds = append(kinds, partitionFaults[k+1])
 		}
-		d := drawn(r, seed, uint64(1000+seed), kinds, 45, 75)
-		t.Run(d.name, func(t *testing.T) { playCut(t, d) })
+		d := randomScenario(r, seed, uint64(1000+seed), kinds, 45, 75)
+		t.Run(d.name, func(t *testing.T) { runPartitionScenario(t, d) })
 	}
 }
--- a/internal/simulator/ends_test.go
+++ b/internal/simulator/ends_test.go
@@ -14,14 +14,14 @@
 	"aspenstall/internal/simulator"
 )
 
-var drawnEnds = flag.Int("ends", 8, "how many drawn days of ends TestEndedAnywhere plays")
+var randomExitRuns = flag.Int("ends", 8, "how many drawn days of ends TestEndedAnywhere plays")
 
 // steps are the requests of a node's, or to it, with which its process may end: those
 // of an election, a takeover, a write, a command, a rental and an answer.
-var steps = []struct {
-	name  string
-	at    string // whose faults: state, cloud, worker, node
-	match func(r *http.Request, body []byte) bool
+var exitPoints = []struct {
+	name    string
+	service string // whose faults: state, cloud, worker, node
+	match   func(r *http.Request, body []byte) bool
 }{
 	{"grants a lease", "state", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodPost && r.URL.Path == "/leases" }},
 	{"takes the leadership", "state", func(r *http.Request, b []byte) bool {
@@ -48,47 +48,47 @@
 }
 
 // ends draws with which requests processes end, and counts how often each step did.
-type ends struct {
-	mu    sync.Mutex
-	r     *rand.Rand
-	step  int // that the next process ends with; negative: none
-	again int // so many ends follow at whatever the process does next
-	with  simulator.Ending
-	late  time.Duration
-	hit   map[string]int
+type exitInjector struct {
+	mu        sync.Mutex
+	r         *rand.Rand
+	point     int // that the next process ends with; negative: none
+	remaining int // so many ends follow at whatever the process does next
+	mode      simulator.CrashPoint
+	lateBy    time.Duration
+	hits      map[string]int
 }
 
 // arm has the next process end that comes to a step.
-func (e *ends) arm(w *simulator.World) {
+func (e *exitInjector) arm(w *simulator.World) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.step, e.again = e.r.IntN(len(steps)), max(e.r.IntN(5)-1, 0)
-	e.with = simulator.Ending(1 + e.r.IntN(3))
-	w.BackIn = []time.Duration{time.Millisecond, 20 * time.Millisecond, 300 * time.Millisecond}[e.r.IntN(3)]
-	e.late = time.Duration(1+e.r.IntN(20)) * time.Second
+	e.point, e.remaining = e.r.IntN(len(exitPoints)), max(e.r.IntN(5)-1, 0)
+	e.mode = simulator.CrashPoint(1 + e.r.IntN(3))
+	w.RestartDelay = []time.Duration{time.Millisecond, 20 * time.Millisecond, 300 * time.Millisecond}[e.r.IntN(3)]
+	e.lateBy = time.Duration(1+e.r.IntN(20)) * time.Second
 	for _, f := range []*simulator.Faults{w.StateFaults, w.CloudFaults, w.WorkerFaults} {
-		f.Set(func(f *simulator.Faults) { f.LateBy = e.late })
+		f.Update(func(f *simulator.Faults) { f.LateDelay = e.lateBy })
 	}
 }
 
-func (e *ends) end(at string) func(r *http.Request, body []byte) simulator.Ending {
-	return func(r *http.Request, body []byte) simulator.Ending {
+func (e *exitInjector) onRequest(service string) func(r *http.Request, body []byte) simulator.CrashPoint {
+	return func(r *http.Request, body []byte) simulator.CrashPoint {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.step < 0 || !strings.HasPrefix(r.RemoteAddr, "10.0.0.") && at != "node" {
-			return simulator.GoesOn
+		if e.point < 0 || !strings.HasPrefix(r.RemoteAddr, "10.0.0.") && service != "node" {
+			return simulator.NoCrash
 		}
-		s := steps[e.step]
-		if s.at != at || !s.match(r, body) {
-			return simulator.GoesOn
+		s := exitPoints[e.point]
+		if s.service != service || !s.match(r, body) {
+			return simulator.NoCrash
 		}
-		e.hit[s.name]++
-		with := e.with
-		if e.again--; e.again < 0 {
-			e.step = -1
+		e.hits[s.name]++
+		with := e.mode
+		if e.remaining--; e.remaining < 0 {
+			e.point = -1
 		} else {
 			// What it does first when it is back, or soon.
-			e.step, e.with = e.r.IntN(len(steps)), simulator.Ending(1+e.r.IntN(3))
+			e.point, e.mode = e.r.IntN(len(exitPoints)), simulator.CrashPoint(1+e.r.IntN(3))
 		}
 		return with
 	}
@@ -100,31 +100,31 @@
 // a millisecond to 0.3 s, to end again. The long form, outside CI:
 //
 //	go test ./internal/simulator -run TestEndedAnywhere -ends 300
-func TestEndedAnywhere(t *testing.T) {
+func TestProcessExitAtAnyRequest(t *testing.T) {
 	hit := map[string]int{}
-	for seed := range *drawnEnds {
+	for seed := range *randomExitRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 30))
-		e := &ends{r: r, step: -1, hit: hit}
-		d := day{name: fmt.Sprint(seed), seed: uint64(3000 + seed), setup: func(w *simulator.World) {
-			w.StateFaults.End, w.CloudFaults.End, w.WorkerFaults.End = e.end("state"), e.end("cloud"), e.end("worker")
+		e := &exitInjector{r: r, point: -1, hits: hit}
+		d := scenario{name: fmt.Sprint(seed), seed: uint64(3000 + seed), setup: func(w *simulator.World) {
+			w.StateFaults.CrashOn, w.CloudFaults.CrashOn, w.WorkerFaults.CrashOn = e.onRequest("state"), e.onRequest("cloud"), e.onRequest("worker")
 			for _, f := range w.NodeFaults {
-				f.End = e.end("node")
+				f.CrashOn = e.onRequest("node")
 			}
 		}}
-		for at := between(r, 1, 6); at < 120*time.Second; at += between(r, 1, 9) {
-			d.acts = append(d.acts, act{at, e.arm})
+		for at := randomDuration(r, 1, 6); at < 120*time.Second; at += randomDuration(r, 1, 9) {
+			d.actions = append(d.actions, action{at, e.arm})
 		}
 		t.Run(d.name, func(t *testing.T) {
 			if seed%2 == 1 {
-				play(t, d, platform(), machineTypes, mixedJobs)
+				runScenario(t, d, platform(), machineTypes, mixedWorkload)
 				return
 			}
-			playCut(t, d)
+			runPartitionScenario(t, d)
 		})
 	}
 	t.Logf("ends by step: %v", hit)
-	for _, s := range steps {
-		if hit[s.name] == 0 && *drawnEnds >= 100 && s.name != "ends a lease" {
+	for _, s := range exitPoints {
+		if hit[s.name] == 0 && *randomExitRuns >= 100 && s.name != "ends a lease" {
 			t.Errorf("no process ended while it %s", s.name)
 		}
 	}
--- a/internal/simulator/further_test.go
+++ b/internal/simulator/further_test.go
@@ -13,21 +13,21 @@
 
 // atTheEnd are users who call a job off, ask about it and submit it again as its last task
 // ends.
-type atTheEnd struct {
-	w      *simulator.World
-	random *simulator.Streams // by job
-	mu     sync.Mutex
-	final  map[string]string
+type completionRaces struct {
+	w           *simulator.World
+	random      *simulator.Streams // by job
+	mu          sync.Mutex
+	finalStates map[string]string
 }
 
-func (e *atTheEnd) at(w *simulator.World) {
-	e.w, e.final = w, map[string]string{}
-	w.Last(e.last)
+func (e *completionRaces) install(w *simulator.World) {
+	e.w, e.finalStates = w, map[string]string{}
+	w.OnLastTaskDone(e.onLastTask)
 }
 
-func (e *atTheEnd) last(id string) {
+func (e *completionRaces) onLastTask(id string) {
 	e.mu.Lock()
-	r := e.random.Of(id)
+	r := e.random.Stream(id)
 	within := []int{60, 700}[r.IntN(2)] // most jobs are done long before the latter
 	cancel, ask := time.Duration(r.IntN(within))*time.Millisecond, time.Duration(r.IntN(700))*time.Millisecond
 	node := r.IntN(3)
@@ -36,7 +36,7 @@
 		go func() {
 			time.Sleep(ask)
 			e.w.PollAt(i, id)
-			e.w.Repeat(i, id, nil)
+			e.w.Resubmit(i, id, nil)
 		}()
 	}
 	time.Sleep(cancel)
@@ -44,12 +44,12 @@
 	told := e.w.Cancel(id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.final[id] = told
+	e.finalStates[id] = told
 }
 
 // bound are jobs that may run in one zone only, arrays and services, spread ones and arrays
 // whose tasks have to be together.
-func bound(_ *testing.T, u *users) {
+func zoneBoundWorkload(_ *testing.T, u *users) {
 	const s = time.Second
 	for i := range 10 {
 		job := array(100+i, 4, float64(10+3*i))
@@ -60,7 +60,7 @@
 		case 1:
 			job.OneZone = true
 		}
-		u.after(time.Duration(5*i)*s, func() { u.run(job) })
+		u.after(time.Duration(5*i)*s, func() { u.runToDone(job) })
 	}
 	for i := range 6 {
 		job := service(300+i, 3+i%3)
@@ -72,9 +72,9 @@
 		}
 		u.after(0, func() {
 			if u.w.Submit(job) {
-				u.must(job.ID, "running")
+				u.expectState(job.ID, "running")
 				time.Sleep(170 * s)
-				u.must(job.ID, "running")
+				u.expectState(job.ID, "running")
 				u.w.Cancel(job.ID)
 			}
 		})
@@ -83,12 +83,12 @@
 
 // TestFurtherMeetings brings about the other meetings that operators have named, each at both
 // sizes of settings, and says if one did not happen.
-func TestFurtherMeetings(t *testing.T) {
+func TestFaultCombinationsByStateBudget(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	type meeting struct {
-		day
-		jobs  func(*testing.T, *users)
-		lacks func() string
+	type combination struct {
+		scenario
+		jobs    func(*testing.T, *users)
+		missing func() string
 	}
 	leader := func() (end, back func(*simulator.World)) {
 		lead := 0
@@ -96,13 +96,13 @@
 	}
 	for _, c := range []struct {
 		name  string
-		build func(seed uint64) meeting
+		build func(seed uint64) combination
 	}{
-		{"a cancellation, a question and a submission at the end of a job's last task", func(seed uint64) meeting {
-			e := &atTheEnd{random: simulator.NewStreams(seed)}
-			return meeting{day{setup: e.at, ends: true}, func(_ *testing.T, u *users) { short(u, 10*s, 100*s, 500*ms) }, func() string {
+		{"a cancellation, a question and a submission at the end of a job's last task", func(seed uint64) combination {
+			e := &completionRaces{random: simulator.NewStreams(seed)}
+			return combination{scenario{setup: e.install, setupFaultsEnd: true}, func(_ *testing.T, u *users) { submitShortJobs(u, 10*s, 100*s, 500*ms) }, func() string {
 				n := map[string]int{}
-				for _, f := range e.final {
+				for _, f := range e.finalStates {
 					n[f]++
 				}
 				t.Logf("told at the end: %v", n)
@@ -112,27 +112,27 @@
 				return ""
 			}}
 		}},
-		{"more work than room, urgent and not, over slow links", func(seed uint64) meeting {
+		{"more work than room, urgent and not, over slow links", func(seed uint64) combination {
 			full := false
-			d := day{ends: true, setup: func(w *simulator.World) {
+			d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 				w.Cloud.Capacity = 10
-				w.StateFaults.Delay, w.WorkerFaults.Delay = 300*ms, 1500*ms
+				w.StateFaults.MaxDelay, w.WorkerFaults.MaxDelay = 300*ms, 1500*ms
 				for _, f := range w.NodeFaults {
-					f.Delay = 800 * ms
+					f.MaxDelay = 800 * ms
 				}
-			}, acts: []act{{50 * s, func(w *simulator.World) { full = w.Cloud.Machines() >= 10 }}, {90 * s, func(w *simulator.World) {
+			}, actions: []action{{50 * s, func(w *simulator.World) { full = w.Cloud.MachineCount() >= 10 }}, {90 * s, func(w *simulator.World) {
 				for _, f := range append([]*simulator.Faults{w.StateFaults, w.WorkerFaults}, w.NodeFaults...) {
-					f.Set(func(f *simulator.Faults) { f.Delay = 0 })
+					f.Update(func(f *simulator.Faults) { f.MaxDelay = 0 })
 				}
 			}}}}
-			return meeting{d, func(_ *testing.T, u *users) {
+			return combination{d, func(_ *testing.T, u *users) {
 				for i := range 24 {
 					job := array(100+i, 6, 15)
 					job.Urgency = []string{"high", "idle", "standard"}[i%3]
 					if i%2 == 1 {
 						job.Team = "green"
 					}
-					u.after(time.Duration(2*i)*s, func() { u.run(job) })
+					u.after(time.Duration(2*i)*s, func() { u.runToDone(job) })
 				}
 			}, func() string {
 				if !full {
@@ -141,7 +141,7 @@
 				return ""
 			}}
 		}},
-		{"workers reach no controller while direct commands reach them", func(seed uint64) meeting {
+		{"workers reach no controller while direct commands reach them", func(seed uint64) combination {
 			mute := map[*simulator.Worker]bool{}
 			given := map[string]bool{} // tasks that such a machine was given after its first session ended
 			seen := map[string]bool{}
@@ -164,20 +164,20 @@
 				}
 			}
 			end, back := leader()
-			d := day{acts: []act{{40 * s, func(w *simulator.World) {
+			d := scenario{actions: []action{{40 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
 					if i%3 == 0 {
-						k.Mute(true)
+						k.SetOutboundLost(true)
 						mute[k] = true
 						was[k], _ = k.Session()
 					}
 				}
 			}}, {41 * s, watch}, {70 * s, end}, {70 * s, func(*simulator.World) { begun = time.Now() }}, {70*s + 300*ms, back}, {112 * s, func(*simulator.World) {
 				for k := range mute {
-					k.Mute(false)
+					k.SetOutboundLost(false)
 				}
 			}}}}
-			return meeting{d, fewTasks, func() string {
+			return combination{d, smallJobsWorkload, func() string {
 				t.Logf("%d mute machines, given after their sessions ended: %v; a new leader gave %d in its first seconds", len(mute), given, len(seen)-len(given))
 				if len(given) > 0 {
 					t.Errorf("mute machines were given work again: %v", given)
@@ -188,77 +188,77 @@
 				return ""
 			}}
 		}},
-		{"every controller and its zone are cut off for longer than a lease, and back", func(seed uint64) meeting {
+		{"every controller and its zone are cut off for longer than a lease, and back", func(seed uint64) combination {
 			cut := func(on bool) func(*simulator.World) {
 				return func(w *simulator.World) {
 					for _, z := range []string{"a", "b", "c"} {
-						w.Net.CutZone(z, on)
+						w.Net.PartitionZone(z, on)
 					}
 				}
 			}
-			return meeting{day{acts: []act{{45 * s, cut(true)}, {45*s + 26*s, cut(false)}}}, fewTasks, nil}
+			return combination{scenario{actions: []action{{45 * s, cut(true)}, {45*s + 26*s, cut(false)}}}, smallJobsWorkload, nil}
 		}},
-		{"a zone with workers and a controller is cut off for longer than a lease, twice", func(seed uint64) meeting {
-			c := &cuts{}
-			return meeting{day{acts: []act{{45 * s, c.cutOff(int(seed) % 3)}, {68 * s, c.mend}, {80 * s, c.cutOff(0)}, {104 * s, c.mend}}}, bound, nil}
+		{"a zone with workers and a controller is cut off for longer than a lease, twice", func(seed uint64) combination {
+			c := &activeFaults{}
+			return combination{scenario{actions: []action{{45 * s, c.partitionZone(int(seed) % 3)}, {68 * s, c.healZone}, {80 * s, c.partitionZone(0)}, {104 * s, c.healZone}}}, zoneBoundWorkload, nil}
 		}},
-		{"jobs bound to one zone, spread ones and ones together lose machines, with a takeover", func(seed uint64) meeting {
+		{"jobs bound to one zone, spread ones and ones together lose machines, with a takeover", func(seed uint64) combination {
 			lost := 0
 			end, back := leader()
-			h := &cuts{}
-			d := day{acts: []act{{40 * s, func(w *simulator.World) {
+			h := &activeFaults{}
+			d := scenario{actions: []action{{40 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
-					if len(k.Running()) > 0 && i%3 == int(seed)%3 {
+					if len(k.RunningTasks()) > 0 && i%3 == int(seed)%3 {
 						lost++
-						k.Die()
+						k.Terminate()
 					}
 				}
-			}}, {41 * s, h.hang}, {42 * s, end}, {42*s + 300*ms, back}, {55 * s, h.goOn}, {70 * s, h.hang}, {95 * s, h.goOn}}}
-			return meeting{d, bound, func() string {
+			}}, {41 * s, h.hangWorkers}, {42 * s, end}, {42*s + 300*ms, back}, {55 * s, h.resumeWorkers}, {70 * s, h.hangWorkers}, {95 * s, h.resumeWorkers}}}
+			return combination{d, zoneBoundWorkload, func() string {
 				if lost < 2 {
 					return "machines that were lost with tasks"
 				}
 				return ""
 			}}
 		}},
-		{"leaders change ten times in two minutes, also inside an outage", func(seed uint64) meeting {
+		{"leaders change ten times in two minutes, also inside an outage", func(seed uint64) combination {
 			terms := map[int]int{}
-			var d day
+			var d scenario
 			for i := range 10 {
 				at := 30*s + time.Duration(i)*11*s
 				end, back := leader()
-				d.acts = append(d.acts, act{at, end}, act{at + 300*ms, back}, act{at + 10*s, func(w *simulator.World) { terms[w.Leader()]++ }})
+				d.actions = append(d.actions, action{at, end}, action{at + 300*ms, back}, action{at + 10*s, func(w *simulator.World) { terms[w.Leader()]++ }})
 			}
-			d.acts = append(d.acts, act{72 * s, stateDown(true)}, act{100 * s, stateDown(false)})
-			return meeting{d, fewTasks, func() string {
+			d.actions = append(d.actions, action{72 * s, setStateDown(true)}, action{100 * s, setStateDown(false)})
+			return combination{d, smallJobsWorkload, func() string {
 				if len(terms) < 2 {
 					return "several leaders"
 				}
 				return ""
 			}}
 		}},
-		{"all controllers are away for longer than a lease", func(seed uint64) meeting {
-			return meeting{day{acts: []act{{45 * s, killAll}, {70 * s, startAll}, {90 * s, killAll}, {90*s + 300*ms, startAll}}}, fewTasks, nil}
+		{"all controllers are away for longer than a lease", func(seed uint64) combination {
+			return combination{scenario{actions: []action{{45 * s, killAllNodes}, {70 * s, startAllNodes}, {90 * s, killAllNodes}, {90*s + 300*ms, startAllNodes}}}, smallJobsWorkload, nil}
 		}},
-		{"a hang ends after a cancellation's time", func(seed uint64) meeting {
-			h := &cuts{}
+		{"a hang ends after a cancellation's time", func(seed uint64) combination {
+			h := &activeFaults{}
 			var ids []string
-			d := day{acts: []act{{40 * s, h.hang}, {41 * s, func(w *simulator.World) {
-				for _, k := range h.hung {
-					for _, task := range k.Running() {
+			d := scenario{actions: []action{{40 * s, h.hangWorkers}, {41 * s, func(w *simulator.World) {
+				for _, k := range h.hungWorkers {
+					for _, task := range k.RunningTasks() {
 						job, _, _ := strings.Cut(task, "/")
 						if w.Cancel(job) == "aborted" {
 							ids = append(ids, job)
 						}
 					}
 				}
-			}}, {88 * s, h.goOn}}}
-			return meeting{d, func(_ *testing.T, u *users) {
+			}}, {88 * s, h.resumeWorkers}}}
+			return combination{d, func(_ *testing.T, u *users) {
 				for i := range 12 {
 					job := array(100+i, 3, 120)
 					u.after(time.Duration(i)*s, func() {
 						if u.w.Submit(job) {
-							u.ended(job.ID)
+							u.expectEnd(job.ID)
 						}
 					})
 				}
@@ -269,31 +269,31 @@
 				return ""
 			}}
 		}},
-		{"a quarter of the reports arrive again after what the new leader did", func(seed uint64) meeting {
-			var reports late
+		{"a quarter of the reports arrive again after what the new leader did", func(seed uint64) combination {
+			var reports replayCounts
 			end, back := leader()
-			d := day{ends: true, setup: func(w *simulator.World) {
+			d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 				for _, n := range w.NodeFaults {
-					reports.of(n, wire.ReportPath)
+					reports.observe(n, wire.ReportPath)
 				}
-				lateReports(0.25)(w)
-			}, acts: []act{{40 * s, end}, {40*s + 300*ms, back}, {65 * s, end}, {65*s + 300*ms, back}, {100 * s, lateReports(0)}}}
-			return meeting{d, fewTasks, func() string {
-				if reports.carried < 20 {
+				duplicateReports(0.25)(w)
+			}, actions: []action{{40 * s, end}, {40*s + 300*ms, back}, {65 * s, end}, {65*s + 300*ms, back}, {100 * s, duplicateReports(0)}}}
+			return combination{d, smallJobsWorkload, func() string {
+				if reports.executed < 20 {
 					return "copies of reports"
 				}
 				return ""
 			}}
 		}},
 	} {
-		for n, size := range sizes {
+		for n, size := range stateBudgets {
 			t.Run(c.name+"/"+size.name, func(t *testing.T) {
-				seed := seeds[n]
+				seed := raceSeeds[n]
 				m := c.build(seed)
 				m.seed = seed
-				play(t, m.day, size.of(), machineTypes[:1], m.jobs)
-				if m.lacks != nil {
-					if what := m.lacks(); what != "" {
+				runScenario(t, m.scenario, size.platform(), machineTypes[:1], m.jobs)
+				if m.missing != nil {
+					if what := m.missing(); what != "" {
 						t.Errorf("the day lacks %s", what)
 					}
 				}
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -10,47 +10,47 @@
 // What is owed once all troubles are over: each question about a job is answered before
 // long, and no job waits beside room for it.
 const (
-	answerOwed = 75 * time.Second
-	roomOwed   = 90 * time.Second
+	answerDeadline    = 75 * time.Second
+	placementDeadline = 90 * time.Second
 )
 
 // Quiet says that no trouble comes after now: from here on liveness is owed.
-func (w *World) Quiet() {
-	w.check.mu.Lock()
-	defer w.check.mu.Unlock()
-	w.check.quietFrom = time.Now()
-	clear(w.check.unheard)
-	clear(w.check.waits)
+func (w *World) ExpectLiveness() {
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
+	w.checker.livenessFrom = time.Now()
+	clear(w.checker.unansweredSince)
+	clear(w.checker.waitingSince)
 }
 
 // unanswered notes that a question about a job had no answer.
-func (c *checker) unanswered(id string) {
+func (c *worldChecker) noteUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.quietFrom.IsZero() || !c.known[id] {
+	if c.livenessFrom.IsZero() || !c.accepted[id] {
 		return
 	}
-	from, ok := c.unheard[id]
+	from, ok := c.unansweredSince[id]
 	if !ok {
-		c.unheard[id] = time.Now()
-	} else if time.Since(from) > answerOwed {
-		c.fail("forgotten: no question about %s was answered for %v", id, time.Since(from).Round(time.Second))
-		c.unheard[id] = time.Now()
+		c.unansweredSince[id] = time.Now()
+	} else if time.Since(from) > answerDeadline {
+		c.reportViolation("forgotten: no question about %s was answered for %v", id, time.Since(from).Round(time.Second))
+		c.unansweredSince[id] = time.Now()
 	}
 }
 
 // room is a machine that could be given tasks.
-type room struct {
-	k               *Worker
+type freeMachine struct {
+	worker          *Worker
 	cpus, gpus, mem float64
 }
 
-func (r *room) fits(s *Spec) bool {
+func (r *freeMachine) fits(s *Spec) bool {
 	return s.CPUs <= r.cpus+1e-9 && s.GPUs <= r.gpus+1e-9 && s.MemGB <= r.mem+1e-9
 }
 
-func (r *room) allowed(s *Spec) bool {
-	if z, ok := s.Zone.(string); ok && z != r.k.zone || r.k.spot && !s.Spot {
+func (r *freeMachine) allowed(s *Spec) bool {
+	if z, ok := s.Zone.(string); ok && z != r.worker.zone || r.worker.spot && !s.Spot {
 		return false
 	}
 	types, ok := s.Types.([]string)
@@ -58,7 +58,7 @@
 		return true
 	}
 	for _, n := range types {
-		if n == r.k.typ.Name {
+		if n == r.worker.machineType.Name {
 			return true
 		}
 	}
@@ -66,12 +66,12 @@
 }
 
 // rooms lists the machines that are well, with what is free on them.
-func (c *checker) rooms() []*room {
-	var out []*room
+func (c *worldChecker) freeMachines() []*freeMachine {
+	var out []*freeMachine
 	for _, k := range c.w.Cloud.Workers() {
 		k.mu.Lock()
-		r := &room{k, k.typ.CPUs, k.typ.GPUs, k.typ.MemGB}
-		well := !k.dead && !k.deaf && !k.mute && !k.hung && !k.Sick && k.notice == nil
+		r := &freeMachine{k, k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemGB}
+		well := !k.dead && !k.inboundLost && !k.outboundLost && !k.hung && !k.FailsTasks && k.spotNotice == nil
 		for _, t := range k.tasks {
 			if t.State != "exited" && t.spec != nil {
 				r.cpus, r.gpus, r.mem = r.cpus-t.spec.CPUs, r.gpus-t.spec.GPUs, r.mem-t.spec.MemGB
@@ -87,49 +87,49 @@
 
 // neglected looks for jobs that wait beside room for them: a task of an array or of a
 // service beside a machine, a gang beside machines for all its tasks.
-func (c *checker) neglected() {
+func (c *worldChecker) checkNeglected() {
 	c.mu.Lock()
-	quiet := !c.quietFrom.IsZero() && c.w.ctx.Err() == nil
+	quiet := !c.livenessFrom.IsZero() && c.w.ctx.Err() == nil
 	c.mu.Unlock()
 	if !quiet {
 		return
 	}
-	rooms := c.rooms() // takes the workers' locks, under which they take the checker's
+	rooms := c.freeMachines() // takes the workers' locks, under which they take the checker's
 	specs := c.w.allSpecs()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	on := map[string]int{}
 	zones := map[string]map[string]int{}
-	for task, k := range c.on {
+	for task, k := range c.placements {
 		job, _, _ := strings.Cut(task, "/")
 		if on[job]++; zones[job] == nil {
 			zones[job] = map[string]int{}
 		}
 		zones[job][k.Zone]++
 	}
-	ids := make([]string, 0, len(c.known))
-	for id := range c.known {
+	ids := make([]string, 0, len(c.accepted))
+	for id := range c.accepted {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
 		s := specs[id]
-		if s == nil || s.Broken || c.last[id] != "" || on[id]+len(c.doneT[id]) >= s.Tasks || !c.hasRoom(s, on[id], zones[id], rooms) {
-			delete(c.waits, id)
+		if s == nil || s.Broken || c.finalStates[id] != "" || on[id]+len(c.doneTasks[id]) >= s.Tasks || !c.couldStart(s, on[id], zones[id], rooms) {
+			delete(c.waitingSince, id)
 			continue
 		}
-		from, ok := c.waits[id]
+		from, ok := c.waitingSince[id]
 		if !ok {
-			c.waits[id] = time.Now()
-		} else if time.Since(from) > roomOwed {
-			c.fail("neglected: %s has %d of %d tasks done, %d on machines, and room beside it", id, len(c.doneT[id]), s.Tasks, on[id])
-			c.waits[id] = time.Now()
+			c.waitingSince[id] = time.Now()
+		} else if time.Since(from) > placementDeadline {
+			c.reportViolation("neglected: %s has %d of %d tasks done, %d on machines, and room beside it", id, len(c.doneTasks[id]), s.Tasks, on[id])
+			c.waitingSince[id] = time.Now()
 		}
 	}
 }
 
 // hasRoom reports whether one more task of a job could start, or all of a gang.
-func (c *checker) hasRoom(s *Spec, on int, zones map[string]int, rooms []*room) bool {
+func (c *worldChecker) couldStart(s *Spec, on int, zones map[string]int, rooms []*freeMachine) bool {
 	want := 1
 	if s.Shape == "ensemble" {
 		if on > 0 {
@@ -137,9 +137,9 @@
 		}
 		want = s.Tasks
 	}
-	use := c.use[s.Team]
+	use := c.usage[s.Team]
 	use[0], use[1] = use[0]+s.CPUs*float64(want), use[1]+s.GPUs*float64(want)
-	if c.Limit(s.Team).passed(use) {
+	if c.Limit(s.Team).exceededBy(use) {
 		return false
 	}
 	byZone := map[string]int{}
@@ -147,10 +147,10 @@
 		if !r.allowed(s) || !r.fits(s) {
 			continue
 		}
-		if s.Spread && zones[r.k.zone]+1 > (s.Tasks+1)/2 {
+		if s.Spread && zones[r.worker.zone]+1 > (s.Tasks+1)/2 {
 			continue
 		}
-		if s.OneZone && len(zones) > 0 && zones[r.k.zone] == 0 {
+		if s.OneZone && len(zones) > 0 && zones[r.worker.zone] == 0 {
 			continue
 		}
 		n := math.Min(r.cpus/max(s.CPUs, 1e-9), r.mem/max(s.MemGB, 1e-9))
@@ -159,7 +159,7 @@
 		}
 		zone := ""
 		if s.OneZone {
-			zone = r.k.zone
+			zone = r.worker.zone
 		}
 		byZone[zone] += int(math.Min(n+1e-9, 1e6))
 	}
--- a/internal/simulator/meetings_days_test.go
+++ b/internal/simulator/meetings_days_test.go
@@ -9,50 +9,50 @@
 )
 
 // late counts what the stand-ins carried out late or again, by how it was answered.
-type late struct{ carried, refused int }
+type replayCounts struct{ executed, rejected int }
 
-func (l *late) of(f *simulator.Faults, path string) {
-	f.Repeated = func(p string, status int) {
+func (l *replayCounts) observe(f *simulator.Faults, path string) {
+	f.OnRepeated = func(p string, status int) {
 		if p == path {
 			if status < 300 {
-				l.carried++
+				l.executed++
 			} else {
-				l.refused++
+				l.rejected++
 			}
 		}
 	}
 }
 
 // fewTasks are jobs of two or three tasks that end far apart, beside what runs on and on.
-func fewTasks(_ *testing.T, u *users) {
+func smallJobsWorkload(_ *testing.T, u *users) {
 	const s = time.Second
 	for i := range 9 {
 		job := array(100+i, 2+i%2, 10)
 		job.RunOf = map[int]float64{0: 8, 1: float64(25 + 5*i), 2: 70}
-		u.after(time.Duration(20+4*i)*s, func() { u.run(job) })
+		u.after(time.Duration(20+4*i)*s, func() { u.runToDone(job) })
 	}
 	for i := range 4 {
 		job := service(300+i, 4)
 		u.after(0, func() {
 			if u.w.Submit(job) {
-				u.must(job.ID, "running")
+				u.expectState(job.ID, "running")
 				time.Sleep(150 * s)
-				u.must(job.ID, "running")
+				u.expectState(job.ID, "running")
 				u.w.Cancel(job.ID)
 			}
 		})
 	}
 	long := array(200, 6, 90)
-	u.after(5*s, func() { u.run(long) })
+	u.after(5*s, func() { u.runToDone(long) })
 }
 
 // TestMeetings brings about each meeting of two troubles that operators have named, in
 // their order, and says if it did not happen. What must hold, beside the rules: every job
 // that was not cancelled runs or is done once the troubles are over (users.must).
-func TestMeetings(t *testing.T) {
+func TestFaultCombinations(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	var writes, reports, commands late
-	cut := &apart{}
+	var writes, reports, commands replayCounts
+	cut := &leaderPartition{}
 	var other int
 	var cancelled string
 	var waited time.Duration
@@ -76,67 +76,67 @@
 		}
 	}
 	for _, c := range []struct {
-		day      day
-		happened func() string // what did not happen; "": it did
+		scenario scenario
+		missing  func() string // what did not happen; "": it did
 	}{
-		{day{name: "a transaction without an answer is carried out late, after newer ones", seed: 90,
+		{scenario{name: "a transaction without an answer is carried out late, after newer ones", seed: 90,
 			setup: func(w *simulator.World) {
-				writes.of(w.StateFaults, wire.CommitPath)
-				lateWrites(0.4)(w)
-			}, acts: []act{{150 * s, lateWrites(0)}}},
+				writes.observe(w.StateFaults, wire.CommitPath)
+				delayWrites(0.4)(w)
+			}, actions: []action{{150 * s, delayWrites(0)}}},
 			func() string {
-				if writes.carried == 0 || writes.refused == 0 {
+				if writes.executed == 0 || writes.rejected == 0 {
 					return "late writes: one that was carried out and one that a newer one had overtaken"
 				}
 				return ""
 			}},
-		{day{name: "controllers hand over and back, all end, and one returns within a second", seed: 91,
-			setup: func(w *simulator.World) { lateWrites(0.1)(w) },
-			acts: []act{{40 * s, endLeader}, {40*s + 300*ms, backLeader}, {47 * s, who}, {48 * s, endLeader}, {48*s + 300*ms, backLeader}, {56 * s, who},
-				{57 * s, killAll}, {57*s + 200*ms, startAlone}, {61 * s, who}, {63 * s, who}, {65 * s, who}, {66 * s, startAll},
-				{68 * s, kill(1)}, {68*s + 100*ms, start(1)}, {79 * s, lateWrites(0)}}},
+		{scenario{name: "controllers hand over and back, all end, and one returns within a second", seed: 91,
+			setup: func(w *simulator.World) { delayWrites(0.1)(w) },
+			actions: []action{{40 * s, endLeader}, {40*s + 300*ms, backLeader}, {47 * s, who}, {48 * s, endLeader}, {48*s + 300*ms, backLeader}, {56 * s, who},
+				{57 * s, killAllNodes}, {57*s + 200*ms, startAlone}, {61 * s, who}, {63 * s, who}, {65 * s, who}, {66 * s, startAllNodes},
+				{68 * s, killNode(1)}, {68*s + 100*ms, startNode(1)}, {79 * s, delayWrites(0)}}},
 			func() string {
 				if len(terms) < 2 {
 					return "several leaders"
 				}
 				return ""
 			}},
-		{day{name: "an old report arrives after newer ones, also of an earlier session", seed: 92,
+		{scenario{name: "an old report arrives after newer ones, also of an earlier session", seed: 92,
 			setup: func(w *simulator.World) {
 				for _, n := range w.NodeFaults {
-					reports.of(n, wire.ReportPath)
+					reports.observe(n, wire.ReportPath)
 				}
-				lateReports(0.5)(w)
-			}, acts: []act{{50 * s, endLeader}, {51 * s, backLeader}, {55 * s, func(w *simulator.World) {
+				duplicateReports(0.5)(w)
+			}, actions: []action{{50 * s, endLeader}, {51 * s, backLeader}, {55 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
 					if i%3 == 0 {
-						isolate(w, k, true) // until a new session
+						partitionWorker(w, k, true) // until a new session
 						deaf = append(deaf, k)
 					}
 				}
 			}}, {75 * s, func(w *simulator.World) {
 				for _, k := range deaf {
-					isolate(w, k, false)
+					partitionWorker(w, k, false)
 				}
 				deaf = nil
-			}}, {110 * s, lateReports(0)}}},
+			}}, {110 * s, duplicateReports(0)}}},
 			func() string {
-				if reports.carried < 20 {
+				if reports.executed < 20 {
 					return "copies of reports"
 				}
 				return ""
 			}},
-		{day{name: "a leader is cut from the state service and the others, jobs are cancelled through the new one", seed: 93,
-			acts: []act{{20 * s, func(w *simulator.World) { w.Submit(array(201, 6, 300)) }}, {50 * s, cut.begin}, {60 * s, func(w *simulator.World) {
+		{scenario{name: "a leader is cut from the state service and the others, jobs are cancelled through the new one", seed: 93,
+			actions: []action{{20 * s, func(w *simulator.World) { w.Submit(array(201, 6, 300)) }}, {50 * s, cut.partition}, {60 * s, func(w *simulator.World) {
 				other = w.Leader()
 				begun := time.Now()
 				job := array(999, 1, 1)
-				if w.Post(cut.node, &job) == 201 {
+				if w.PostJob(cut.node, &job) == 201 {
 					other = cut.node
 				}
 				waited = time.Since(begun)
 				cancelled = w.Cancel("job-000201")
-			}}, {95 * s, cut.end}}},
+			}}, {95 * s, cut.heal}}},
 			func() string {
 				if cancelled != "aborted" {
 					return "a cancellation through the new leader"
@@ -149,22 +149,22 @@
 				}
 				return ""
 			}},
-		{day{name: "a leader ends while machines with long tasks can't be reached or don't hear the next one", seed: 94,
-			acts: []act{{45 * s, func(w *simulator.World) {
+		{scenario{name: "a leader ends while machines with long tasks can't be reached or don't hear the next one", seed: 94,
+			actions: []action{{45 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
-					if len(k.Running()) > 0 && i%2 == 0 {
-						k.Deaf(true)
+					if len(k.RunningTasks()) > 0 && i%2 == 0 {
+						k.SetInboundLost(true)
 						deaf = append(deaf, k)
 					} else if i%5 == 1 {
-						isolate(w, k, true)
+						partitionWorker(w, k, true)
 					}
 				}
 			}}, {46 * s, endLeader}, {49 * s, backLeader}, {100 * s, func(w *simulator.World) {
 				for _, k := range w.Cloud.Workers() {
-					isolate(w, k, false)
+					partitionWorker(w, k, false)
 				}
 				for _, k := range deaf {
-					k.Deaf(false)
+					k.SetInboundLost(false)
 				}
 			}}}},
 			func() string {
@@ -173,30 +173,30 @@
 				}
 				return ""
 			}},
-		{day{name: "jobs of two or three tasks end far apart across changes of leader", seed: 95,
-			acts: []act{{45 * s, endLeader}, {47 * s, backLeader}, {60 * s, endLeader}, {63 * s, backLeader}, {75 * s, killAll}, {78 * s, startAll}}}, nil},
-		{day{name: "a command or its answer is held up for seconds, and the machine goes on", seed: 96,
+		{scenario{name: "jobs of two or three tasks end far apart across changes of leader", seed: 95,
+			actions: []action{{45 * s, endLeader}, {47 * s, backLeader}, {60 * s, endLeader}, {63 * s, backLeader}, {75 * s, killAllNodes}, {78 * s, startAllNodes}}}, nil},
+		{scenario{name: "a command or its answer is held up for seconds, and the machine goes on", seed: 96,
 			setup: func(w *simulator.World) {
-				commands.of(w.WorkerFaults, wire.CommandsPath)
-				w.WorkerFaults.Late, w.WorkerFaults.LateBy, w.WorkerFaults.LateMore, w.WorkerFaults.LoseAnswer = 0.4, s, 30*s, 0.1
-			}, acts: []act{{50 * s, endLeader}, {51 * s, backLeader}, {90 * s, func(w *simulator.World) {
-				w.WorkerFaults.Set(func(f *simulator.Faults) { f.Late, f.LoseAnswer = 0, 0 })
+				commands.observe(w.WorkerFaults, wire.CommandsPath)
+				w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay, w.WorkerFaults.LateJitter, w.WorkerFaults.LoseResponse = 0.4, s, 30*s, 0.1
+			}, actions: []action{{50 * s, endLeader}, {51 * s, backLeader}, {90 * s, func(w *simulator.World) {
+				w.WorkerFaults.Update(func(f *simulator.Faults) { f.ExecuteLate, f.LoseResponse = 0, 0 })
 			}}}},
 			func() string {
-				if commands.carried == 0 || commands.refused == 0 {
+				if commands.executed == 0 || commands.rejected == 0 {
 					return "late commands: one that was executed and one that came too late"
 				}
 				return ""
 			}},
 	} {
-		t.Run(c.day.name, func(t *testing.T) {
+		t.Run(c.scenario.name, func(t *testing.T) {
 			p := platform()
 			p.Params.Teams = p.Params.Teams[:0]
 			addTeam(&p, "blue", 40, 60, 0, 0)
 			addTeam(&p, "green", 40, 60, 0, 0)
-			play(t, c.day, p, machineTypes[:1], fewTasks)
-			if c.happened != nil {
-				if lacks := c.happened(); lacks != "" {
+			runScenario(t, c.scenario, p, machineTypes[:1], smallJobsWorkload)
+			if c.missing != nil {
+				if lacks := c.missing(); lacks != "" {
 					t.Errorf("the day lacks %s", lacks)
 				}
 			}
--- a/internal/simulator/meetings_test.go
+++ b/internal/simulator/meetings_test.go
@@ -15,65 +15,65 @@
 	"aspenstall/internal/wire"
 )
 
-var drawnMeetings = flag.Int("meetings", 8, "how many drawn days TestDrawnMeetings plays")
+var randomCombinationRuns = flag.Int("meetings", 8, "how many drawn days TestDrawnMeetings plays")
 
 // refused is a day on which the state service refuses the leader alone, another
 // controller confirms cancellations to users, and then nobody has the state service for
 // longer than a cancellation may take, while workers stay with the old leader.
-type refused struct {
-	first   time.Duration // from the refusal to the first cancellations
-	out     time.Duration // from the refusal to the outage
-	lasts   time.Duration // the outage; 0: longer than a cancellation may take
-	moved   bool          // another leads by then, and workers hear it
-	setup   func(w *simulator.World)
-	with    []act // times count from the refusal
-	told    int   // cancellations that were told before the outage began
-	toldOut int   // and by the time it had lasted a second
-	stayed  int   // workers with tasks that the old leader answered in the outage
-	leader  int
+type leaderRefused struct {
+	cancelAfter       time.Duration // from the refusal to the first cancellations
+	outageAfter       time.Duration // from the refusal to the outage
+	outageLength      time.Duration // the outage; 0: longer than a cancellation may take
+	newLeader         bool          // another leads by then, and workers hear it
+	setup             func(w *simulator.World)
+	extraActions      []action // times count from the refusal
+	confirmed         int      // cancellations that were told before the outage began
+	confirmedEarly    int      // and by the time it had lasted a second
+	servedByOldLeader int      // workers with tasks that the old leader answered in the outage
+	oldLeader         int
 }
 
 // refuseOne refuses one node the state service, or serves it again.
-func refuseOne(w *simulator.World, i int, on bool) {
-	w.StateFaults.Set(func(f *simulator.Faults) { f.Refuse[w.NodeAddr(i)] = on })
+func setStateRefused(w *simulator.World, i int, on bool) {
+	w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseClients[w.NodeAddr(i)] = on })
 }
 
 // play plays the day: long tasks of every kind run by the minute, some jobs are
 // cancelled in the refusal.
-func (d *refused) play(t *testing.T, seed uint64) {
+func (d *leaderRefused) run(t *testing.T, seed uint64) {
 	const s = time.Second
 	const at = 60 * s
-	lasts := d.lasts
+	lasts := d.outageLength
 	if lasts == 0 {
 		lasts = 75 * s
 	}
 	var outage time.Time
-	acts := []act{
+	acts := []action{
 		{at, func(w *simulator.World) {
-			d.leader = max(w.Leader(), 0)
-			refuseOne(w, d.leader, true)
+			d.oldLeader = max(w.Leader(), 0)
+			setStateRefused(w, d.oldLeader, true)
 		}},
-		{at + d.out, stateDown(true)},
-		{at + d.out, func(*simulator.World) { outage = time.Now() }},
-		{at + d.out + 14*s, func(w *simulator.World) {
+		{at + d.outageAfter, setStateDown(true)},
+		{at + d.outageAfter, func(*simulator.World) { outage = time.Now() }},
+		{at + d.outageAfter + 14*s, func(w *simulator.World) {
 			for _, k := range w.Cloud.Workers() {
-				if len(k.Running()) > 0 && k.Answered().After(outage.Add(s)) {
-					d.stayed++
+				if len(k.RunningTasks()) > 0 && k.LastAcknowledged().After(outage.Add(s)) {
+					d.servedByOldLeader++
 				}
 			}
 		}},
-		{at + d.out + lasts, stateDown(false)},
-		{at + d.out + lasts + 10*s, func(w *simulator.World) { refuseOne(w, d.leader, false) }},
+		{at + d.outageAfter + lasts, setStateDown(false)},
+		{at + d.outageAfter + lasts + 10*s, func(w *simulator.World) { setStateRefused(w, d.oldLeader, false) }},
 	}
-	for _, a := range d.with {
-		acts = append(acts, act{at + a.at, a.do})
+	for _, a := range d.extraActions {
+		acts = append(acts, action{at + a.at, a.do})
 	}
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:0]
 	addTeam(&p, "blue", 40, 200, 0, 0)
 	addTeam(&p, "green", 40, 200, 0, 0)
 	var world *simulator.World
-	play(t, day{seed: seed, setup: d.setup, acts: acts}, p, machineTypes[:1], func(t *testing.T, u *users) {
+	runScenario(t, scenario{seed: seed, setup: d.setup, actions: acts}, p, machineTypes[:1], func(t *testing.T, u *users) {
 		w := u.w
 		world = w
 		for i := range 24 {
@@ -85,7 +85,7 @@
 				job = array(100+i, 4, 120)
 				job.DueS = nil
 			case 2:
-				job = gang(200+i, 2, 120)
+				job = gangState(200+i, 2, 120)
 				job.OneZone, job.CheckpointS = false, 0
 			}
 			u.after(0, func() {
@@ -95,32 +95,32 @@
 				}
 				switch {
 				case i < 12: // cancelled while the leader is refused
-					time.Sleep(time.Until(u.begun.Add(at + d.first + time.Duration(i)*20*time.Millisecond)))
+					time.Sleep(time.Until(u.startedAt.Add(at + d.cancelAfter + time.Duration(i)*20*time.Millisecond)))
 					if w.Cancel(job.ID) == "aborted" && (outage.IsZero() || time.Since(outage) < s) {
-						d.toldOut++
+						d.confirmedEarly++
 						if outage.IsZero() {
-							d.told++
+							d.confirmed++
 						}
 					}
 				case i%3 == 0: // a service that goes on
-					time.Sleep(at + d.out + lasts + 60*s)
-					u.must(job.ID, "running")
+					time.Sleep(at + d.outageAfter + lasts + 60*s)
+					u.expectState(job.ID, "running")
 				default:
-					u.must(job.ID, "done")
+					u.expectState(job.ID, "done")
 				}
 			})
 		}
 	})
-	jobs, longest := world.Gone()
+	jobs, longest := world.CancellationDelay()
 	t.Logf("%d cancellations told before the outage, %d within a second of it; %d jobs had tasks then, the last was gone after %v; the old leader answered %d workers with tasks in the outage",
-		d.told, d.toldOut, jobs, longest.Round(100*time.Millisecond), d.stayed)
-	if d.toldOut < 4 || jobs < 4 {
+		d.confirmed, d.confirmedEarly, jobs, longest.Round(100*time.Millisecond), d.servedByOldLeader)
+	if d.confirmedEarly < 4 || jobs < 4 {
 		t.Error("hardly anything was cancelled in time: the day shows nothing")
 	}
-	if !d.moved && d.stayed == 0 {
+	if !d.newLeader && d.servedByOldLeader == 0 {
 		t.Error("no worker stayed with the old leader: the day shows nothing")
 	}
-	if d.moved && world.Leader() == d.leader {
+	if d.newLeader && world.Leader() == d.oldLeader {
 		t.Error("nobody else led")
 	}
 }
@@ -130,204 +130,206 @@
 // service refused before it failed for all. The outage begins right after the
 // confirmations, before and after the leader's lease is over, before and after another
 // has the term. Without the bound on what is answered unread, ran_cancelled is broken.
-func TestRefusedThenOut(t *testing.T) {
+func TestLeaderRefusedThenOutage(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	peers := func(on bool) func(*simulator.World) { return func(w *simulator.World) { w.CutPeers(on) } }
+	peers := func(on bool) func(*simulator.World) { return func(w *simulator.World) { w.BlockPeerLinks(on) } }
 	for _, c := range []struct {
-		name string
-		day  refused
+		name     string
+		scenario leaderRefused
 	}{
-		{"right after a confirmation", refused{first: 0, out: 200 * ms}},
-		{"before its lease is over", refused{first: 500 * ms, out: 2 * s}},
-		{"cancelled as it is refused, out a second later", refused{first: 0, out: s}},
-		{"its lease is over, nobody else leads", refused{first: s, out: 2900 * ms}},
-		{"another has the term", refused{first: s, out: 4 * s, moved: true}},
-		{"another leads, and some workers heard it", refused{first: 2 * s, out: 7 * s, moved: true}},
-		{"peers are refused too", refused{first: 500 * ms, out: 2 * s, with: []act{{0, peers(true)}}}},
-		{"peers are refused in the outage", refused{first: 500 * ms, out: 2 * s, with: []act{{4 * s, peers(true)}, {30 * s, peers(false)}}}},
-		{"who confirmed ends in the outage and is back", refused{first: 500 * ms, out: 2 * s}},
-		{"the leader stands still for seconds", refused{first: 500 * ms, out: 2 * s}},
-		{"machines hang and go on", refused{first: 500 * ms, out: 2 * s}},
-		{"starts are under way", refused{first: 500 * ms, out: 2 * s, setup: func(w *simulator.World) {
-			w.WorkerFaults.Late, w.WorkerFaults.LateBy, w.WorkerFaults.LateMore, w.WorkerFaults.LateOnly = 0.5, 20*s, 50*s, wire.CommandsPath
+		{"right after a confirmation", leaderRefused{cancelAfter: 0, outageAfter: 200 * ms}},
+		{"before its lease is over", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"cancelled as it is refused, out a second later", leaderRefused{cancelAfter: 0, outageAfter: s}},
+		{"its lease is over, nobody else leads", leaderRefused{cancelAfter: s, outageAfter: 2900 * ms}},
+		{"another has the term", leaderRefused{cancelAfter: s, outageAfter: 4 * s, newLeader: true}},
+		{"another leads, and some workers heard it", leaderRefused{cancelAfter: 2 * s, outageAfter: 7 * s, newLeader: true}},
+		{"peers are refused too", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, extraActions: []action{{0, peers(true)}}}},
+		{"peers are refused in the outage", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, extraActions: []action{{4 * s, peers(true)}, {30 * s, peers(false)}}}},
+		{"who confirmed ends in the outage and is back", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"the leader stands still for seconds", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"machines hang and go on", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"starts are under way", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, setup: func(w *simulator.World) {
+			w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay, w.WorkerFaults.LateJitter, w.WorkerFaults.LatePath = 0.5, 20*s, 50*s, wire.CommandsPath
 		}}},
 	} {
-		d := &c.day
-		h := &cuts{}
+		d := &c.scenario
+		h := &activeFaults{}
 		switch {
 		case strings.HasPrefix(c.name, "who confirmed"):
 			for i := range 2 {
-				other := func(w *simulator.World) int { return (d.leader + 1 + i) % 3 }
-				d.with = append(d.with, act{5 * s, func(w *simulator.World) { w.Kill(other(w)) }}, act{5*s + 300*ms, func(w *simulator.World) { w.StartNode(other(w)) }})
+				other := func(w *simulator.World) int { return (d.oldLeader + 1 + i) % 3 }
+				d.extraActions = append(d.extraActions, action{5 * s, func(w *simulator.World) { w.Kill(other(w)) }}, action{5*s + 300*ms, func(w *simulator.World) { w.StartNode(other(w)) }})
 			}
 		case strings.HasPrefix(c.name, "the leader stands"):
-			d.with = []act{{1500 * ms, func(w *simulator.World) { w.Freeze(d.leader, true) }}, {9 * s, func(w *simulator.World) { w.Freeze(d.leader, false) }}}
+			d.extraActions = []action{{1500 * ms, func(w *simulator.World) { w.Freeze(d.oldLeader, true) }}, {9 * s, func(w *simulator.World) { w.Freeze(d.oldLeader, false) }}}
 		case strings.HasPrefix(c.name, "machines hang"):
-			d.with = []act{{s, h.hang}, {12 * s, h.goOn}, {30 * s, h.hang}, {40 * s, h.goOn}}
+			d.extraActions = []action{{s, h.hangWorkers}, {12 * s, h.resumeWorkers}, {30 * s, h.hangWorkers}, {40 * s, h.resumeWorkers}}
 		}
-		t.Run(c.name, func(t *testing.T) { d.play(t, 80) })
+		t.Run(c.name, func(t *testing.T) { d.run(t, 80) })
 	}
 }
 
 // meetingKinds are the kinds that TestDrawnMeetings combines with those of cuts.
-var meetingKinds = []trouble{
-	{"late writes", func(r *rand.Rand, at time.Duration) []act {
+var combinationFaults = []faultKind{
+	{"late writes", func(r *rand.Rand, at time.Duration) []action {
 		share := 0.1 + 0.4*r.Float64()
-		return []act{{at, lateWrites(share)}, {at + between(r, 10, 40), lateWrites(0)}}
+		return []action{{at, delayWrites(share)}, {at + randomDuration(r, 10, 40), delayWrites(0)}}
 	}},
-	{"late reports", func(r *rand.Rand, at time.Duration) []act {
+	{"late reports", func(r *rand.Rand, at time.Duration) []action {
 		share := 0.1 + 0.5*r.Float64()
-		return []act{{at, lateReports(share)}, {at + between(r, 10, 60), lateReports(0)}}
+		return []action{{at, duplicateReports(share)}, {at + randomDuration(r, 10, 60), duplicateReports(0)}}
 	}},
-	{"late commands", func(r *rand.Rand, at time.Duration) []act {
+	{"late commands", func(r *rand.Rand, at time.Duration) []action {
 		late := func(share float64) func(*simulator.World) {
 			return func(w *simulator.World) {
-				w.WorkerFaults.Set(func(f *simulator.Faults) { f.Late, f.LateBy, f.LateMore = share, time.Second, 29*time.Second })
+				w.WorkerFaults.Update(func(f *simulator.Faults) {
+					f.ExecuteLate, f.LateDelay, f.LateJitter = share, time.Second, 29*time.Second
+				})
 			}
 		}
-		return []act{{at, late(0.1 + 0.3*r.Float64())}, {at + between(r, 10, 40), late(0)}}
+		return []action{{at, late(0.1 + 0.3*r.Float64())}, {at + randomDuration(r, 10, 40), late(0)}}
 	}},
-	{"machines deaf", func(r *rand.Rand, at time.Duration) []act {
+	{"machines deaf", func(r *rand.Rand, at time.Duration) []action {
 		one, in := r.IntN(2) == 0, 2+r.IntN(4)
 		zone := []string{"a", "b", "c"}[r.IntN(3)]
 		deaf := map[string]bool{}
-		return []act{{at, func(w *simulator.World) {
+		return []action{{at, func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				if one && k.Zone() == zone || !one && i%in == 0 {
-					k.Deaf(true)
+					k.SetInboundLost(true)
 					deaf[k.Name()] = true
 				}
 			}
-		}}, {at + between(r, 5, 60), func(w *simulator.World) {
+		}}, {at + randomDuration(r, 5, 60), func(w *simulator.World) {
 			for _, k := range w.Cloud.Workers() {
 				if deaf[k.Name()] {
-					k.Deaf(false)
+					k.SetInboundLost(false)
 				}
 			}
 		}}}
 	}},
-	{"leader cut from state and peers", func(r *rand.Rand, at time.Duration) []act {
-		cut := &apart{}
-		return []act{{at, cut.begin}, {at + between(r, 5, 60), cut.end}}
+	{"leader cut from state and peers", func(r *rand.Rand, at time.Duration) []action {
+		cut := &leaderPartition{}
+		return []action{{at, cut.partition}, {at + randomDuration(r, 5, 60), cut.heal}}
 	}},
-	{"leader refused, then all", func(r *rand.Rand, at time.Duration) []act {
+	{"leader refused, then all", func(r *rand.Rand, at time.Duration) []action {
 		lead, out := 0, at+time.Duration(r.IntN(8000))*time.Millisecond
-		over := out + between(r, 5, 60)
-		return []act{{at, func(w *simulator.World) { lead = max(w.Leader(), 0); refuseOne(w, lead, true) }}, {out, stateDown(true)}, {over, stateDown(false)},
-			{over + between(r, 0, 20), func(w *simulator.World) { refuseOne(w, lead, false) }}}
+		over := out + randomDuration(r, 5, 60)
+		return []action{{at, func(w *simulator.World) { lead = max(w.Leader(), 0); setStateRefused(w, lead, true) }}, {out, setStateDown(true)}, {over, setStateDown(false)},
+			{over + randomDuration(r, 0, 20), func(w *simulator.World) { setStateRefused(w, lead, false) }}}
 	}},
-	{"all end, one is back at once", func(r *rand.Rand, at time.Duration) []act {
-		return []act{{at, killAll}, {at + time.Duration(1+r.IntN(900))*time.Millisecond, start(r.IntN(3))}, {at + between(r, 3, 12), startAll}}
+	{"all end, one is back at once", func(r *rand.Rand, at time.Duration) []action {
+		return []action{{at, killAllNodes}, {at + time.Duration(1+r.IntN(900))*time.Millisecond, startNode(r.IntN(3))}, {at + randomDuration(r, 3, 12), startAllNodes}}
 	}},
-	{"slow state", func(r *rand.Rand, at time.Duration) []act {
+	{"slow state", func(r *rand.Rand, at time.Duration) []action {
 		slow := func(d time.Duration) func(*simulator.World) {
-			return func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.Delay = d }) }
+			return func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = d }) }
 		}
-		return []act{{at, slow(between(r, 0, 2) + 200*time.Millisecond)}, {at + between(r, 5, 30), slow(0)}}
+		return []action{{at, slow(randomDuration(r, 0, 2) + 200*time.Millisecond)}, {at + randomDuration(r, 5, 30), slow(0)}}
 	}},
 }
 
 // newKinds are the kinds of trouble that the operators named last.
-var newKinds = []trouble{
-	{"answers lost", func(r *rand.Rand, at time.Duration) []act {
+var raceFaults = []faultKind{
+	{"answers lost", func(r *rand.Rand, at time.Duration) []action {
 		lose := func(share float64) func(*simulator.World) {
 			return func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.NoAnswer, f.LateOnly = share, wire.CommitPath })
+				w.StateFaults.Update(func(f *simulator.Faults) { f.WithholdResponse, f.LatePath = share, wire.CommitPath })
 			}
 		}
-		return []act{{at, lose(0.1 + 0.5*r.Float64())}, {at + between(r, 10, 40), lose(0)}}
+		return []action{{at, lose(0.1 + 0.5*r.Float64())}, {at + randomDuration(r, 10, 40), lose(0)}}
 	}},
-	{"machines mute", func(r *rand.Rand, at time.Duration) []act {
+	{"machines mute", func(r *rand.Rand, at time.Duration) []action {
 		in := 2 + r.IntN(4)
 		mute := map[*simulator.Worker]bool{}
-		return []act{{at, func(w *simulator.World) {
+		return []action{{at, func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				if i%in == 0 {
-					k.Mute(true)
+					k.SetOutboundLost(true)
 					mute[k] = true
 				}
 			}
-		}}, {at + between(r, 5, 60), func(*simulator.World) {
+		}}, {at + randomDuration(r, 5, 60), func(*simulator.World) {
 			for k := range mute {
-				k.Mute(false)
+				k.SetOutboundLost(false)
 			}
 		}}}
 	}},
-	{"old reports for the next leader", func(r *rand.Rand, at time.Duration) []act {
-		o := &oldReports{r: rand.New(rand.NewPCG(r.Uint64(), 1))}
+	{"old reports for the next leader", func(r *rand.Rand, at time.Duration) []action {
+		o := &reportReplayer{random: rand.New(rand.NewPCG(r.Uint64(), 1))}
 		keep := func(f func(string, []byte)) func(*simulator.World) {
 			return func(w *simulator.World) {
 				for _, n := range w.NodeFaults {
-					n.Set(func(n *simulator.Faults) { n.Kept = f })
+					n.Update(func(n *simulator.Faults) { n.OnRequest = f })
 				}
 			}
 		}
-		ended, end := 0, at+between(r, 5, 15)
-		return []act{{at, keep(o.keep)}, {end, func(w *simulator.World) {
+		ended, end := 0, at+randomDuration(r, 5, 15)
+		return []action{{at, keep(o.capture)}, {end, func(w *simulator.World) {
 			ended = max(w.Leader(), 0)
 			w.Kill(ended)
 			for range 30 {
 				time.Sleep(200 * time.Millisecond)
-				o.arrive(w, 8)
+				o.replay(w, 8)
 			}
 		}}, {end + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }}, {end + 7*time.Second, keep(nil)}}
 	}},
-	{"cancelled now, machines hang", func(r *rand.Rand, at time.Duration) []act {
-		many, h := 1+r.IntN(5), &cuts{}
-		return []act{{at, func(w *simulator.World) {
+	{"cancelled now, machines hang", func(r *rand.Rand, at time.Duration) []action {
+		many, h := 1+r.IntN(5), &activeFaults{}
+		return []action{{at, func(w *simulator.World) {
 			jobs := map[string]bool{}
 			for _, k := range w.Cloud.Workers() {
-				for _, task := range k.Running() {
+				for _, task := range k.RunningTasks() {
 					job, _, _ := strings.Cut(task, "/")
 					if len(jobs) < many && !jobs[job] {
 						jobs[job] = true
 						go w.Cancel(job)
 					}
-					if jobs[job] && len(h.hung) < 8 && !slices.Contains(h.hung, k) {
-						h.hung = append(h.hung, k)
+					if jobs[job] && len(h.hungWorkers) < 8 && !slices.Contains(h.hungWorkers, k) {
+						h.hungWorkers = append(h.hungWorkers, k)
 					}
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
-			for _, k := range h.hung {
-				k.Hang(true)
+			for _, k := range h.hungWorkers {
+				k.SetHung(true)
 			}
-		}}, {at + between(r, 3, 50), h.goOn}}
+		}}, {at + randomDuration(r, 3, 50), h.resumeWorkers}}
 	}},
-	{"cancelled at the end", func(r *rand.Rand, at time.Duration) []act {
-		e := &atTheEnd{random: simulator.NewStreams(r.Uint64())}
-		return []act{{at, e.at}, {at + between(r, 10, 40), func(w *simulator.World) { w.Last(nil) }}}
+	{"cancelled at the end", func(r *rand.Rand, at time.Duration) []action {
+		e := &completionRaces{random: simulator.NewStreams(r.Uint64())}
+		return []action{{at, e.install}, {at + randomDuration(r, 10, 40), func(w *simulator.World) { w.OnLastTaskDone(nil) }}}
 	}},
-	{"close looks", func(r *rand.Rand, at time.Duration) []act {
-		l := &looks{random: simulator.NewStreams(r.Uint64())}
-		return []act{{at, l.at}, {at + between(r, 10, 40), func(w *simulator.World) { w.Looks(nil) }}}
+	{"close looks", func(r *rand.Rand, at time.Duration) []action {
+		l := &followUpRequests{random: simulator.NewStreams(r.Uint64())}
+		return []action{{at, l.install}, {at + randomDuration(r, 10, 40), func(w *simulator.World) { w.OnUserState(nil) }}}
 	}},
-	{"odd requests", func(r *rand.Rand, at time.Duration) []act {
+	{"odd requests", func(r *rand.Rand, at time.Duration) []action {
 		o := rand.New(rand.NewPCG(r.Uint64(), 1))
-		lasts := between(r, 10, 40)
-		return []act{{at, func(w *simulator.World) { oddRequests(w, o, lasts) }}, {at + lasts, func(*simulator.World) {}}}
+		lasts := randomDuration(r, 10, 40)
+		return []action{{at, func(w *simulator.World) { sendInvalidRequests(w, o, lasts) }}, {at + lasts, func(*simulator.World) {}}}
 	}},
-	{"leaders change", func(r *rand.Rand, at time.Duration) []act {
-		var out []act
+	{"leaders change", func(r *rand.Rand, at time.Duration) []action {
+		var out []action
 		for range 2 + r.IntN(4) {
 			ended := 0
-			out = append(out, act{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
-				act{at + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }})
-			at += between(r, 4, 12)
+			out = append(out, action{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
+				action{at + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }})
+			at += randomDuration(r, 4, 12)
 		}
 		return out
 	}},
-	{"all away", func(r *rand.Rand, at time.Duration) []act {
-		return []act{{at, killAll}, {at + between(r, 12, 30), startAll}}
+	{"all away", func(r *rand.Rand, at time.Duration) []action {
+		return []action{{at, killAllNodes}, {at + randomDuration(r, 12, 30), startAllNodes}}
 	}},
 }
 
 // oddRequests are users who submit again what is not over, cancel what is done, and send jobs
 // that fit no machine or lack a field: none of those is ever accepted, by any node.
-func oddRequests(w *simulator.World, r *rand.Rand, lasts time.Duration) {
+func sendInvalidRequests(w *simulator.World, r *rand.Rand, lasts time.Duration) {
 	n := 0
 	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
-		known := w.Known()
+		known := w.AcceptedJobs()
 		for _, id := range slices.Sorted(maps.Keys(known)) {
 			if r.IntN(8) > 0 {
 				continue
@@ -335,7 +337,7 @@
 			foreign := array(0, 1, 1)
 			foreign.ID, foreign.Team = id, "nobody"
 			node, body := r.IntN(3), []any{nil, map[string]any{"uid": id}, &foreign}[r.IntN(3)]
-			go w.Repeat(node, id, body)
+			go w.Resubmit(node, id, body)
 			if known[id] == "done" {
 				go w.CancelAt(node, id)
 			}
@@ -346,14 +348,14 @@
 		for i := range 3 {
 			go func() {
 				for what, body := range map[string]any{"fits no machine": &large, "lacks a field": lacking} {
-					switch status := w.Post(i, body); status {
+					switch status := w.PostJob(i, body); status {
 					case 0, http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusServiceUnavailable:
 					default:
-						w.Fail("a job that %s is answered %d", what, status)
+						w.ReportViolation("a job that %s is answered %d", what, status)
 					}
 				}
 				if state := w.PollAt(i, large.ID); state != "" && state != "unknown" {
-					w.Fail("a job that fits no machine is %s", state)
+					w.ReportViolation("a job that fits no machine is %s", state)
 				}
 			}()
 		}
@@ -362,37 +364,39 @@
 
 // lateWrites has a share of the transactions get no answer and be carried out 2 to 12 s
 // later, after newer ones.
-func lateWrites(share float64) func(*simulator.World) {
+func delayWrites(share float64) func(*simulator.World) {
 	return func(w *simulator.World) {
-		w.StateFaults.Set(func(f *simulator.Faults) {
-			f.Late, f.LateBy, f.LateMore, f.LateOnly = share, 2*time.Second, 10*time.Second, wire.CommitPath
+		w.StateFaults.Update(func(f *simulator.Faults) {
+			f.ExecuteLate, f.LateDelay, f.LateJitter, f.LatePath = share, 2*time.Second, 10*time.Second, wire.CommitPath
 		})
 	}
 }
 
 // lateReports has a copy of a share of the workers' reports arrive again, from 2 s to
 // well over a lease later.
-func lateReports(share float64) func(*simulator.World) {
+func duplicateReports(share float64) func(*simulator.World) {
 	return func(w *simulator.World) {
 		for _, n := range w.NodeFaults {
-			n.Set(func(f *simulator.Faults) { f.Again, f.LateBy, f.LateMore = share, 2*time.Second, 28*time.Second })
+			n.Update(func(f *simulator.Faults) {
+				f.Duplicate, f.LateDelay, f.LateJitter = share, 2*time.Second, 28*time.Second
+			})
 		}
 	}
 }
 
 // apart cuts the leader off from the state service and the other controllers, not from
 // workers and users.
-type apart struct{ node int }
+type leaderPartition struct{ node int }
 
-func (a *apart) begin(w *simulator.World) {
+func (a *leaderPartition) partition(w *simulator.World) {
 	a.node = max(w.Leader(), 0)
-	cutNode(w, a.node, w.StateAddr(), true)
-	w.CutPeersOf(a.node, true)
+	partitionNode(w, a.node, w.StateAddr(), true)
+	w.BlockPeerLinksOf(a.node, true)
 }
 
-func (a *apart) end(w *simulator.World) {
-	cutNode(w, a.node, w.StateAddr(), false)
-	w.CutPeersOf(a.node, false)
+func (a *leaderPartition) heal(w *simulator.World) {
+	partitionNode(w, a.node, w.StateAddr(), false)
+	w.BlockPeerLinksOf(a.node, false)
 }
 
 // TestDrawnMeetings plays days on which two or three troubles meet in the same half
@@ -401,10 +405,10 @@
 // outside CI:
 //
 //	go test ./internal/simulator -run TestDrawnMeetings -meetings 500
-func TestDrawnMeetings(t *testing.T) {
-	ours := slices.Concat(meetingKinds, newKinds)
-	kinds := slices.Concat(ours, troubleKinds)
-	for seed := range *drawnMeetings {
+func TestRandomFaultCombinations(t *testing.T) {
+	ours := slices.Concat(combinationFaults, raceFaults)
+	kinds := slices.Concat(ours, partitionFaults)
+	for seed := range *randomCombinationRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 33))
 		chosen := []int{r.IntN(len(ours))}
 		for many := 2 + r.IntN(2); len(chosen) < many; {
@@ -412,11 +416,11 @@
 				chosen = append(chosen, k)
 			}
 		}
-		var troubles []trouble
+		var troubles []faultKind
 		for _, k := range chosen {
 			troubles = append(troubles, kinds[k])
 		}
-		d := drawn(r, seed, uint64(7000+seed), troubles, 40, 70)
-		t.Run(d.name, func(t *testing.T) { playCut(t, d) })
+		d := randomScenario(r, seed, uint64(7000+seed), troubles, 40, 70)
+		t.Run(d.name, func(t *testing.T) { runPartitionScenario(t, d) })
 	}
 }
--- a/internal/simulator/net.go
+++ b/internal/simulator/net.go
@@ -18,20 +18,20 @@
 
 // Net is a network of pipes.
 type Net struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	conns     map[*conn]bool
-	cut       map[[2]string]bool
-	zones     map[string]string // of hosts; those without are in none
-	apart     map[string]bool   // zones that are cut off, with packets held
-	still     map[string]bool   // hosts that nothing goes to or from, with packets held
+	mu               sync.Mutex
+	listeners        map[string]*listener
+	conns            map[*conn]bool
+	blockedLinks     map[[2]string]bool
+	hostZones        map[string]string // of hosts; those without are in none
+	partitionedZones map[string]bool   // zones that are cut off, with packets held
+	frozenHosts      map[string]bool   // hosts that nothing goes to or from, with packets held
 }
 
 // NewNet returns an empty network.
 func NewNet() *Net {
 	return &Net{
-		listeners: map[string]*listener{}, conns: map[*conn]bool{}, cut: map[[2]string]bool{},
-		zones: map[string]string{}, apart: map[string]bool{}, still: map[string]bool{},
+		listeners: map[string]*listener{}, conns: map[*conn]bool{}, blockedLinks: map[[2]string]bool{},
+		hostZones: map[string]string{}, partitionedZones: map[string]bool{}, frozenHosts: map[string]bool{},
 	}
 }
 
@@ -44,7 +44,7 @@
 // in its order as soon as nothing holds it, even if the writer has closed.
 type conn struct {
 	net.Conn
-	n             *Net
+	network       *Net
 	local, remote string
 	queue         [][]byte   // under n.mu
 	closed        bool       // by its user
@@ -55,9 +55,9 @@
 func (c *conn) RemoteAddr() net.Addr { return addr(c.remote) }
 
 func (c *conn) Write(b []byte) (int, error) {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
-	if c.closed || !c.n.conns[c] {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	if c.closed || !c.network.conns[c] {
 		return 0, io.ErrClosedPipe
 	}
 	c.queue = append(c.queue, append([]byte(nil), b...))
@@ -68,97 +68,97 @@
 // Close closes this end for its user; the other end notices behind all that was
 // written before.
 func (c *conn) Close() error {
-	c.n.mu.Lock()
+	c.network.mu.Lock()
 	c.closed = true
 	c.changed.Signal()
-	c.n.mu.Unlock()
+	c.network.mu.Unlock()
 	return c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
 // send carries what is written to the other end until the connection is over.
-func (c *conn) send() {
-	n := c.n
+func (c *conn) sendLoop() {
+	n := c.network
 	for {
 		n.mu.Lock()
-		for n.conns[c] && (n.holds(c.local, c.remote) || len(c.queue) == 0 && !c.closed) {
+		for n.conns[c] && (n.holdsPackets(c.local, c.remote) || len(c.queue) == 0 && !c.closed) {
 			c.changed.Wait()
 		}
 		if !n.conns[c] || len(c.queue) == 0 {
 			n.mu.Unlock()
-			c.end()
+			c.reset()
 			return
 		}
 		b := c.queue[0]
 		c.queue = c.queue[1:]
 		n.mu.Unlock()
 		if _, err := c.Conn.Write(b); err != nil {
-			c.end()
+			c.reset()
 			return
 		}
 	}
 }
 
 // end ends the connection at once, as a reset does.
-func (c *conn) end() {
-	c.n.mu.Lock()
-	delete(c.n.conns, c)
+func (c *conn) reset() {
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
 	c.changed.Signal()
-	c.n.mu.Unlock()
+	c.network.mu.Unlock()
 	_ = c.Conn.Close()
 }
 
 // holds reports whether packets between two hosts are held; n.mu is held.
-func (n *Net) holds(a, b string) bool {
-	if n.still[a] || n.still[b] {
+func (n *Net) holdsPackets(a, b string) bool {
+	if n.frozenHosts[a] || n.frozenHosts[b] {
 		return true
 	}
-	za, zb := n.zones[a], n.zones[b]
-	return za != zb && (n.apart[za] || n.apart[zb])
+	za, zb := n.hostZones[a], n.hostZones[b]
+	return za != zb && (n.partitionedZones[za] || n.partitionedZones[zb])
 }
 
 // Place says which zone a host is in.
-func (n *Net) Place(host, zone string) {
+func (n *Net) SetZone(host, zone string) {
 	n.mu.Lock()
-	n.zones[host] = zone
+	n.hostZones[host] = zone
 	n.mu.Unlock()
 }
 
 // CutZone cuts a zone off from everything, or mends it; packets are held
 // meanwhile and arrive then.
-func (n *Net) CutZone(zone string, cut bool) {
+func (n *Net) PartitionZone(zone string, cut bool) {
 	n.mu.Lock()
-	n.apart[zone] = cut
-	n.release()
+	n.partitionedZones[zone] = cut
+	n.wakeConns()
 	n.mu.Unlock()
 }
 
 // Still has nothing go to or from a host, or lets it go on; packets are held
 // meanwhile and arrive then.
-func (n *Net) Still(host string, still bool) {
+func (n *Net) Freeze(host string, still bool) {
 	n.mu.Lock()
-	n.still[host] = still
-	n.release()
+	n.frozenHosts[host] = still
+	n.wakeConns()
 	n.mu.Unlock()
 }
 
 // release has all connections look again at what is held; n.mu is held.
-func (n *Net) release() {
+func (n *Net) wakeConns() {
 	for c := range n.conns {
 		c.changed.Signal()
 	}
 }
 
 type listener struct {
-	n      *Net
-	at     string
-	accept chan net.Conn
-	done   chan struct{}
-	once   sync.Once
+	network  *Net
+	address  string
+	incoming chan net.Conn
+	done     chan struct{}
+	once     sync.Once
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accept:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -168,20 +168,20 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.done)
-		l.n.mu.Lock()
-		if l.n.listeners[l.at] == l {
-			delete(l.n.listeners, l.at)
+		l.network.mu.Lock()
+		if l.network.listeners[l.address] == l {
+			delete(l.network.listeners, l.address)
 		}
-		l.n.mu.Unlock()
+		l.network.mu.Unlock()
 	})
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return addr(l.at) }
+func (l *listener) Addr() net.Addr { return addr(l.address) }
 
 // Listen listens at an address.
 func (n *Net) Listen(at string) net.Listener {
-	l := &listener{n: n, at: at, accept: make(chan net.Conn), done: make(chan struct{})}
+	l := &listener{network: n, address: at, incoming: make(chan net.Conn), done: make(chan struct{})}
 	n.mu.Lock()
 	n.listeners[at] = l
 	n.mu.Unlock()
@@ -197,7 +197,7 @@
 			return nil, &net.OpError{Op: "dial", Net: "pipe", Addr: addr(to), Err: err}
 		}
 		n.mu.Lock()
-		l, cut := n.listeners[to], n.cut[[2]string{from, to}] || n.holds(from, to)
+		l, cut := n.listeners[to], n.blockedLinks[[2]string{from, to}] || n.holdsPackets(from, to)
 		n.mu.Unlock()
 		if cut {
 			// Silence; the dialler gives up by itself.
@@ -211,32 +211,32 @@
 			return fail(errRefused)
 		}
 		a, b := net.Pipe()
-		ca := &conn{Conn: a, n: n, local: from, remote: to, changed: sync.NewCond(&n.mu)}
-		cb := &conn{Conn: b, n: n, local: to, remote: from, changed: sync.NewCond(&n.mu)}
+		ca := &conn{Conn: a, network: n, local: from, remote: to, changed: sync.NewCond(&n.mu)}
+		cb := &conn{Conn: b, network: n, local: to, remote: from, changed: sync.NewCond(&n.mu)}
 		n.mu.Lock()
 		n.conns[ca], n.conns[cb] = true, true
 		n.mu.Unlock()
-		go ca.send()
-		go cb.send()
+		go ca.sendLoop()
+		go cb.sendLoop()
 		select {
-		case l.accept <- cb:
+		case l.incoming <- cb:
 			return ca, nil
 		case <-l.done:
-			ca.end()
-			cb.end()
+			ca.reset()
+			cb.reset()
 			return fail(errRefused)
 		case <-ctx.Done():
-			ca.end()
-			cb.end()
+			ca.reset()
+			cb.reset()
 			return fail(ctx.Err())
 		}
 	}
 }
 
 // Cut cuts or mends the way from one host to another, and back.
-func (n *Net) Cut(a, b string, cut bool) {
+func (n *Net) BlockLink(a, b string, cut bool) {
 	n.mu.Lock()
-	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
+	n.blockedLinks[[2]string{a, b}], n.blockedLinks[[2]string{b, a}] = cut, cut
 	n.mu.Unlock()
 	if cut {
 		n.closeConns(func(c *conn) bool { return c.local == a && c.remote == b || c.local == b && c.remote == a })
@@ -244,7 +244,7 @@
 }
 
 // Drop closes all connections of a host: its process has ended.
-func (n *Net) Drop(host string) {
+func (n *Net) DropHost(host string) {
 	n.closeConns(func(c *conn) bool { return c.local == host || c.remote == host })
 }
 
@@ -272,7 +272,7 @@
 	}
 	n.mu.Unlock()
 	for _, c := range hit {
-		c.end()
+		c.reset()
 	}
 }
 
--- a/internal/simulator/nights_test.go
+++ b/internal/simulator/nights_test.go
@@ -12,29 +12,29 @@
 	"aspenstall/internal/simulator"
 )
 
-var drawnNights = flag.Int("nights", 8, "how many drawn nights TestDrawnNights plays")
+var randomFaultRuns = flag.Int("nights", 8, "how many drawn nights TestDrawnNights plays")
 
 // nightKinds are the troubles that TestDrawnNights combines: each gives what happens
 // from a time on, and what is submitted then beside the usual work.
-var nightKinds = []struct {
-	name string
-	acts func(r *rand.Rand, at time.Duration) []act
-	jobs func(r *rand.Rand, u *users, at time.Duration)
+var operationalFaults = []struct {
+	name     string
+	actions  func(r *rand.Rand, at time.Duration) []action
+	workload func(r *rand.Rand, u *users, at time.Duration)
 }{
-	{name: "boots late or never", acts: func(r *rand.Rand, at time.Duration) []act {
+	{name: "boots late or never", actions: func(r *rand.Rand, at time.Duration) []action {
 		never, factor := r.IntN(4), 1+4*r.Float64()
-		return []act{{at, func(w *simulator.World) {
-			w.Cloud.Boots(func(n int) float64 {
+		return []action{{at, func(w *simulator.World) {
+			w.Cloud.SetBootFactor(func(n int) float64 {
 				if n%4 < never {
 					return 0
 				}
 				return factor
 			})
-		}}, {at + between(r, 30, 90), func(w *simulator.World) { w.Cloud.Boots(nil) }}}
+		}}, {at + randomDuration(r, 30, 90), func(w *simulator.World) { w.Cloud.SetBootFactor(nil) }}}
 	}},
-	{name: "silent for a minute", acts: func(r *rand.Rand, at time.Duration) []act {
+	{name: "silent for a minute", actions: func(r *rand.Rand, at time.Duration) []action {
 		many, silent := r.IntN(4), map[int]bool{} // of the nodes; all three, mostly
-		return []act{{at, func(w *simulator.World) {
+		return []action{{at, func(w *simulator.World) {
 			silent[max(w.Leader(), 0)] = true
 			for i := range min(many, 3) {
 				silent[i] = true
@@ -42,40 +42,40 @@
 			for i := range silent {
 				w.Freeze(i, true)
 			}
-		}}, {at + between(r, 60, 90), func(w *simulator.World) {
+		}}, {at + randomDuration(r, 60, 90), func(w *simulator.World) {
 			for i := range silent {
 				w.Freeze(i, false)
 			}
 		}}}
 	}},
-	{name: "stands still for seconds", acts: func(r *rand.Rand, at time.Duration) []act {
-		c := &cuts{}
-		return []act{{at, c.freeze}, {at + between(r, 2, 12), c.thaw}}
+	{name: "stands still for seconds", actions: func(r *rand.Rand, at time.Duration) []action {
+		c := &activeFaults{}
+		return []action{{at, c.freezeLeader}, {at + randomDuration(r, 2, 12), c.unfreezeNode}}
 	}},
-	{name: "ends, and is back at once", acts: func(r *rand.Rand, at time.Duration) []act {
-		var out []act
+	{name: "ends, and is back at once", actions: func(r *rand.Rand, at time.Duration) []action {
+		var out []action
 		for range 1 + r.IntN(6) {
 			ended := 0
-			out = append(out, act{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
-				act{at + time.Duration(1+r.IntN(300))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }})
+			out = append(out, action{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
+				action{at + time.Duration(1+r.IntN(300))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }})
 			at += time.Duration(301+r.IntN(4000)) * time.Millisecond
 		}
 		return out
 	}},
-	{name: "machines fail every task", acts: func(r *rand.Rand, at time.Duration) []act {
-		return []act{{at, func(w *simulator.World) {
+	{name: "machines fail every task", actions: func(r *rand.Rand, at time.Duration) []action {
+		return []action{{at, func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				if i%4 == 0 {
-					k.SetSick()
+					k.SetFailsTasks()
 				}
 			}
 		}}}
 	}},
-	{name: "jobs with a mistake", jobs: func(r *rand.Rand, u *users, at time.Duration) {
+	{name: "jobs with a mistake", workload: func(r *rand.Rand, u *users, at time.Duration) {
 		for i := range 3 {
 			job := array(800+i, 1+r.IntN(30), 10)
 			job.Broken = true
-			after := between(r, 20, 60)
+			after := randomDuration(r, 20, 60)
 			u.after(at, func() {
 				if u.w.Submit(job) {
 					time.Sleep(after)
@@ -84,7 +84,7 @@
 			})
 		}
 	}},
-	{name: "users ask and ask", jobs: func(r *rand.Rand, u *users, at time.Duration) {
+	{name: "users ask and ask", workload: func(r *rand.Rand, u *users, at time.Duration) {
 		for i := range 40 {
 			id := []string{"job-000500", "job-000600", "job-999999"}[i%3]
 			u.after(at, func() {
@@ -95,11 +95,11 @@
 			})
 		}
 	}},
-	{name: "guests", jobs: func(r *rand.Rand, u *users, at time.Duration) {
+	{name: "guests", workload: func(r *rand.Rand, u *users, at time.Duration) {
 		guest := func(id, tasks int, run float64) {
 			job := array(id, tasks, run)
 			job.Team, job.Class, job.Urgency, job.CPUs, job.DueS = "guest", "visit", "idle", 0.25, nil
-			u.after(at, func() { u.run(job) })
+			u.after(at, func() { u.runToDone(job) })
 			at += 50 * time.Millisecond
 		}
 		switch r.IntN(3) {
@@ -122,20 +122,20 @@
 // too. The long form, outside CI:
 //
 //	go test ./internal/simulator -run TestDrawnNights -nights 500
-func TestDrawnNights(t *testing.T) {
-	for seed := range *drawnNights {
+func TestRandomFaultScenarios(t *testing.T) {
+	for seed := range *randomFaultRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 31))
-		d := day{seed: uint64(4000 + seed)}
+		d := scenario{seed: uint64(4000 + seed)}
 		var names []string
 		var jobs []func(u *users)
-		for _, k := range r.Perm(len(nightKinds))[:2+r.IntN(3)] {
-			kind, at := nightKinds[k], between(r, 25, 75)
+		for _, k := range r.Perm(len(operationalFaults))[:2+r.IntN(3)] {
+			kind, at := operationalFaults[k], randomDuration(r, 25, 75)
 			names = append(names, kind.name)
-			if kind.acts != nil {
-				d.acts = append(d.acts, kind.acts(r, at)...)
+			if kind.actions != nil {
+				d.actions = append(d.actions, kind.actions(r, at)...)
 			}
-			if kind.jobs != nil {
-				jobs = append(jobs, func(u *users) { kind.jobs(r, u, at) })
+			if kind.workload != nil {
+				jobs = append(jobs, func(u *users) { kind.workload(r, u, at) })
 			}
 		}
 		slices.Sort(names)
@@ -145,8 +145,8 @@
 			p.Params.Teams = p.Params.Teams[:1] // blue
 			addTeam(&p, "green", 100, 200, 0, 0)
 			addTeam(&p, "guest", 0, 0, 0, 0)
-			play(t, d, p, machineTypes[:1], func(t *testing.T, u *users) {
-				wideJobs(t, u)
+			runScenario(t, d, p, machineTypes[:1], func(t *testing.T, u *users) {
+				threeZoneWorkload(t, u)
 				for _, f := range jobs {
 					f(u)
 				}
--- a/internal/simulator/nomad.go
+++ b/internal/simulator/nomad.go
@@ -14,7 +14,7 @@
 const AgentToken = "token of the machines"
 
 // NomadAddr is where a node serves Nomad's clients.
-func (w *World) NomadAddr(i int) string { return w.Nodes[i].nomad }
+func (w *World) NomadAddr(i int) string { return w.Nodes[i].nomadAddr }
 
 // description is what a machine reads of a job that came in as a job file. Its
 // names stand here again, as those of the protocol do.
@@ -38,7 +38,7 @@
 
 // spec is the description as if a user had uploaded it. A task runs as long as
 // its owner thinks.
-func (d *description) spec() *Spec {
+func (d *description) toSpec() *Spec {
 	for _, g := range d.Job.TaskGroups {
 		if g.Name != d.Group {
 			continue
@@ -67,11 +67,11 @@
 }
 
 // describe reads a task's description of the controllers and lets it go on.
-func (k *Worker) describe(t *lot, job string) {
-	spec := k.site.FileJob(job)
+func (k *Worker) fetchDescription(t *workerTask, job string) {
+	spec := k.env.JobFromFile(job)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if t.State != "fetching" || k.dead || k.find(t.Task, t.Attempt) != t {
+	if t.State != "fetching" || k.dead || k.findTask(t.Task, t.Attempt) != t {
 		return
 	}
 	var cpus, mem float64
@@ -82,23 +82,23 @@
 	}
 	switch {
 	case spec == nil:
-		k.exit(t, "no_such", false)
+		k.exitTask(t, "no_such", false)
 		return
-	case cpus+spec.CPUs > k.typ.CPUs || mem+spec.MemGB > k.typ.MemGB:
-		k.exit(t, "no_room", false)
+	case cpus+spec.CPUs > k.machineType.CPUs || mem+spec.MemGB > k.machineType.MemGB:
+		k.exitTask(t, "no_room", false)
 		return
 	}
 	t.spec = spec
 	fetch := time.Duration(0)
 	if !k.images[spec.Image] {
-		fetch = time.Duration(spec.ImageGB / k.typ.FetchGBps * float64(time.Second))
+		fetch = time.Duration(spec.ImageGB / k.machineType.FetchGBps * float64(time.Second))
 	}
-	t.timer = time.AfterFunc(fetch, func() { k.fetched(t) })
+	t.timer = time.AfterFunc(fetch, func() { k.imageFetched(t) })
 }
 
 // readFile asks the controllers one after the other for a job's description, for a
 // while.
-func (w *World) readFile(job string) *Spec {
+func (w *World) fetchFileJob(job string) *Spec {
 	for try := range 12 {
 		if s := w.spec(job); s != nil {
 			return s
@@ -113,12 +113,12 @@
 			var d description
 			err = json.NewDecoder(resp.Body).Decode(&d)
 			_ = resp.Body.Close()
-			if s := d.spec(); resp.StatusCode == http.StatusOK && err == nil && s != nil {
+			if s := d.toSpec(); resp.StatusCode == http.StatusOK && err == nil && s != nil {
 				w.mu.Lock()
 				if w.specs[job] == nil {
 					w.specs[job] = s
 					at := d.Job.Namespace + "/" + d.Job.ID
-					w.files[at] = append(w.files[at], job)
+					w.nativeJobs[at] = append(w.nativeJobs[at], job)
 				}
 				w.mu.Unlock()
 				return s
@@ -130,29 +130,29 @@
 }
 
 // Natives lists the native jobs of a job file that a machine has begun.
-func (w *World) Natives(team, name string) []string {
+func (w *World) NativeJobs(team, name string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.files[team+"/"+name]...)
+	return append([]string(nil), w.nativeJobs[team+"/"+name]...)
 }
 
 // Ended notes that a user was told that native jobs are cancelled.
-func (w *World) Ended(ids []string) {
-	w.check.mu.Lock()
-	defer w.check.mu.Unlock()
+func (w *World) NoteCancelled(ids []string) {
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
 	for _, id := range ids {
-		if w.check.cancel[id].IsZero() {
-			w.check.cancel[id] = time.Now()
+		if w.checker.cancelledAt[id].IsZero() {
+			w.checker.cancelledAt[id] = time.Now()
 		}
 	}
 }
 
 // On counts the tasks of a native job that are on machines.
-func (w *World) On(id string) int {
-	w.check.mu.Lock()
-	defer w.check.mu.Unlock()
+func (w *World) RunningTasks(id string) int {
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
 	n := 0
-	for task := range w.check.on {
+	for task := range w.checker.placements {
 		if strings.HasPrefix(task, id+"/") {
 			n++
 		}
@@ -163,8 +163,8 @@
 // NomadHandler is what a node serves Nomad's clients with, for a listener of
 // the caller's own.
 func (w *World) NomadHandler(i int) http.Handler {
-	return nomadapi.Handler(w.Nodes[i].nd, w.Settings.Nomad, w.Log)
+	return nomadapi.Handler(w.Nodes[i].node, w.Settings.Nomad, w.Log)
 }
 
 // Waiting counts the blocking queries that wait at a node.
-func (w *World) Waiting(i int) int { return w.Nodes[i].nd.BlockingQueries(w.ctx) }
+func (w *World) BlockingQueries(i int) int { return w.Nodes[i].node.BlockingQueries(w.ctx) }
--- a/internal/simulator/nomad_bench_test.go
+++ b/internal/simulator/nomad_bench_test.go
@@ -29,8 +29,8 @@
 	n.TokenHashKey, n.MaxWatchers, n.MaxConns, n.RequestsPerS = key, 10_000, 10_000, 1_000_000
 	n.Tokens = map[string][]config.Hash{"blue": {nomadapi.HashToken(key, "token of blue")}}
 	w.Settings.Nomad = &n
-	startAll(w)
-	b.Cleanup(func() { killAll(w) })
+	startAllNodes(w)
+	b.Cleanup(func() { killAllNodes(w) })
 	for w.Leader() < 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -144,9 +144,9 @@
 					}
 					fmt.Fprintf(conns[k], "GET /v1/jobs?index=%d&wait=5m HTTP/1.1\r\nHost: x\r\nX-Nomad-Token: token of blue\r\n\r\n", index)
 				}
-				for end := time.Now().Add(10 * time.Second); w.Waiting(1) < n; {
+				for end := time.Now().Add(10 * time.Second); w.BlockingQueries(1) < n; {
 					if time.Now().After(end) {
-						b.Fatalf("%d of %d wait", w.Waiting(1), n)
+						b.Fatalf("%d of %d wait", w.BlockingQueries(1), n)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
--- a/internal/simulator/nomad_test.go
+++ b/internal/simulator/nomad_test.go
@@ -46,11 +46,11 @@
 		n.AgentTokens = []config.Hash{nomadapi.HashToken(key, simulator.AgentToken)}
 		w.Settings.Nomad = &n
 		w.Settings.PriorityCaps = map[string]core.Priority{"guests": core.Normal}
-		startAll(w)
+		startAllNodes(w)
 		time.Sleep(15 * time.Second) // a leader, and the catalog
 		day(t, &nomadSite{t, w})
 		time.Sleep(60 * time.Second)
-		for _, b := range w.Broken() {
+		for _, b := range w.Violations() {
 			t.Error(b)
 		}
 	})
@@ -299,7 +299,7 @@
 		}
 		native := array(900, 1, 5)
 		native.Team, native.Urgency = "guests", "production"
-		if status := s.Post(0, &native); status != http.StatusUnprocessableEntity {
+		if status := s.PostJob(0, &native); status != http.StatusUnprocessableEntity {
 			t.Errorf("natively: %d", status)
 		}
 		high = 74
@@ -338,7 +338,7 @@
 			}
 			s.StartNode(at)
 			s.await(s.client("blue", (at+2)%3), name, "dead")
-			if n := s.Natives("blue", name); len(n) != 1 {
+			if n := s.NativeJobs("blue", name); len(n) != 1 {
 				t.Errorf("%s became %d native jobs", name, len(n))
 			}
 		}
@@ -353,7 +353,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.StateFaults.Set(func(f *simulator.Faults) { f.Delay = 300 * time.Millisecond })
+		s.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 300 * time.Millisecond })
 		for _, enforce := range []bool{true, false} {
 			var wg sync.WaitGroup
 			errs := make([]error, 2)
@@ -395,7 +395,7 @@
 		if _, _, err := s.client("blue", 0).Jobs().Deregister("twice", false, nil); err != nil {
 			t.Error(err)
 		}
-		s.Ended(s.Natives("blue", "twice"))
+		s.NoteCancelled(s.NativeJobs("blue", "twice"))
 		s.await(s.client("blue", 1), "twice", "dead")
 	})
 }
@@ -418,20 +418,20 @@
 			}
 		}
 		for version := range 3 {
-			old := s.Natives("guests", "all")
+			old := s.NativeJobs("guests", "all")
 			if _, _, err := c.Jobs().Register(s.simple("all", 8, 400+float64(version)), nil); err != nil {
 				t.Fatal(err)
 			}
-			s.Ended(old)
+			s.NoteCancelled(old)
 			running(8)
-			if n := len(s.Natives("guests", "all")); n != version+1 {
+			if n := len(s.NativeJobs("guests", "all")); n != version+1 {
 				t.Errorf("%d native jobs at version %d", n, version)
 			}
 		}
 		if _, _, err := c.Jobs().Deregister("all", true, nil); err != nil {
 			t.Error(err)
 		}
-		s.Ended(s.Natives("guests", "all"))
+		s.NoteCancelled(s.NativeJobs("guests", "all"))
 	})
 }
 
@@ -453,15 +453,15 @@
 				if _, _, err := c.Jobs().Deregister(name, false, nil); err != nil {
 					t.Errorf("%s: %v", name, err)
 				}
-				s.Ended(s.Natives("blue", name))
+				s.NoteCancelled(s.NativeJobs("blue", name))
 				s.await(c, name, "dead")
 			})
 		}
 		wg.Wait()
 		time.Sleep(45 * time.Second)
 		for i := range 12 {
-			for _, id := range s.Natives("blue", fmt.Sprintf("race-%02d", i)) {
-				if n := s.On(id); n > 0 {
+			for _, id := range s.NativeJobs("blue", fmt.Sprintf("race-%02d", i)) {
+				if n := s.RunningTasks(id); n > 0 {
 					t.Errorf("%d tasks of %s run on", n, id)
 				}
 			}
@@ -521,14 +521,14 @@
 		// the purge among it.
 		waiting = ask(other, second.JobModifyIndex)
 		time.Sleep(time.Second)
-		s.Net.Cut(s.NodeAddr(other), s.StateAddr(), true)
+		s.Net.BlockLink(s.NodeAddr(other), s.StateAddr(), true)
 		if _, _, err := s.client("blue", leader).Jobs().Deregister("second", true, nil); err != nil {
 			t.Error(err)
 		}
-		s.Ended(s.Natives("blue", "second"))
-		s.State.Forget()
+		s.NoteCancelled(s.NativeJobs("blue", "second"))
+		s.State.CompactLog()
 		time.Sleep(2 * time.Second)
-		s.Net.Cut(s.NodeAddr(other), s.StateAddr(), false)
+		s.Net.BlockLink(s.NodeAddr(other), s.StateAddr(), false)
 		if a := <-waiting; a.err != nil || a.jobs != 1 || a.index <= second.JobModifyIndex || a.after > 30*time.Second {
 			t.Errorf("after the gap: %+v", a)
 		}
@@ -550,13 +550,13 @@
 			gone <- err
 		}()
 		time.Sleep(time.Second)
-		if n := s.Waiting(leader); n != 1 {
+		if n := s.BlockingQueries(leader); n != 1 {
 			t.Errorf("%d wait", n)
 		}
 		cancel()
 		<-gone
 		time.Sleep(time.Second)
-		if n := s.Waiting(leader); n != 0 {
+		if n := s.BlockingQueries(leader); n != 0 {
 			t.Errorf("%d wait for a client that has gone", n)
 		}
 		// Time that is over: the same index, and no error.
@@ -568,7 +568,7 @@
 		if _, _, err := s.client("blue", leader).Jobs().Deregister("watched", false, nil); err != nil {
 			t.Error(err)
 		}
-		s.Ended(s.Natives("blue", "watched"))
+		s.NoteCancelled(s.NativeJobs("blue", "watched"))
 	})
 }
 
@@ -601,8 +601,8 @@
 		// A change between two queries of a client is not missed: no index tells it.
 		time.Sleep(10 * time.Second)
 		for _, k := range s.Cloud.Workers() {
-			if len(k.Running()) > 0 {
-				k.SetNotice(1)
+			if len(k.RunningTasks()) > 0 {
+				k.SetSpotNotice(1)
 			}
 		}
 		time.Sleep(3 * time.Second)
@@ -634,7 +634,7 @@
 		if _, _, err := s.client("blue", 0).Jobs().Deregister("starts", false, nil); err != nil {
 			t.Error(err)
 		}
-		s.Ended(s.Natives("blue", "starts"))
+		s.NoteCancelled(s.NativeJobs("blue", "starts"))
 		if e, ok := <-told; !ok || e.Events[0].Type != "JobDeregistered" {
 			t.Errorf("told %+v", e)
 		}
@@ -645,7 +645,7 @@
 // not come back by them.
 func TestNomadOverlappingReads(t *testing.T) {
 	playNomad(t, 62, func(t *testing.T, s *nomadSite) {
-		s.StateFaults.Set(func(f *simulator.Faults) { f.Delay = 400 * time.Millisecond })
+		s.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 400 * time.Millisecond })
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for range 3 {
@@ -665,7 +665,7 @@
 			if _, _, err := c.Deregister("again", true, nil); err != nil {
 				t.Error(err)
 			}
-			s.Ended(s.Natives("blue", "again"))
+			s.NoteCancelled(s.NativeJobs("blue", "again"))
 			if _, _, err := c.Register(s.simple("again", 4, 900), nil); err != nil {
 				t.Error(err)
 			}
@@ -678,7 +678,7 @@
 			if _, _, err := c.Deregister("again", true, nil); err != nil {
 				t.Error(err)
 			}
-			s.Ended(s.Natives("blue", "again"))
+			s.NoteCancelled(s.NativeJobs("blue", "again"))
 		}
 		cancel()
 		wg.Wait()
@@ -751,7 +751,7 @@
 			if _, _, err := c.Deregister(name, false, nil); err != nil {
 				t.Error(err)
 			}
-			s.Ended(s.Natives("blue", name))
+			s.NoteCancelled(s.NativeJobs("blue", name))
 		}
 		for _, k := range []struct {
 			method, path string
@@ -774,14 +774,14 @@
 func TestNomadStateDown(t *testing.T) {
 	playNomad(t, 58, func(t *testing.T, s *nomadSite) {
 		job := s.simple("later", 1, 5)
-		s.StateFaults.Set(func(f *simulator.Faults) { f.Down = true })
+		s.StateFaults.Update(func(f *simulator.Faults) { f.Down = true })
 		begun := time.Now()
 		status, body, h := s.raw("PUT", "blue", 0, "/v1/jobs", map[string]any{"Job": job})
 		if d := time.Since(begun); status != http.StatusServiceUnavailable || h.Get("Retry-After") != "1" || d > time.Second {
 			t.Errorf("%d %q after %v", status, body, d)
 		}
-		s.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-		s.State.Renewed()
+		s.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+		s.State.RenewLeases()
 		time.Sleep(5 * time.Second)
 		if l, _, err := s.client("blue", 1).Jobs().List(nil); err != nil || len(l) != 0 {
 			t.Errorf("half done: %+v %v", l, err)
@@ -846,34 +846,34 @@
 	for i, day := range []struct {
 		name  string
 		setup func(w *simulator.World)
-		acts  []act
+		acts  []action
 	}{
 		{"answers lost", func(w *simulator.World) {
-			w.StateFaults.LoseAnswer, w.StateFaults.LoseRequest = 0.05, 0.05
-			w.WorkerFaults.LoseAnswer, w.WorkerFaults.LoseRequest = 0.1, 0.1
+			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest = 0.05, 0.05
+			w.WorkerFaults.LoseResponse, w.WorkerFaults.LoseRequest = 0.1, 0.1
 		}, nil},
 		{"late transactions", func(w *simulator.World) {
-			w.StateFaults.Late, w.StateFaults.LateBy, w.StateFaults.Delay = 0.04, 9*sec, 300*time.Millisecond
+			w.StateFaults.ExecuteLate, w.StateFaults.LateDelay, w.StateFaults.MaxDelay = 0.04, 9*sec, 300*time.Millisecond
 		}, nil},
-		{"controllers end", nil, []act{
-			{10 * sec, kill(0)}, {14 * sec, start(0)}, {25 * sec, kill(1)}, {26 * sec, kill(2)}, {33 * sec, start(1)}, {35 * sec, start(2)},
-			{50 * sec, killAll}, {54 * sec, startAll},
+		{"controllers end", nil, []action{
+			{10 * sec, killNode(0)}, {14 * sec, startNode(0)}, {25 * sec, killNode(1)}, {26 * sec, killNode(2)}, {33 * sec, startNode(1)}, {35 * sec, startNode(2)},
+			{50 * sec, killAllNodes}, {54 * sec, startAllNodes},
 		}},
-		{"outages, and a watch that has to read again", nil, []act{
-			{12 * sec, func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.Down = true }) }},
+		{"outages, and a watch that has to read again", nil, []action{
+			{12 * sec, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
 			{20 * sec, func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-				w.State.Renewed()
+				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+				w.State.RenewLeases()
 			}},
-			{30 * sec, func(w *simulator.World) { w.Net.Cut(w.NodeAddr(1), w.StateAddr(), true) }},
-			{38 * sec, func(w *simulator.World) { w.State.Forget(); w.Net.Cut(w.NodeAddr(1), w.StateAddr(), false) }},
-			{45 * sec, func(w *simulator.World) { w.State.Forget() }},
+			{30 * sec, func(w *simulator.World) { w.Net.BlockLink(w.NodeAddr(1), w.StateAddr(), true) }},
+			{38 * sec, func(w *simulator.World) { w.State.CompactLog(); w.Net.BlockLink(w.NodeAddr(1), w.StateAddr(), false) }},
+			{45 * sec, func(w *simulator.World) { w.State.CompactLog() }},
 		}},
 	} {
 		t.Run(day.name, func(t *testing.T) {
 			playNomad(t, 70+uint64(i), func(t *testing.T, s *nomadSite) {
 				if day.setup != nil {
-					s.StateFaults.Set(func(*simulator.Faults) { day.setup(s.World) })
+					s.StateFaults.Update(func(*simulator.Faults) { day.setup(s.World) })
 				}
 				var wg sync.WaitGroup
 				for _, a := range day.acts {
@@ -894,7 +894,7 @@
 						}
 						if k%3 == 2 {
 							s.persist("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Deregister(name, false, nil); return err })
-							s.Ended(s.Natives("blue", name))
+							s.NoteCancelled(s.NativeJobs("blue", name))
 						}
 						s.await(s.client("blue", k%3), name, "dead")
 						if k%3 == 2 {
@@ -908,7 +908,7 @@
 							}
 							return err
 						})
-						if n := len(s.Natives("blue", name)); n > len(jobs) {
+						if n := len(s.NativeJobs("blue", name)); n > len(jobs) {
 							t.Errorf("%s ran as %d native jobs, of %d contents", name, n, len(jobs))
 						}
 					})
--- a/internal/simulator/notify_test.go
+++ b/internal/simulator/notify_test.go
@@ -25,24 +25,24 @@
 	for i, day := range []struct {
 		name  string
 		setup func(w *simulator.World)
-		acts  []act
+		acts  []action
 	}{
 		{"receivers fail", nil, nil},
-		{"controllers end in mid-delivery", nil, []act{
-			{20 * s, kill(0)}, {24 * s, start(0)}, {31 * s, kill(1)}, {32 * s, kill(2)}, {37 * s, start(1)}, {39 * s, start(2)},
-			{50 * s, killAll}, {54 * s, startAll}, {63 * s, killAll}, {66 * s, startAll}, {75 * s, killAll}, {77 * s, startAll},
+		{"controllers end in mid-delivery", nil, []action{
+			{20 * s, killNode(0)}, {24 * s, startNode(0)}, {31 * s, killNode(1)}, {32 * s, killNode(2)}, {37 * s, startNode(1)}, {39 * s, startNode(2)},
+			{50 * s, killAllNodes}, {54 * s, startAllNodes}, {63 * s, killAllNodes}, {66 * s, startAllNodes}, {75 * s, killAllNodes}, {77 * s, startAllNodes},
 		}},
 		{"the state service is down, and loses answers", func(w *simulator.World) {
-			w.StateFaults.LoseAnswer, w.StateFaults.LoseRequest, w.StateFaults.Late, w.StateFaults.LateBy = 0.05, 0.05, 0.03, 9*s
-		}, []act{
-			{30 * s, func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.Down = true }) }},
+			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest, w.StateFaults.ExecuteLate, w.StateFaults.LateDelay = 0.05, 0.05, 0.03, 9*s
+		}, []action{
+			{30 * s, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
 			{45 * s, func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-				w.State.Renewed()
+				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+				w.State.RenewLeases()
 			}},
-			{60 * s, func(w *simulator.World) { w.State.Forget() }},
+			{60 * s, func(w *simulator.World) { w.State.CompactLog() }},
 		}},
-		{"a frozen leader wakes and sends", nil, []act{
+		{"a frozen leader wakes and sends", nil, []action{
 			{25 * s, func(w *simulator.World) { w.Freeze(max(w.Leader(), 0), true) }}, {50 * s, func(w *simulator.World) {
 				for i := range 3 {
 					w.Freeze(i, false)
@@ -55,8 +55,8 @@
 				w := simulator.NewWorld(80+uint64(i), platform(), machineTypes)
 				defer w.Close()
 				all := []notify.Kind{notify.Accepted, notify.Done, notify.Cancelled}
-				hooks := map[string]*simulator.Hook{"desk": simulator.NewHook(uint64(i)), "billing": simulator.NewHook(uint64(i) + 50)}
-				hooks["desk"].LoseReply, hooks["desk"].Refuse, hooks["desk"].Slow = 0.15, 0.1, 0.1
+				hooks := map[string]*simulator.Receiver{"desk": simulator.NewReceiver(uint64(i)), "billing": simulator.NewReceiver(uint64(i) + 50)}
+				hooks["desk"].LoseResponse, hooks["desk"].Refuse, hooks["desk"].Slow = 0.15, 0.1, 0.1
 				hooks["billing"].Refuse = 0.3
 				w.Settings.Notify = &config.Notify{Subscriptions: []notify.Subscription{
 					{Name: "all", Receiver: "desk", Kinds: all, Deadline: 3600 * core.Second},
@@ -66,13 +66,13 @@
 					at := fmt.Sprintf("10.3.0.%d:80", n+1)
 					w.Net.Serve(at, hooks[name])
 					w.Settings.Notify.Receivers = append(w.Settings.Notify.Receivers, config.NotifyReceiver{
-						Limits: notify.Receiver{Name: name, InFlight: 4}, Delivery: deliver.Receiver{Name: name, URL: "http://" + at + "/hook"}, KeepsKeys: true,
+						Limits: notify.Receiver{Name: name, MaxInFlight: 4}, Delivery: deliver.Receiver{Name: name, URL: "http://" + at + "/hook"}, KeepsKeys: true,
 					})
 				}
 				if day.setup != nil {
-					w.StateFaults.Set(func(*simulator.Faults) { day.setup(w) })
+					w.StateFaults.Update(func(*simulator.Faults) { day.setup(w) })
 				}
-				startAll(w)
+				startAllNodes(w)
 				time.Sleep(15 * s) // the subscriptions begin
 				var wg sync.WaitGroup
 				for _, a := range day.acts {
@@ -97,7 +97,7 @@
 						if k%5 == 4 {
 							time.Sleep(2 * s)
 							state = w.Cancel(job.ID)
-						} else if !w.Await(job.ID, "done", 4*time.Minute) {
+						} else if !w.AwaitState(job.ID, "done", 4*time.Minute) {
 							t.Errorf("%s is not done", job.ID)
 						}
 						mu.Lock()
@@ -113,11 +113,11 @@
 						if kind == "accepted" || kind == last {
 							want = 1
 						}
-						if n, _ := hooks["desk"].Effects(kind, id); n != want {
+						if n, _ := hooks["desk"].EffectCounts(kind, id); n != want {
 							t.Errorf("%s %s: %d effects at the desk, want %d", id, kind, n, want)
 						}
 					}
-					if order, _ := hooks["desk"].Order(id); len(order) == 2 && !strings.HasSuffix(order[0], "accepted") {
+					if order, _ := hooks["desk"].EventOrder(id); len(order) == 2 && !strings.HasSuffix(order[0], "accepted") {
 						t.Errorf("%s: in the order %v", id, order)
 					}
 					blue := int(id[len(id)-1]-'0')%2 == 0
@@ -125,14 +125,14 @@
 					if blue && last == "done" {
 						want = 1
 					}
-					if n, _ := hooks["billing"].Effects("done", id); n != want {
+					if n, _ := hooks["billing"].EffectCounts("done", id); n != want {
 						t.Errorf("%s: %d effects at billing, want %d", id, n, want)
 					}
 				}
-				if _, n := hooks["desk"].Effects("", ""); n != 80 {
+				if _, n := hooks["desk"].EffectCounts("", ""); n != 80 {
 					t.Errorf("%d events had effects, of 80", n)
 				}
-				for _, b := range w.Broken() {
+				for _, b := range w.Violations() {
 					t.Error(b)
 				}
 			})
@@ -142,15 +142,15 @@
 
 // refusing is a world with one subscription, to acceptances, whose receiver
 // refuses all until it is told to accept.
-func refusing(seed uint64, deadline core.Micros) (*simulator.World, *simulator.Hook) {
+func refusing(seed uint64, deadline core.Micros) (*simulator.World, *simulator.Receiver) {
 	w := simulator.NewWorld(seed, platform(), machineTypes)
-	hook := simulator.NewHook(1)
+	hook := simulator.NewReceiver(1)
 	hook.Refuse = 1
 	w.Net.Serve("10.3.0.1:80", hook)
 	w.Settings.Notify = &config.Notify{
 		Subscriptions: []notify.Subscription{{Name: "all", Receiver: "desk", Kinds: []notify.Kind{notify.Accepted}, Deadline: deadline}},
 		Receivers: []config.NotifyReceiver{{
-			Limits: notify.Receiver{Name: "desk", InFlight: 4}, Delivery: deliver.Receiver{Name: "desk", URL: "http://10.3.0.1:80/"}, KeepsKeys: true,
+			Limits: notify.Receiver{Name: "desk", MaxInFlight: 4}, Delivery: deliver.Receiver{Name: "desk", URL: "http://10.3.0.1:80/"}, KeepsKeys: true,
 		}},
 	}
 	return w, hook
@@ -162,26 +162,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, hook := refusing(90, 3600*core.Second)
 		defer w.Close()
-		startAll(w)
+		startAllNodes(w)
 		time.Sleep(15 * time.Second)
 		first, second := array(801, 1, 5), array(802, 1, 5)
 		w.Submit(first)
 		time.Sleep(100 * time.Millisecond)
-		killAll(w)
-		startAll(w)
+		killAllNodes(w)
+		startAllNodes(w)
 		time.Sleep(20 * time.Second)
-		hook.Accept()
+		hook.StopFaults()
 		leader := w.Leader()
-		w.Net.Cut(w.NodeAddr(leader), w.StateAddr(), true)
-		if status := w.Post((leader+1)%3, &second); status != 201 {
+		w.Net.BlockLink(w.NodeAddr(leader), w.StateAddr(), true)
+		if status := w.PostJob((leader+1)%3, &second); status != 201 {
 			t.Errorf("answered %d", status)
 		}
-		w.State.Forget()
+		w.State.CompactLog()
 		time.Sleep(500 * time.Millisecond)
-		w.Net.Cut(w.NodeAddr(leader), w.StateAddr(), false)
+		w.Net.BlockLink(w.NodeAddr(leader), w.StateAddr(), false)
 		time.Sleep(3 * time.Minute)
 		for _, job := range []string{first.ID, second.ID} {
-			if n, _ := hook.Effects("accepted", job); n != 1 {
+			if n, _ := hook.EffectCounts("accepted", job); n != 1 {
 				t.Errorf("%s: %d effects", job, n)
 			}
 		}
@@ -205,7 +205,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := simulator.NewWorld(95, platform(), machineTypes)
 			defer w.Close()
-			hook := simulator.NewHook(1)
+			hook := simulator.NewReceiver(1)
 			w.Net.Serve("10.3.0.1:80", hook)
 			w.Settings.Notify = &config.Notify{}
 			for i := range subs {
@@ -217,12 +217,12 @@
 					Name: name, Receiver: name, Kinds: []notify.Kind{notify.Accepted, notify.Done}, Deadline: 86400 * core.Second,
 				})
 				w.Settings.Notify.Receivers = append(w.Settings.Notify.Receivers, config.NotifyReceiver{
-					Limits: notify.Receiver{Name: name, InFlight: 4}, Delivery: deliver.Receiver{Name: name, URL: url}, KeepsKeys: true,
+					Limits: notify.Receiver{Name: name, MaxInFlight: 4}, Delivery: deliver.Receiver{Name: name, URL: url}, KeepsKeys: true,
 				})
 			}
-			startAll(w)
+			startAllNodes(w)
 			time.Sleep(20 * time.Second)
-			requests, changes := w.State.Cost()
+			requests, changes := w.State.RequestCounts()
 			var wg sync.WaitGroup
 			var mu sync.Mutex
 			for k := range jobs {
@@ -230,7 +230,7 @@
 				wg.Go(func() {
 					time.Sleep(time.Duration(k) * 1500 * time.Millisecond) // 40 a minute
 					begun := time.Now()
-					if !w.Submit(job) || !w.Await(job.ID, "done", 4*time.Minute) {
+					if !w.Submit(job) || !w.AwaitState(job.ID, "done", 4*time.Minute) {
 						t.Errorf("%s is not done", job.ID)
 					}
 					mu.Lock()
@@ -239,9 +239,9 @@
 				})
 			}
 			wg.Wait()
-			r, ch := w.State.Cost()
-			c.requests, c.changes, c.late = r-requests, ch-changes, hook.Late()
-			for _, b := range w.Broken() {
+			r, ch := w.State.RequestCounts()
+			c.requests, c.changes, c.late = r-requests, ch-changes, hook.Latencies()
+			for _, b := range w.Violations() {
 				t.Error(b)
 			}
 		})
@@ -275,59 +275,59 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, hook := refusing(91, 20*core.Second)
 		defer w.Close()
-		startAll(w)
+		startAllNodes(w)
 		time.Sleep(15 * time.Second)
 		for k := range 3 {
 			w.Submit(array(820+k, 1, 5))
 		}
 		time.Sleep(2 * time.Minute)
-		ask := func(i int, a control.Ask) *control.Answer {
+		ask := func(i int, a control.Request) *control.Response {
 			t.Helper()
-			out, err := w.Operator(i, &a)
+			out, err := w.SendOperatorRequest(i, &a)
 			if err != nil {
 				t.Errorf("node %d, %+v: %v", i, a, err)
-				return &control.Answer{}
+				return &control.Response{}
 			}
 			return out
 		}
 		for i := range 3 {
-			if out := ask(i, control.Ask{Op: control.List}); len(out.Subs) != 1 || out.Subs[0].Aside != 3 || out.Subs[0].Waiting != 0 {
+			if out := ask(i, control.Request{Op: control.List}); len(out.Subscriptions) != 1 || out.Subscriptions[0].DeadLetters != 3 || out.Subscriptions[0].Waiting != 0 {
 				t.Errorf("node %d: %+v", i, out)
 			}
 		}
 		killed := w.Leader()
 		w.Kill(killed)
 		time.Sleep(20 * time.Second)
-		if len(ask(w.Leader(), control.Ask{Op: control.Show, Sub: "all"}).Dead) != 3 {
+		if len(ask(w.Leader(), control.Request{Op: control.Show, Subscription: "all"}).DeadLetters) != 3 {
 			t.Error("the new leader does not know what was put aside")
 		}
 		w.StartNode(killed)
 		time.Sleep(10 * time.Second)
-		hook.Accept()
+		hook.StopFaults()
 		leader := w.Leader()
 		for k, c := range []struct {
-			ask  control.Ask
+			ask  control.Request
 			done bool
 			err  string
 		}{
-			{control.Ask{Op: control.Retry, Sub: "all", Job: "job-000820", Kind: "accepted"}, true, ""},
-			{control.Ask{Op: control.Drop, Sub: "all", Job: "job-000821", Kind: "accepted"}, true, ""},
-			{control.Ask{Op: control.Drop, Sub: "all", Job: "job-000821", Kind: "accepted"}, false, ""},
-			{control.Ask{Op: control.Retry, Sub: "all", Job: "job-000822", Kind: "done"}, false, ""},
-			{control.Ask{Op: control.Retry, Sub: "all", Job: "job-000822"}, false, "name a subscription"},
-			{control.Ask{Op: control.Show, Sub: "none"}, false, "there is no subscription"},
-			{control.Ask{Op: "burn"}, false, "there is no operation"},
+			{control.Request{Op: control.Retry, Subscription: "all", Job: "job-000820", Kind: "accepted"}, true, ""},
+			{control.Request{Op: control.Drop, Subscription: "all", Job: "job-000821", Kind: "accepted"}, true, ""},
+			{control.Request{Op: control.Drop, Subscription: "all", Job: "job-000821", Kind: "accepted"}, false, ""},
+			{control.Request{Op: control.Retry, Subscription: "all", Job: "job-000822", Kind: "done"}, false, ""},
+			{control.Request{Op: control.Retry, Subscription: "all", Job: "job-000822"}, false, "name a subscription"},
+			{control.Request{Op: control.Show, Subscription: "none"}, false, "there is no subscription"},
+			{control.Request{Op: "burn"}, false, "there is no operation"},
 		} {
-			out, err := w.Operator((leader+k)%3, &c.ask)
-			if c.err == "" && (err != nil || out.Done != c.done) || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
+			out, err := w.SendOperatorRequest((leader+k)%3, &c.ask)
+			if c.err == "" && (err != nil || out.Succeeded != c.done) || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
 				t.Errorf("%+v: %+v %v", c.ask, out, err)
 			}
 		}
 		time.Sleep(time.Minute)
-		if n, all := hook.Effects("accepted", "job-000820"); n != 1 || all != 1 {
+		if n, all := hook.EffectCounts("accepted", "job-000820"); n != 1 || all != 1 {
 			t.Errorf("%d effects, %d in all", n, all)
 		}
-		if out := ask(0, control.Ask{Op: control.Show}); len(out.Dead) != 1 || out.Dead[0].Job != "job-000822" {
+		if out := ask(0, control.Request{Op: control.Show}); len(out.DeadLetters) != 1 || out.DeadLetters[0].Job != "job-000822" {
 			t.Errorf("left: %+v", out)
 		}
 	})
--- a/internal/simulator/reads_test.go
+++ b/internal/simulator/reads_test.go
@@ -13,18 +13,18 @@
 // half of the state service's requests at most, and each is answered. In a flood at
 // tolling fleet 35,000 requests were refused, and one submission in six waited for
 // more than half a second.
-func TestReadsArePaced(t *testing.T) {
+func TestReadRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
 		w := simulator.NewWorld(51, p, machineTypes)
 		defer w.Close()
-		startAll(w)
+		startAllNodes(w)
 		time.Sleep(20 * time.Second)
 		job := array(1, 1, 1000)
 		if !w.Submit(job) {
 			t.Fatal("not accepted")
 		}
-		before, _ := w.State.Cost()
+		before, _ := w.State.RequestCounts()
 		const seconds = 10
 		var asked, answered int
 		var mu sync.Mutex
@@ -43,7 +43,7 @@
 			})
 		}
 		users.Wait()
-		after, _ := w.State.Cost()
+		after, _ := w.State.RequestCounts()
 		// Beside these: the nodes' watches and the leader's lease.
 		if most := p.Params.State.RPS*0.5 + 15; float64(after-before) > most*seconds {
 			t.Errorf("%d requests in %d s for %d polls, want at most %v a second", after-before, seconds, asked, most)
--- a/internal/simulator/receiver.go
+++ b/internal/simulator/receiver.go
@@ -15,25 +15,25 @@
 
 // Hook is a stand-in for a receiver of notifications. It keeps keys, fails and
 // delays on purpose, and its ledger counts what had an effect.
-type Hook struct {
-	LoseReply, Refuse, Slow float64 // how often; slow ones take their time before or after the effect
+type Receiver struct {
+	LoseResponse, Refuse, Slow float64 // how often; slow ones take their time before or after the effect
 
-	mu      sync.Mutex
-	random  *Streams // by notification
-	keys    map[string]bool
-	effects map[string]int // by type and job
-	order   map[string][]string
-	posts   int
-	late    []time.Duration // from event to effect
+	mu           sync.Mutex
+	streams      *Streams // by notification
+	seenKeys     map[string]bool
+	effects      map[string]int // by type and job
+	eventsByJob  map[string][]string
+	requestCount int
+	latencies    []time.Duration // from event to effect
 }
 
 // NewHook returns a receiver that fails by chance from a seed.
-func NewHook(seed uint64) *Hook {
-	return &Hook{random: NewStreams(seed), keys: map[string]bool{}, effects: map[string]int{}, order: map[string][]string{}}
+func NewReceiver(seed uint64) *Receiver {
+	return &Receiver{streams: NewStreams(seed), seenKeys: map[string]bool{}, effects: map[string]int{}, eventsByJob: map[string][]string{}}
 }
 
 // ServeHTTP takes a notification.
-func (h *Hook) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *Receiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(r.Body)
 	var e struct {
 		ID, Type, Subject string
@@ -44,10 +44,10 @@
 		return
 	}
 	h.mu.Lock()
-	random := h.random.Of(e.ID)
+	random := h.streams.Stream(e.ID)
 	p, pause := random.Float64(), time.Duration(random.IntN(20))*time.Second
-	lose, refuse, slow := h.LoseReply, h.Refuse, h.Slow
-	h.posts++
+	lose, refuse, slow := h.LoseResponse, h.Refuse, h.Slow
+	h.requestCount++
 	h.mu.Unlock()
 	switch {
 	case p < refuse:
@@ -56,60 +56,60 @@
 		return
 	case p < refuse+slow:
 		time.Sleep(pause)
-		h.take(e.ID, e.Type, e.Subject, e.Time)
+		h.applyOnce(e.ID, e.Type, e.Subject, e.Time)
 		return
 	}
-	h.take(e.ID, e.Type, e.Subject, e.Time)
+	h.applyOnce(e.ID, e.Type, e.Subject, e.Time)
 	if p < refuse+slow+lose {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (h *Hook) take(key, kind, job string, at time.Time) {
+func (h *Receiver) applyOnce(key, kind, job string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.keys[key] {
+	if h.seenKeys[key] {
 		return
 	}
-	h.keys[key] = true
+	h.seenKeys[key] = true
 	h.effects[kind+" "+job]++
-	h.order[job] = append(h.order[job], kind)
-	h.late = append(h.late, time.Since(at))
+	h.eventsByJob[job] = append(h.eventsByJob[job], kind)
+	h.latencies = append(h.latencies, time.Since(at))
 }
 
 // Accept has it fail no more.
-func (h *Hook) Accept() {
+func (h *Receiver) StopFaults() {
 	h.mu.Lock()
-	h.LoseReply, h.Refuse, h.Slow = 0, 0, 0
+	h.LoseResponse, h.Refuse, h.Slow = 0, 0, 0
 	h.mu.Unlock()
 }
 
 // Effects says how often an event had an effect, and of how many there were any.
-func (h *Hook) Effects(kind, job string) (n, all int) {
+func (h *Receiver) EffectCounts(kind, job string) (n, all int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.effects["aspenstall.job."+kind+" "+job], len(h.effects)
 }
 
 // Late lists how long after its event each effect came, the shortest first.
-func (h *Hook) Late() []time.Duration {
+func (h *Receiver) Latencies() []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Sorted(slices.Values(h.late))
+	return slices.Sorted(slices.Values(h.latencies))
 }
 
 // Order is the order in which a job's events had their effects, and how many
 // requests came in all.
-func (h *Hook) Order(job string) (kinds []string, posts int) {
+func (h *Receiver) EventOrder(job string) (kinds []string, posts int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string(nil), h.order[job]...), h.posts
+	return append([]string(nil), h.eventsByJob[job]...), h.requestCount
 }
 
 // Operator sends an operator's request to a node.
-func (w *World) Operator(i int, a *control.Ask) (*control.Answer, error) {
+func (w *World) SendOperatorRequest(i int, a *control.Request) (*control.Response, error) {
 	at := fmt.Sprintf("10.9.9.%d:4650", i)
-	l := w.Net.Serve(at, control.Handler(w.Nodes[i].nd))
+	l := w.Net.Serve(at, control.Handler(w.Nodes[i].node))
 	defer l.Close()
 	ctx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
 	defer cancel()
--- a/internal/simulator/seven_test.go
+++ b/internal/simulator/seven_test.go
@@ -18,9 +18,9 @@
 
 // sizes are the two sizes of settings that the named meetings are played with; the tight
 // one has 25 changes a second.
-var sizes = []struct {
-	name string
-	of   func() config.Platform
+var stateBudgets = []struct {
+	name     string
+	platform func() config.Platform
 }{
 	{"roomy", twoTeams},
 	{"tight", func() config.Platform {
@@ -40,17 +40,17 @@
 }
 
 // seeds are the luck that each named meeting is played with.
-var seeds = []uint64{401, 402}
+var raceSeeds = []uint64{401, 402}
 
 // met plays a named meeting at both sizes with each seed. make gives the day, who submits,
 // and what says afterwards what did not happen: "" where it did.
-func met(t *testing.T, build func(seed uint64) (day, func(*testing.T, *users), func() string)) {
-	for _, size := range sizes {
-		for _, seed := range seeds {
+func runAtEachBudget(t *testing.T, build func(seed uint64) (scenario, func(*testing.T, *users), func() string)) {
+	for _, size := range stateBudgets {
+		for _, seed := range raceSeeds {
 			t.Run(fmt.Sprint(size.name, "-", seed), func(t *testing.T) {
 				d, jobs, lacks := build(seed)
 				d.seed = seed
-				play(t, d, size.of(), machineTypes[:1], jobs)
+				runScenario(t, d, size.platform(), machineTypes[:1], jobs)
 				if what := lacks(); what != "" {
 					t.Errorf("the day lacks %s", what)
 				}
@@ -61,36 +61,36 @@
 
 // looks asks all nodes again and again within milliseconds after a user was told something,
 // and repeats the submission, also with other bodies; some users cancel at once.
-type looks struct {
-	w       *simulator.World
-	mu      sync.Mutex
-	random  *simulator.Streams // by job
-	cancels bool               // some jobs of short are cancelled at once
-	told    int                // what was looked at
-	answers [3]int
-	refused [3]int // questions without an answer, by node
-	repeats int    // repeated submissions that were answered 200
-	odd     int    // those of them with a body that would be refused for a new job
+type followUpRequests struct {
+	w              *simulator.World
+	mu             sync.Mutex
+	random         *simulator.Streams // by job
+	cancels        bool               // some jobs of short are cancelled at once
+	confirmations  int                // what was looked at
+	answers        [3]int
+	unanswered     [3]int // questions without an answer, by node
+	repeats        int    // repeated submissions that were answered 200
+	repeatsChanged int    // those of them with a body that would be refused for a new job
 }
 
-func (l *looks) at(w *simulator.World) {
+func (l *followUpRequests) install(w *simulator.World) {
 	l.w = w
-	w.Looks(l.look)
+	w.OnUserState(l.onConfirmation)
 }
 
-func (l *looks) asked(i int, state string) {
+func (l *followUpRequests) countAnswer(i int, state string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if state == "" {
-		l.refused[i]++
+		l.unanswered[i]++
 	} else {
 		l.answers[i]++
 	}
 }
 
-func (l *looks) repeat(i int, id string, body any) {
-	status, state := l.w.Repeat(i, id, body)
-	l.asked(i, state)
+func (l *followUpRequests) resubmit(i int, id string, body any) {
+	status, state := l.w.Resubmit(i, id, body)
+	l.countAnswer(i, state)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if status != http.StatusOK {
@@ -98,15 +98,15 @@
 	}
 	l.repeats++
 	if body != nil {
-		l.odd++
+		l.repeatsChanged++
 	}
 }
 
 // look has users look at a job everywhere, and repeat what they said.
-func (l *looks) look(id string) {
+func (l *followUpRequests) onConfirmation(id string) {
 	l.mu.Lock()
-	l.told++
-	r := l.random.Of(id)
+	l.confirmations++
+	r := l.random.Stream(id)
 	cancel := l.cancels && id >= "job-001000" && r.IntN(6) == 0
 	first, pause := r.IntN(3), time.Duration(r.IntN(8000))*time.Microsecond
 	lacking := map[string]any{"uid": id, "herd": "sweep"}
@@ -117,14 +117,14 @@
 	l.mu.Unlock()
 	for i := range 3 {
 		go func() {
-			l.asked(i, l.w.PollAt(i, id))
+			l.countAnswer(i, l.w.PollAt(i, id))
 			time.Sleep(pause)
-			l.asked(i, l.w.PollAt(i, id))
+			l.countAnswer(i, l.w.PollAt(i, id))
 		}()
-		go l.repeat(i, id, nil)
+		go l.resubmit(i, id, nil)
 		go func() {
 			time.Sleep(pause / 2)
-			l.repeat(i, id, []any{lacking, &foreign, &large}[i])
+			l.resubmit(i, id, []any{lacking, &foreign, &large}[i])
 		}()
 	}
 	if cancel {
@@ -138,7 +138,7 @@
 
 // short are jobs of a few tasks that come all the time, until so long after the day began;
 // what is said of each afterwards is for the rules.
-func short(u *users, from, until, every time.Duration) {
+func submitShortJobs(u *users, from, until, every time.Duration) {
 	for i, at := 0, from; at < until; i, at = i+1, at+every {
 		job := array(1000+i, 1+i%3, float64(3+i%9))
 		if i%2 == 1 {
@@ -146,21 +146,21 @@
 		}
 		u.after(at, func() {
 			if u.w.Submit(job) {
-				u.ended(job.ID)
+				u.expectEnd(job.ID)
 			}
 		})
 	}
 }
 
 // ended waits until a job is done or cancelled.
-func (u *users) ended(id string) {
+func (u *users) expectEnd(id string) {
 	for end := time.Now().Add(400 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
 		if s := u.w.Poll(id); s == "done" || s == "aborted" {
 			return
 		}
 	}
 	u.mu.Lock()
-	u.undone = append(u.undone, id+" does not end")
+	u.unfinished = append(u.unfinished, id+" does not end")
 	u.mu.Unlock()
 }
 
@@ -168,28 +168,28 @@
 // right after a job was accepted, ended or confirmed as cancelled; some cancel at once. No
 // node answers something older, nor refuses what was accepted, also one that has just
 // started or that the state service just refused.
-func TestCloseLooks(t *testing.T) {
+func TestReadsAfterConfirmation(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	met(t, func(seed uint64) (day, func(*testing.T, *users), func() string) {
-		l := &looks{random: simulator.NewStreams(seed), cancels: true}
+	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
+		l := &followUpRequests{random: simulator.NewStreams(seed), cancels: true}
 		one := int(seed) % 3
 		other := (one + 1) % 3
 		at := func(d time.Duration) time.Duration { return d + time.Duration(seed%7)*150*ms }
-		d := day{setup: l.at, ends: true, acts: []act{
-			{at(30 * s), kill(one)}, {at(30*s + 300*ms), start(one)},
+		d := scenario{setup: l.install, setupFaultsEnd: true, actions: []action{
+			{at(30 * s), killNode(one)}, {at(30*s + 300*ms), startNode(one)},
 			// Whether users are told something of themselves in these 0.3 s is chance.
-			{at(30*s + 100*ms), func(*simulator.World) { l.look("job-001000") }},
-			{at(45 * s), func(w *simulator.World) { refuseOne(w, other, true) }}, {at(62 * s), func(w *simulator.World) { refuseOne(w, other, false) }},
-			{at(70 * s), killAll}, {at(70*s + 200*ms), start(other)}, {at(72 * s), startAll},
+			{at(30*s + 100*ms), func(*simulator.World) { l.onConfirmation("job-001000") }},
+			{at(45 * s), func(w *simulator.World) { setStateRefused(w, other, true) }}, {at(62 * s), func(w *simulator.World) { setStateRefused(w, other, false) }},
+			{at(70 * s), killAllNodes}, {at(70*s + 200*ms), startNode(other)}, {at(72 * s), startAllNodes},
 		}}
-		return d, func(_ *testing.T, u *users) { short(u, 20*s, 90*s, 400*ms) }, func() string {
-			t.Logf("%d things told, answers %v, without one %v, repeats %d, odd ones of them %d", l.told, l.answers, l.refused, l.repeats, l.odd)
+		return d, func(_ *testing.T, u *users) { submitShortJobs(u, 20*s, 90*s, 400*ms) }, func() string {
+			t.Logf("%d things told, answers %v, without one %v, repeats %d, odd ones of them %d", l.confirmations, l.answers, l.unanswered, l.repeats, l.repeatsChanged)
 			switch {
-			case l.told < 200 || slices.Min(l.answers[:]) < 200:
+			case l.confirmations < 200 || slices.Min(l.answers[:]) < 200:
 				return "looks at every node"
-			case l.refused[one] == 0 || l.refused[other] == 0:
+			case l.unanswered[one] == 0 || l.unanswered[other] == 0:
 				return "looks at a node that can't tell"
-			case l.repeats < 200 || l.odd < 60:
+			case l.repeats < 200 || l.repeatsChanged < 60:
 				return "repeated submissions"
 			}
 			return ""
@@ -198,7 +198,7 @@
 }
 
 // kindsOf names the kinds of writes in a transaction.
-func kindsOf(body []byte) (kinds []string) {
+func writeKinds(body []byte) (kinds []string) {
 	var txn wire.Txn
 	if wire.Unmarshal(body, &txn) != nil {
 		return nil
@@ -229,36 +229,36 @@
 // TestAnswersLost: a transaction is carried out at once and only its answer is lost, while
 // other nodes read what it wrote. Whoever wrote takes the outcome for unknown: it neither
 // tells nor acts as if it had failed, and a repeat finds its own write by reading it.
-func TestAnswersLost(t *testing.T) {
+func TestWriteResponseLost(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	hit := map[string]int{}
-	met(t, func(seed uint64) (day, func(*testing.T, *users), func() string) {
-		l := &looks{random: simulator.NewStreams(seed), cancels: true}
+	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
+		l := &followUpRequests{random: simulator.NewStreams(seed), cancels: true}
 		lost := 0
 		lose := func(share float64) func(*simulator.World) {
 			return func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.NoAnswer, f.LateOnly = share, wire.CommitPath })
+				w.StateFaults.Update(func(f *simulator.Faults) { f.WithholdResponse, f.LatePath = share, wire.CommitPath })
 			}
 		}
-		h := &cuts{}
-		d := day{ends: true, setup: func(w *simulator.World) {
-			l.at(w)
-			w.StateFaults.Unanswered = func(_ string, status int, body []byte) {
+		h := &activeFaults{}
+		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+			l.install(w)
+			w.StateFaults.OnUnanswered = func(_ string, status int, body []byte) {
 				if status == http.StatusOK {
 					lost++
-					for _, k := range kindsOf(body) {
+					for _, k := range writeKinds(body) {
 						hit[k]++
 					}
 				}
 			}
 			lose(0.4)(w)
-			w.WorkerFaults.Late, w.WorkerFaults.LateBy, w.WorkerFaults.LateMore, w.WorkerFaults.LateOnly = 0.2, s, 20*s, wire.CommandsPath
-		}, acts: []act{{45 * s, killAll}, {45*s + 300*ms, startAll}, {60 * s, h.hang}, {70 * s, h.goOn}, {75 * s, killAll}, {75*s + 300*ms, startAll}, {100 * s, lose(0)}, {100 * s, func(w *simulator.World) {
-			w.WorkerFaults.Set(func(f *simulator.Faults) { f.Late = 0 })
+			w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay, w.WorkerFaults.LateJitter, w.WorkerFaults.LatePath = 0.2, s, 20*s, wire.CommandsPath
+		}, actions: []action{{45 * s, killAllNodes}, {45*s + 300*ms, startAllNodes}, {60 * s, h.hangWorkers}, {70 * s, h.resumeWorkers}, {75 * s, killAllNodes}, {75*s + 300*ms, startAllNodes}, {100 * s, lose(0)}, {100 * s, func(w *simulator.World) {
+			w.WorkerFaults.Update(func(f *simulator.Faults) { f.ExecuteLate = 0 })
 		}}}}
 		jobs := func(t *testing.T, u *users) {
-			short(u, 5*s, 90*s, 700*ms)
-			fewTasks(t, u)
+			submitShortJobs(u, 5*s, 90*s, 700*ms)
+			smallJobsWorkload(t, u)
 		}
 		return d, jobs, func() string {
 			if lost < 30 {
@@ -278,10 +278,10 @@
 // TestLimitsAtATakeover: every team is at its limit while jobs are cancelled whose machines
 // are cut off or hang, and the leader changes. A task that may still be on a machine counts
 // against its team's limit until it is surely gone, in the new leader's count too.
-func TestLimitsAtATakeover(t *testing.T) {
+func TestLimitsAcrossTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	met(t, func(seed uint64) (day, func(*testing.T, *users), func() string) {
-		h := &cuts{}
+	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
+		h := &activeFaults{}
 		var cut []*simulator.Worker
 		var lead int
 		var cancelled []string
@@ -289,19 +289,19 @@
 		out := func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				switch {
-				case len(k.Running()) == 0:
+				case len(k.RunningTasks()) == 0:
 				case i%3 == 0:
-					isolate(w, k, true)
+					partitionWorker(w, k, true)
 					cut = append(cut, k)
 				case i%3 == 1:
-					k.Hang(true)
-					h.hung = append(h.hung, k)
+					k.SetHung(true)
+					h.hungWorkers = append(h.hungWorkers, k)
 				}
 			}
 		}
 		at := 50*s + time.Duration(seed%5)*700*ms
 		long := 8*s + time.Duration(seed%3)*8*s // shorter and longer than a lease
-		d := day{acts: []act{
+		d := scenario{actions: []action{
 			{at, out},
 			{at + s, func(w *simulator.World) {
 				for i := range 6 {
@@ -312,8 +312,8 @@
 				}
 			}},
 			{at + 1500*ms, func(w *simulator.World) {
-				for _, k := range append(slices.Clone(cut), h.hung...) {
-					for _, task := range k.Running() {
+				for _, k := range append(slices.Clone(cut), h.hungWorkers...) {
+					for _, task := range k.RunningTasks() {
 						if job, _, _ := strings.Cut(task, "/"); slices.Contains(cancelled, job) {
 							left++
 						}
@@ -323,10 +323,10 @@
 				w.Kill(lead)
 			}},
 			{at + 1800*ms, func(w *simulator.World) { w.StartNode(lead) }},
-			{at + long, h.goOn},
+			{at + long, h.resumeWorkers},
 			{at + long, func(w *simulator.World) {
 				for _, k := range cut {
-					isolate(w, k, false)
+					partitionWorker(w, k, false)
 				}
 			}},
 		}}
@@ -339,7 +339,7 @@
 				job.DueS = nil
 				u.after(time.Duration(i)*200*ms, func() {
 					if u.w.Submit(job) {
-						u.ended(job.ID)
+						u.expectEnd(job.ID)
 					}
 				})
 			}
@@ -356,30 +356,30 @@
 // TestCancelledAsWorkChangesHands: jobs are cancelled in the seconds in which one
 // controller's work changes hands, running ones and waiting ones. No leader starts anything
 // of them after the confirmation: what is under way to the leader by then is all there is.
-func TestCancelledAsWorkChangesHands(t *testing.T) {
+func TestCancellationDuringTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	// A confirmation reaches the leader by its watch, within this time.
 	const slow, known = 200 * ms, 400 * ms
-	met(t, func(seed uint64) (day, func(*testing.T, *users), func() string) {
+	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		var w *simulator.World
 		lead, next := 0, 0
 		var ended, begun time.Time
 		before, between, after := 0, 0, 0
 		at := 45 * s
 		var out *simulator.Worker // the takeover does not settle before it is heard
-		d := day{ends: true, setup: func(w *simulator.World) {
-			w.StateFaults.Set(func(f *simulator.Faults) { f.Delay = slow })
-		}, acts: []act{{at, func(w *simulator.World) {
+		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+			w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = slow })
+		}, actions: []action{{at, func(w *simulator.World) {
 			for _, k := range w.Cloud.Workers() {
-				if len(k.Running()) > 0 {
+				if len(k.RunningTasks()) > 0 {
 					out = k
 				}
 			}
-			isolate(w, out, true)
+			partitionWorker(w, out, true)
 			lead = max(w.Leader(), 0)
 			switch seed % 2 {
 			case 0:
-				refuseOne(w, lead, true)
+				setStateRefused(w, lead, true)
 			default:
 				w.Kill(lead)
 			}
@@ -392,10 +392,10 @@
 				}
 			}
 		}}, {at + 12*s, func(w *simulator.World) {
-			refuseOne(w, lead, false)
+			setStateRefused(w, lead, false)
 			w.StartNode(lead)
-			isolate(w, out, false)
-			w.StateFaults.Set(func(f *simulator.Faults) { f.Delay = 0 })
+			partitionWorker(w, out, false)
+			w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 0 })
 		}}}}
 		jobs := func(_ *testing.T, u *users) {
 			w = u.w
@@ -410,10 +410,10 @@
 						return
 					}
 					if i%3 == 0 {
-						u.ended(job.ID)
+						u.expectEnd(job.ID)
 						return
 					}
-					time.Sleep(time.Until(u.begun.Add(at - s + time.Duration(i)*100*ms)))
+					time.Sleep(time.Until(u.startedAt.Add(at - s + time.Duration(i)*100*ms)))
 					if u.w.Cancel(job.ID) != "aborted" {
 						return
 					}
@@ -431,7 +431,7 @@
 			}
 		}
 		return d, jobs, func() string {
-			n, longest := w.StartsAfter()
+			n, longest := w.StartsAfterCancel()
 			t.Logf("cancelled %d before, %d between two leaders, %d after; %d starts after a confirmation, %v at the latest", before, between, after, n, longest)
 			if longest > known {
 				t.Errorf("a task was started %v after the confirmation", longest)
@@ -447,17 +447,17 @@
 // TestUpAtOnceAndTheLeaderEnds: new machines are up within two seconds and get work at
 // once, writes lag, the leader ends. No machine has a task that the next leader could not
 // learn of before it could start it elsewhere or pass a limit.
-func TestUpAtOnceAndTheLeaderEnds(t *testing.T) {
+func TestLeaderCrashAfterFastBoot(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	const rounds = 9
-	met(t, func(seed uint64) (day, func(*testing.T, *users), func() string) {
-		var writes late
+	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
+		var writes replayCounts
 		young := 0 // machines with tasks that were up for less than three seconds as a leader ended
 		// When a machine is up and has a task is chance: the leader ends as soon as one does,
 		// or as none does for half a minute.
 		end := func(w *simulator.World) {
 			for wait := time.Duration(0); wait < 30*s; wait += 20 * ms {
-				if found := youngAtWork(w); found > 0 {
+				if found := busyNewMachines(w); found > 0 {
 					young += found
 					break
 				}
@@ -468,11 +468,11 @@
 			time.Sleep(4 * s)
 			w.StartNode(lead)
 		}
-		d := day{ends: true, setup: func(w *simulator.World) {
-			writes.of(w.StateFaults, wire.CommitPath)
-			w.Cloud.Boots(func(n int) float64 { return 0.02 + 0.1*float64(n%2) }) // 0.3 s and 1.8 s
-			w.Settings.IdleReturnS = 2                                            // so that the next jobs need new machines
-			lateWrites(0.2)(w)
+		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+			writes.observe(w.StateFaults, wire.CommitPath)
+			w.Cloud.SetBootFactor(func(n int) float64 { return 0.02 + 0.1*float64(n%2) }) // 0.3 s and 1.8 s
+			w.Settings.IdleReturnS = 2                                                    // so that the next jobs need new machines
+			delayWrites(0.2)(w)
 		}}
 		for i := range rounds {
 			at := 30*s + time.Duration(i)*60*s
@@ -486,14 +486,14 @@
 					w.Submit(job)
 				}
 			}
-			d.acts = append(d.acts, act{at, submit}, act{at + time.Duration(seed%4)*300*ms + time.Duration(i)*100*ms, end})
+			d.actions = append(d.actions, action{at, submit}, action{at + time.Duration(seed%4)*300*ms + time.Duration(i)*100*ms, end})
 		}
-		d.acts = append(d.acts, act{(35 + 60*rounds) * s, lateWrites(0)})
+		d.actions = append(d.actions, action{(35 + 60*rounds) * s, delayWrites(0)})
 		jobs := func(_ *testing.T, u *users) {
 			u.after((40+60*rounds)*s, func() {
 				for i := range rounds {
 					for k := range 8 {
-						u.ended(fmt.Sprintf("job-%06d", 100+10*i+k))
+						u.expectEnd(fmt.Sprintf("job-%06d", 100+10*i+k))
 					}
 				}
 			})
@@ -503,7 +503,7 @@
 			if young < 3 {
 				return fmt.Sprintf("young machines with tasks as a leader ends (%d)", young)
 			}
-			if writes.carried+writes.refused == 0 {
+			if writes.executed+writes.rejected == 0 {
 				return "late writes"
 			}
 			return ""
@@ -512,10 +512,10 @@
 }
 
 // youngAtWork counts the machines with tasks that have been up for less than three seconds.
-func youngAtWork(w *simulator.World) int {
+func busyNewMachines(w *simulator.World) int {
 	found := 0
 	for _, k := range w.Cloud.Workers() {
-		if k.Up() < 3*time.Second && k.Tasks() > 0 {
+		if k.Uptime() < 3*time.Second && k.ActiveTasks() > 0 {
 			found++
 		}
 	}
@@ -523,34 +523,34 @@
 }
 
 // oldReports keeps copies of workers' reports, and has them arrive at every node.
-type oldReports struct {
-	mu     sync.Mutex
-	r      *rand.Rand
-	kept   []keptReport
-	taken  int // copies that a new leader took, by its answer
-	copies int
+type reportReplayer struct {
+	mu            sync.Mutex
+	random        *rand.Rand
+	captured      []capturedReport
+	takenByLeader int // copies that a new leader took, by its answer
+	copies        int
 }
 
-type keptReport struct {
+type capturedReport struct {
 	at   time.Time
 	body []byte
 }
 
-func (o *oldReports) keep(path string, body []byte) {
+func (o *reportReplayer) capture(path string, body []byte) {
 	if path != wire.ReportPath {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.kept = append(o.kept, keptReport{time.Now(), bytes.Clone(body)})
+	o.captured = append(o.captured, capturedReport{time.Now(), bytes.Clone(body)})
 }
 
 // arrive has copies of reports of up to half a minute ago arrive everywhere.
-func (o *oldReports) arrive(w *simulator.World, many int) {
+func (o *reportReplayer) replay(w *simulator.World, many int) {
 	o.mu.Lock()
-	var some []keptReport
-	for len(some) < many && len(o.kept) > 0 {
-		k := o.kept[o.r.IntN(len(o.kept))]
+	var some []capturedReport
+	for len(some) < many && len(o.captured) > 0 {
+		k := o.captured[o.random.IntN(len(o.captured))]
 		if time.Since(k.at) < 30*time.Second {
 			some = append(some, k)
 		} else {
@@ -558,15 +558,15 @@
 		}
 	}
 	o.mu.Unlock()
-	slices.SortFunc(some, func(a, b keptReport) int { return a.at.Compare(b.at) })
+	slices.SortFunc(some, func(a, b capturedReport) int { return a.at.Compare(b.at) })
 	for i := range 3 {
 		go func() {
 			for _, k := range some {
-				status := w.ReportCopy(i, k.body)
+				status := w.SendReportCopy(i, k.body)
 				o.mu.Lock()
 				o.copies++
 				if status == http.StatusOK && w.Leader() == i {
-					o.taken++
+					o.takenByLeader++
 				}
 				o.mu.Unlock()
 			}
@@ -577,49 +577,49 @@
 // TestOldReportsAsALeaderBegins: an old report reaches every controller just as a new leader
 // begins. It proves what is on a machine only if it can't have been sent before the new
 // token was seen, and frees, finishes, places and renews nothing otherwise.
-func TestOldReportsAsALeaderBegins(t *testing.T) {
+func TestOldReportsDuringTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	met(t, func(seed uint64) (day, func(*testing.T, *users), func() string) {
-		o := &oldReports{r: rand.New(rand.NewPCG(seed, 38))}
+	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
+		o := &reportReplayer{random: rand.New(rand.NewPCG(seed, 38))}
 		var out []*simulator.Worker
 		lead := 0
-		d := day{ends: true, setup: func(w *simulator.World) {
+		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 			for _, f := range w.NodeFaults {
-				f.Kept = o.keep
+				f.OnRequest = o.capture
 			}
 		}}
 		for i := range 4 {
 			at := 35*s + time.Duration(i)*25*s
-			d.acts = append(d.acts, act{at - 3*s, func(w *simulator.World) {
+			d.actions = append(d.actions, action{at - 3*s, func(w *simulator.World) {
 				for n, k := range w.Cloud.Workers() {
 					if (n+i)%4 == 0 {
-						isolate(w, k, true) // its old reports are all that comes
+						partitionWorker(w, k, true) // its old reports are all that comes
 						out = append(out, k)
 					}
 				}
-			}}, act{at, func(w *simulator.World) {
+			}}, action{at, func(w *simulator.World) {
 				lead = max(w.Leader(), 0)
 				w.Kill(lead)
 				for range 40 { // the next one begins some three seconds later
 					time.Sleep(150 * ms)
-					o.arrive(w, 12)
+					o.replay(w, 12)
 				}
-			}}, act{at + 300*ms, func(w *simulator.World) { w.StartNode(lead) }},
-				act{at + 8500*ms, func(w *simulator.World) { o.arrive(w, 40) }}, // it has started, stopped and reaped by then
-				act{at + 9*s + time.Duration(i%2)*10*s, func(w *simulator.World) {
+			}}, action{at + 300*ms, func(w *simulator.World) { w.StartNode(lead) }},
+				action{at + 8500*ms, func(w *simulator.World) { o.replay(w, 40) }}, // it has started, stopped and reaped by then
+				action{at + 9*s + time.Duration(i%2)*10*s, func(w *simulator.World) {
 					for _, k := range out {
-						isolate(w, k, false)
+						partitionWorker(w, k, false)
 					}
 					out = nil
 				}})
 		}
 		jobs := func(t *testing.T, u *users) {
-			short(u, 10*s, 130*s, 900*ms)
-			fewTasks(t, u)
+			submitShortJobs(u, 10*s, 130*s, 900*ms)
+			smallJobsWorkload(t, u)
 		}
 		return d, jobs, func() string {
-			t.Logf("%d copies of reports, %d taken by a leader", o.copies, o.taken)
-			if o.taken < 20 {
+			t.Logf("%d copies of reports, %d taken by a leader", o.copies, o.takenByLeader)
+			if o.takenByLeader < 20 {
 				return "copies that a new leader took"
 			}
 			return ""
@@ -630,9 +630,9 @@
 // TestSingleTasks: one-task jobs come four a second for minutes, a quarter of them
 // cancelled. Acceptances stay within the aim, cancellations are confirmed and carried out,
 // done is told on time, and everything else goes on: no backlog grows.
-func TestSingleTasks(t *testing.T) {
+func TestSteadySingleTaskJobs(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	met(t, func(seed uint64) (day, func(*testing.T, *users), func() string) {
+	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		const minutes, rate = 2, 4
 		var mu sync.Mutex
 		var accepted, confirmed, ended []time.Duration
@@ -641,8 +641,8 @@
 		r := rand.New(rand.NewPCG(seed, 39))
 		jobs := func(_ *testing.T, u *users) {
 			w = u.w
-			u.after(15*s, func() { _, before = w.State.Cost() })
-			u.after(15*s+minutes*time.Minute, func() { _, after = w.State.Cost() })
+			u.after(15*s, func() { _, before = w.State.RequestCounts() })
+			u.after(15*s+minutes*time.Minute, func() { _, after = w.State.RequestCounts() })
 			for i := range minutes * 60 * rate {
 				job := array(2000+i, 1, 4+4*r.Float64())
 				job.CPUs, job.ImageGB, job.DueS = 1, 0.1, nil
@@ -666,7 +666,7 @@
 						mu.Unlock()
 						return
 					}
-					u.ended(job.ID)
+					u.expectEnd(job.ID)
 					mu.Lock()
 					ended = append(ended, time.Since(from))
 					mu.Unlock()
@@ -675,11 +675,11 @@
 			other := service(300, 4)
 			u.after(30*s, func() {
 				if w.Submit(other) {
-					u.must(other.ID, "running")
+					u.expectState(other.ID, "running")
 				}
 			})
 		}
-		return day{}, jobs, func() string {
+		return scenario{}, jobs, func() string {
 			p95 := func(of []time.Duration) time.Duration {
 				slices.Sort(of)
 				return of[len(of)*95/100]
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -8,28 +8,28 @@
 )
 
 // worldSite is what the workers of a world find round them.
-type worldSite struct{ w *World }
+type worldEnvironment struct{ w *World }
 
-func (s worldSite) Context() context.Context           { return s.w.ctx }
-func (s worldSite) Logger() *slog.Logger               { return s.w.Log }
-func (s worldSite) Client(address string) *http.Client { return s.w.Net.Client(address) }
-func (s worldSite) Still(address string, still bool)   { s.w.Net.Still(address, still) }
-func (s worldSite) Job(id string) *Spec                { return s.w.spec(id) }
-func (s worldSite) FileJob(id string) *Spec            { return s.w.readFile(id) }
-func (s worldSite) ServesFiles() bool                  { return s.w.Settings.Nomad != nil }
-func (s worldSite) Observer() Observer                 { return s.w.check }
-func (s worldSite) Gangs() Gangs                       { return s.w }
+func (s worldEnvironment) Context() context.Context           { return s.w.ctx }
+func (s worldEnvironment) Logger() *slog.Logger               { return s.w.Log }
+func (s worldEnvironment) Client(address string) *http.Client { return s.w.Net.Client(address) }
+func (s worldEnvironment) Freeze(address string, still bool)  { s.w.Net.Freeze(address, still) }
+func (s worldEnvironment) Job(id string) *Spec                { return s.w.spec(id) }
+func (s worldEnvironment) JobFromFile(id string) *Spec        { return s.w.fetchFileJob(id) }
+func (s worldEnvironment) ServesJobFiles() bool               { return s.w.Settings.Nomad != nil }
+func (s worldEnvironment) Observer() Observer                 { return s.w.checker }
+func (s worldEnvironment) Gangs() GangCoordinator             { return s.w }
 
-func (s worldSite) Serve(k *Worker) (stop func()) {
-	s.w.Net.Place(k.at, k.zone)
-	l := s.w.Net.Serve(k.at, s.w.WorkerFaults.Wrap(k))
+func (s worldEnvironment) Serve(k *Worker) (stop func()) {
+	s.w.Net.SetZone(k.address, k.zone)
+	l := s.w.Net.Serve(k.address, s.w.WorkerFaults.Wrap(k))
 	return func() {
 		_ = l.Close()
-		go s.w.Net.Drop(k.at)
+		go s.w.Net.DropHost(k.address)
 	}
 }
 
-func (s worldSite) Controllers() []Controller {
+func (s worldEnvironment) Controllers() []Controller {
 	out := make([]Controller, len(s.w.Nodes))
 	for i, n := range s.w.Nodes {
 		out[i] = Controller{Name: n.Name, Address: n.addr}
@@ -37,6 +37,6 @@
 	return out
 }
 
-func (s worldSite) Timing() Timing {
-	return Timing{Lease: s.w.lease, GangWait: s.w.gangWait, ReportGap: func() time.Duration { return s.w.reportGap }}
+func (s worldEnvironment) Timing() Timing {
+	return Timing{Lease: s.w.leaseTTL, GangWait: s.w.gangWaitTimeout, ReportInterval: func() time.Duration { return s.w.reportInterval }}
 }
--- a/internal/simulator/state.go
+++ b/internal/simulator/state.go
@@ -16,7 +16,7 @@
 )
 
 // readBody reads a body once and returns a maker of copies.
-func readBody(r *http.Request) func() io.ReadCloser {
+func bodyCopier(r *http.Request) func() io.ReadCloser {
 	b, _ := io.ReadAll(r.Body)
 	return func() io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 }
@@ -33,39 +33,39 @@
 
 // State is a stand-in for the state service.
 type State struct {
-	mu      sync.Mutex
-	rev     uint64
-	oldest  uint64 // changes up to here are no longer kept
-	asked   int    // requests
-	written int    // puts and deletes
-	keys    map[string]wire.Entry
-	log     []wire.Change
-	leases  map[uint64]*stateLease
-	nextID  uint64
-	changed chan struct{}
-	TxnOps  int
+	mu                sync.Mutex
+	revision          uint64
+	compactedRevision uint64 // changes up to here are no longer kept
+	requestCount      int    // requests
+	writeCount        int    // puts and deletes
+	keys              map[string]wire.Entry
+	changeLog         []wire.Change
+	leases            map[uint64]*stateLease
+	lastLeaseID       uint64
+	changed           chan struct{}
+	MaxTxnOps         int
 }
 
 type stateLease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // NewState returns an empty state service.
 func NewState(txnOps int) *State {
-	return &State{keys: map[string]wire.Entry{}, leases: map[uint64]*stateLease{}, changed: make(chan struct{}), TxnOps: txnOps}
+	return &State{keys: map[string]wire.Entry{}, leases: map[uint64]*stateLease{}, changed: make(chan struct{}), MaxTxnOps: txnOps}
 }
 
 // expire ends leases whose time is over; s.mu is held.
-func (s *State) expire() {
+func (s *State) expireLeases() {
 	for id, l := range s.leases {
-		if time.Now().After(l.until) {
-			s.end(id)
+		if time.Now().After(l.expiresAt) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *State) end(id uint64) {
+func (s *State) endLease(id uint64) {
 	delete(s.leases, id)
 	var gone []string
 	for k, e := range s.keys {
@@ -77,33 +77,33 @@
 	if len(gone) == 0 {
 		return
 	}
-	s.rev++
+	s.revision++
 	for _, k := range gone {
 		delete(s.keys, k)
-		s.log = append(s.log, wire.Change{Delete: k, ModRevision: s.rev})
+		s.changeLog = append(s.changeLog, wire.Change{Delete: k, ModRevision: s.revision})
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
 // keptChanges is how many changes the service keeps.
-const keptChanges = 10_000
+const maxLoggedChanges = 10_000
 
 // wake has all watches look again, and forgets changes that are too old.
-func (s *State) wake() {
-	if more := len(s.log) - keptChanges; more > keptChanges/10 {
-		s.oldest = s.log[more-1].ModRevision
-		s.log = append([]wire.Change(nil), s.log[more:]...)
+func (s *State) notifyWatchers() {
+	if more := len(s.changeLog) - maxLoggedChanges; more > maxLoggedChanges/10 {
+		s.compactedRevision = s.changeLog[more-1].ModRevision
+		s.changeLog = append([]wire.Change(nil), s.changeLog[more:]...)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Renewed gives every lease its full time again, as after an outage.
-func (s *State) Renewed() {
+func (s *State) RenewLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.leases {
-		l.until = time.Now().Add(l.ttl)
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 }
 
@@ -118,17 +118,17 @@
 }
 
 // Cost says how many requests came and how many puts and deletes were executed.
-func (s *State) Cost() (requests, changes int) {
+func (s *State) RequestCounts() (requests, changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked, s.written
+	return s.requestCount, s.writeCount
 }
 
 // Forget forgets all changes so far: who watches from before has to read again.
-func (s *State) Forget() {
+func (s *State) CompactLog() {
 	s.mu.Lock()
-	s.log, s.oldest = nil, s.rev
-	s.wake()
+	s.changeLog, s.compactedRevision = nil, s.revision
+	s.notifyWatchers()
 	s.mu.Unlock()
 }
 
@@ -145,8 +145,8 @@
 	b, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	s.asked++
+	s.expireLeases()
+	s.requestCount++
 	q := r.URL.Query()
 	switch p := r.URL.Path; {
 	case p == wire.KeysPath:
@@ -158,7 +158,7 @@
 			}
 		}
 		sort.Strings(names)
-		out := wire.Entries{Revision: s.rev, Items: []wire.Entry{}}
+		out := wire.Entries{Revision: s.revision, Items: []wire.Entry{}}
 		for i, k := range names {
 			if limit > 0 && i == limit {
 				out.More = true
@@ -175,7 +175,7 @@
 		w.WriteHeader(http.StatusNotFound)
 	case p == wire.CommitPath:
 		var t wire.Txn
-		if wire.Unmarshal(b, &t) != nil || len(t.Then) > s.TxnOps || len(t.If) > 4*s.TxnOps {
+		if wire.Unmarshal(b, &t) != nil || len(t.Then) > s.MaxTxnOps || len(t.If) > 4*s.MaxTxnOps {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
@@ -183,9 +183,9 @@
 	case p == wire.LeasesPath:
 		var l wire.LeaseRequest
 		_ = wire.Unmarshal(b, &l)
-		s.nextID++
+		s.lastLeaseID++
 		ttl := time.Duration(l.TTL) * time.Millisecond
-		id := s.nextID
+		id := s.lastLeaseID
 		s.leases[id] = &stateLease{ttl, time.Now().Add(ttl)}
 		respond(w, http.StatusOK, &wire.Lease{ID: id})
 	case strings.HasPrefix(p, wire.LeasesPath+"/"):
@@ -196,14 +196,14 @@
 			return
 		}
 		if r.Method == http.MethodDelete {
-			s.end(id)
+			s.endLease(id)
 		} else {
-			l.until = time.Now().Add(l.ttl)
+			l.expiresAt = time.Now().Add(l.ttl)
 		}
 	case p == wire.ChangesPath:
 		since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
 		wait, _ := strconv.Atoi(q.Get("wait_ms"))
-		s.changes(w, r, q.Get("starts"), since, time.Duration(wait)*time.Millisecond)
+		s.serveChanges(w, r, q.Get("starts"), since, time.Duration(wait)*time.Millisecond)
 	default:
 		w.WriteHeader(http.StatusBadRequest)
 	}
@@ -223,38 +223,38 @@
 		}
 	}
 	if failed != nil {
-		respond(w, http.StatusConflict, &wire.TxnResult{Revision: s.rev, Failed: failed})
+		respond(w, http.StatusConflict, &wire.TxnResult{Revision: s.revision, Failed: failed})
 		return
 	}
 	if len(t.Then) > 0 {
-		s.rev++
-		s.written += len(t.Then)
+		s.revision++
+		s.writeCount += len(t.Then)
 		for _, op := range t.Then {
 			if op.Put != "" {
 				v := append(msgpack.RawMessage(nil), op.Value...)
-				s.keys[op.Put] = wire.Entry{Key: op.Put, Value: v, ModRevision: s.rev, Lease: op.Lease}
-				s.log = append(s.log, wire.Change{Put: op.Put, Value: v, ModRevision: s.rev})
+				s.keys[op.Put] = wire.Entry{Key: op.Put, Value: v, ModRevision: s.revision, Lease: op.Lease}
+				s.changeLog = append(s.changeLog, wire.Change{Put: op.Put, Value: v, ModRevision: s.revision})
 			} else if _, ok := s.keys[op.Delete]; ok {
 				delete(s.keys, op.Delete)
-				s.log = append(s.log, wire.Change{Delete: op.Delete, ModRevision: s.rev})
+				s.changeLog = append(s.changeLog, wire.Change{Delete: op.Delete, ModRevision: s.revision})
 			}
 		}
-		s.wake()
+		s.notifyWatchers()
 	}
-	respond(w, http.StatusOK, &wire.TxnResult{Revision: s.rev})
+	respond(w, http.StatusOK, &wire.TxnResult{Revision: s.revision})
 }
 
 // changes waits for a change; s.mu is held, and let go meanwhile.
-func (s *State) changes(w http.ResponseWriter, r *http.Request, prefix string, since uint64, wait time.Duration) {
+func (s *State) serveChanges(w http.ResponseWriter, r *http.Request, prefix string, since uint64, wait time.Duration) {
 	end := time.Now().Add(wait)
 	for {
-		if since < s.oldest {
+		if since < s.compactedRevision {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		out := wire.Changes{Revision: s.rev, Events: []wire.Change{}}
-		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > since })
-		for _, e := range s.log[first:] {
+		out := wire.Changes{Revision: s.revision, Events: []wire.Change{}}
+		first := sort.Search(len(s.changeLog), func(i int) bool { return s.changeLog[i].ModRevision > since })
+		for _, e := range s.changeLog[first:] {
 			if strings.HasPrefix(e.Put+e.Delete, prefix) {
 				out.Events = append(out.Events, e)
 			}
@@ -275,7 +275,7 @@
 		}
 		t.Stop()
 		s.mu.Lock()
-		s.expire()
+		s.expireLeases()
 		if r.Context().Err() != nil {
 			return
 		}
--- a/internal/simulator/streams.go
+++ b/internal/simulator/streams.go
@@ -19,7 +19,7 @@
 }
 
 // Of is the stream of a name.
-func (s *Streams) Of(name string) *rand.Rand {
+func (s *Streams) Stream(name string) *rand.Rand {
 	r := s.byName[name]
 	if r == nil {
 		h := fnv.New64a()
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -18,47 +18,47 @@
 // The field names stand here again, apart from package wire: a mistake there
 // must not be repeated by the side that checks it.
 
-type lot struct {
-	Task    string `msgpack:"lot"`
-	Attempt uint64 `msgpack:"try"`
-	State   string `msgpack:"phase"`
-	Why     string `msgpack:"cause,omitempty"`
-	Saved   bool   `msgpack:"kept,omitempty"`
+type workerTask struct {
+	Task         string `msgpack:"lot"`
+	Attempt      uint64 `msgpack:"try"`
+	State        string `msgpack:"phase"`
+	Cause        string `msgpack:"cause,omitempty"`
+	Checkpointed bool   `msgpack:"kept,omitempty"`
 
 	spec      *Spec
-	placed    bool // has its image, so it is on its machine
+	onMachine bool // has its image, so it is on its machine
 	timer     *time.Timer
 	runningAt time.Time
 }
 
-type beat struct {
-	Machine string   `msgpack:"stall"`
-	Address string   `msgpack:"address"`
-	Type    string   `msgpack:"breed"`
-	Zone    string   `msgpack:"paddock"`
-	Spot    bool     `msgpack:"loaners"`
-	Session uint64   `msgpack:"tenure"`
-	Seq     uint64   `msgpack:"tick"`
-	Token   uint64   `msgpack:"epoch"`
-	Notice  *float64 `msgpack:"recall_s"`
-	Tasks   []*lot   `msgpack:"lots"`
+type statusReport struct {
+	Machine    string        `msgpack:"stall"`
+	Address    string        `msgpack:"address"`
+	Type       string        `msgpack:"breed"`
+	Zone       string        `msgpack:"paddock"`
+	Spot       bool          `msgpack:"loaners"`
+	Session    uint64        `msgpack:"tenure"`
+	Seq        uint64        `msgpack:"tick"`
+	Token      uint64        `msgpack:"epoch"`
+	SpotNotice *float64      `msgpack:"recall_s"`
+	Tasks      []*workerTask `msgpack:"lots"`
 }
 
-type order struct {
-	Op      string  `msgpack:"verb"`
-	Task    string  `msgpack:"lot"`
-	Attempt uint64  `msgpack:"try"`
-	Grace   float64 `msgpack:"wind_down_s"`
+type command struct {
+	Op          string  `msgpack:"verb"`
+	Task        string  `msgpack:"lot"`
+	Attempt     uint64  `msgpack:"try"`
+	GracePeriod float64 `msgpack:"wind_down_s"`
 }
 
-type orders struct {
-	Token    uint64  `msgpack:"epoch"`
-	Session  uint64  `msgpack:"tenure"`
-	Commands []order `msgpack:"orders"`
+type commandBatch struct {
+	Token    uint64    `msgpack:"epoch"`
+	Session  uint64    `msgpack:"tenure"`
+	Commands []command `msgpack:"orders"`
 }
 
 // Site is what a worker finds round it.
-type Site interface {
+type Environment interface {
 	// Context ends with the site.
 	Context() context.Context
 	Logger() *slog.Logger
@@ -68,25 +68,25 @@
 	// Client sends from the worker's address.
 	Client(address string) *http.Client
 	// Still has nothing go to or from an address, or lets it go on.
-	Still(address string, still bool)
+	Freeze(address string, still bool)
 	Controllers() []Controller
 	// Job is a job's description as its user uploaded it, nil if there is none.
 	Job(id string) *Spec
 	// FileJob reads a job's description of the controllers; served tells whether there are
 	// any to be read.
-	FileJob(id string) *Spec
-	ServesFiles() bool
+	JobFromFile(id string) *Spec
+	ServesJobFiles() bool
 	Timing() Timing
 	Observer() Observer
 	// Gangs brings gangs' tasks together; nil: there are none.
-	Gangs() Gangs
+	Gangs() GangCoordinator
 }
 
 // Gangs is told as a gang's task waits for the others, and as it leaves, for which it gives
 // the cause. The worker's lock is held.
-type Gangs interface {
-	gangJoined(t *lot, k *Worker)
-	gangLeft(t *lot, why string) string
+type GangCoordinator interface {
+	gangJoined(t *workerTask, k *Worker)
+	gangLeft(t *workerTask, why string) string
 }
 
 // Controller is a controller that workers report to.
@@ -95,154 +95,154 @@
 // Timing is how workers go by time.
 type Timing struct {
 	Lease, GangWait time.Duration
-	ReportGap       func() time.Duration // until the next report
+	ReportInterval  func() time.Duration // until the next report
 }
 
 // Observer is told what workers do with tasks; the worker's lock is held.
 type Observer interface {
-	Started(t TaskOn)
-	Left(t TaskOn)
-	Done(task string, of *Spec)
-	Ordered(task string)
+	TaskStarted(t TaskOnMachine)
+	TaskLeft(t TaskOnMachine)
+	TaskDone(task string, of *Spec)
+	StartExecuted(task string)
 	// Expired is told that a lease runs out on a machine with so many tasks.
-	Expired(m Place, session uint64, tasks []TaskOn)
+	LeaseExpired(m MachineInfo, session uint64, tasks []TaskOnMachine)
 }
 
 // TaskOn is a task on a machine.
-type TaskOn struct {
+type TaskOnMachine struct {
 	Task    string
 	Attempt uint64
-	Why     string // it left
-	Of      *Spec
-	At      Place
+	Cause   string // it left
+	Spec    *Spec
+	Host    MachineInfo
 }
 
 // Place is a machine.
-type Place struct {
+type MachineInfo struct {
 	Machine, Type, Zone string
 	Spot                bool
 }
 
 // Worker is a stand-in for a worker.
 type Worker struct {
-	site Site
-	name string
-	at   string
-	typ  *MachineType
-	zone string
-	spot bool
-
-	mu       sync.Mutex
-	session  uint64
-	seq      uint64
-	token    uint64
-	notice   *float64
-	tasks    []*lot
-	images   map[string]bool
-	answered time.Time
-	up       time.Time // when it was
-	dead     bool
-	deaf     bool // its reports arrive, answers and direct commands to it are lost
-	mute     bool // direct commands arrive and are answered, its reports reach nobody
-	hung     bool // it executes nothing; its tasks make no progress
-	Sick     bool // every task it starts fails
-	wake     chan struct{}
-	stop     context.CancelFunc
-	unserve  func()
+	env         Environment
+	name        string
+	address     string
+	machineType *MachineType
+	zone        string
+	spot        bool
+
+	mu               sync.Mutex
+	session          uint64
+	seq              uint64
+	token            uint64
+	spotNotice       *float64
+	tasks            []*workerTask
+	images           map[string]bool
+	lastAcknowledged time.Time
+	startedAt        time.Time // when it was
+	dead             bool
+	inboundLost      bool // its reports arrive, answers and direct commands to it are lost
+	outboundLost     bool // direct commands arrive and are answered, its reports reach nobody
+	hung             bool // it executes nothing; its tasks make no progress
+	FailsTasks       bool // every task it starts fails
+	wake             chan struct{}
+	stop             context.CancelFunc
+	stopServing      func()
 }
 
 // StartWorker starts a machine's worker at an address.
-func StartWorker(site Site, at string, m Place, t *MachineType) *Worker {
+func StartWorker(site Environment, at string, m MachineInfo, t *MachineType) *Worker {
 	ctx, cancel := context.WithCancel(site.Context())
 	k := &Worker{
-		site: site, name: m.Machine, at: at, typ: t, zone: m.Zone, spot: m.Spot, session: 1,
-		images: map[string]bool{}, answered: time.Now(), up: time.Now(), wake: make(chan struct{}, 1), stop: cancel,
+		env: site, name: m.Machine, address: at, machineType: t, zone: m.Zone, spot: m.Spot, session: 1,
+		images: map[string]bool{}, lastAcknowledged: time.Now(), startedAt: time.Now(), wake: make(chan struct{}, 1), stop: cancel,
 	}
-	k.unserve = site.Serve(k)
-	go k.report(ctx)
-	go k.keepLease(ctx)
+	k.stopServing = site.Serve(k)
+	go k.reportLoop(ctx)
+	go k.watchLease(ctx)
 	return k
 }
 
 // Place is the machine.
-func (k *Worker) Place() Place {
-	return Place{Machine: k.name, Type: k.typ.Name, Zone: k.zone, Spot: k.spot}
+func (k *Worker) Info() MachineInfo {
+	return MachineInfo{Machine: k.name, Type: k.machineType.Name, Zone: k.zone, Spot: k.spot}
 }
 
-func (k *Worker) taskOn(t *lot) TaskOn {
-	return TaskOn{Task: t.Task, Attempt: t.Attempt, Why: t.Why, Of: t.spec, At: k.Place()}
+func (k *Worker) taskOnMachine(t *workerTask) TaskOnMachine {
+	return TaskOnMachine{Task: t.Task, Attempt: t.Attempt, Cause: t.Cause, Spec: t.spec, Host: k.Info()}
 }
 
 // Name is the machine's name.
 func (k *Worker) Name() string { return k.name }
 
 // Die ends the machine and everything on it.
-func (k *Worker) Die() {
+func (k *Worker) Terminate() {
 	k.mu.Lock()
 	k.dead = true
-	k.forgetAll()
+	k.dropTasks()
 	k.mu.Unlock()
 	k.stop()
-	k.unserve()
+	k.stopServing()
 }
 
 // Hang has the machine answer nothing and report nothing, or go on.
-func (k *Worker) Hang(hang bool) {
+func (k *Worker) SetHung(hang bool) {
 	k.mu.Lock()
 	k.hung = hang
 	k.mu.Unlock()
-	k.site.Still(k.at, hang)
+	k.env.Freeze(k.address, hang)
 }
 
 // Mute cuts the way from the machine to the controllers, and not the way back, or mends
 // it: a one-way partition.
-func (k *Worker) Mute(mute bool) {
+func (k *Worker) SetOutboundLost(mute bool) {
 	k.mu.Lock()
-	k.mute = mute
+	k.outboundLost = mute
 	k.mu.Unlock()
 }
 
-func (k *Worker) isMute() bool {
+func (k *Worker) isOutboundLost() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.mute
+	return k.outboundLost
 }
 
 // Deaf has what is sent to the machine lost, and not what it sends, or lets it hear.
-func (k *Worker) Deaf(deaf bool) {
+func (k *Worker) SetInboundLost(deaf bool) {
 	k.mu.Lock()
-	k.deaf = deaf
+	k.inboundLost = deaf
 	k.mu.Unlock()
 }
 
-func (k *Worker) isDeaf() bool {
+func (k *Worker) isInboundLost() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.deaf
+	return k.inboundLost
 }
 
 // Up is for how long the machine has been up.
-func (k *Worker) Up() time.Duration { return time.Since(k.up) }
+func (k *Worker) Uptime() time.Duration { return time.Since(k.startedAt) }
 
 // Zone is the machine's zone.
 func (k *Worker) Zone() string { return k.zone }
 
 // SetNotice lets the worker report that the cloud takes the machine away.
-func (k *Worker) SetNotice(seconds float64) {
+func (k *Worker) SetSpotNotice(seconds float64) {
 	k.mu.Lock()
-	k.notice = &seconds
+	k.spotNotice = &seconds
 	k.mu.Unlock()
-	k.poke()
+	k.reportSoon()
 }
 
 // SetSick makes every task that starts here fail.
-func (k *Worker) SetSick() {
+func (k *Worker) SetFailsTasks() {
 	k.mu.Lock()
-	k.Sick = true
+	k.FailsTasks = true
 	k.mu.Unlock()
 }
 
-func (k *Worker) poke() {
+func (k *Worker) reportSoon() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -250,28 +250,28 @@
 }
 
 // forgetAll kills all tasks; k.mu is held.
-func (k *Worker) forgetAll() {
+func (k *Worker) dropTasks() {
 	for _, t := range k.tasks {
 		if t.timer != nil {
 			t.timer.Stop()
 		}
-		k.leave(t)
+		k.noteLeft(t)
 	}
 	k.tasks = nil
 }
 
 // leave tells the checker that a task is not on the machine any more.
-func (k *Worker) leave(t *lot) {
-	if t.placed {
-		t.placed = false
-		k.site.Observer().Left(k.taskOn(t))
+func (k *Worker) noteLeft(t *workerTask) {
+	if t.onMachine {
+		t.onMachine = false
+		k.env.Observer().TaskLeft(k.taskOnMachine(t))
 	}
 }
 
 // keepLease ends the worker's lease in the moment in which the last answered
 // report was sent so long ago: controllers count on that moment.
-func (k *Worker) keepLease(ctx context.Context) {
-	t := time.NewTimer(k.site.Timing().Lease)
+func (k *Worker) watchLease(ctx context.Context) {
+	t := time.NewTimer(k.env.Timing().Lease)
 	defer t.Stop()
 	for {
 		select {
@@ -280,60 +280,60 @@
 		case <-t.C:
 		}
 		k.mu.Lock()
-		if time.Since(k.answered) >= k.site.Timing().Lease && !k.dead {
-			k.expire()
-			k.forgetAll()
+		if time.Since(k.lastAcknowledged) >= k.env.Timing().Lease && !k.dead {
+			k.noteLeaseExpired()
+			k.dropTasks()
 			k.session++
-			k.answered = time.Now()
-			k.poke()
+			k.lastAcknowledged = time.Now()
+			k.reportSoon()
 		}
-		t.Reset(time.Until(k.answered.Add(k.site.Timing().Lease)))
+		t.Reset(time.Until(k.lastAcknowledged.Add(k.env.Timing().Lease)))
 		k.mu.Unlock()
 	}
 }
 
 // expire tells the observer that the lease is over; k.mu is held.
-func (k *Worker) expire() {
-	var on []TaskOn
+func (k *Worker) noteLeaseExpired() {
+	var on []TaskOnMachine
 	for _, t := range k.tasks {
-		if t.placed {
-			on = append(on, k.taskOn(t))
+		if t.onMachine {
+			on = append(on, k.taskOnMachine(t))
 		}
 	}
-	k.site.Observer().Expired(k.Place(), k.session, on)
+	k.env.Observer().LeaseExpired(k.Info(), k.session, on)
 }
 
 // snapshot is the current report; k.mu is held.
-func (k *Worker) snapshot() []byte {
+func (k *Worker) encodeReport() []byte {
 	k.seq++
-	b, _ := wire.Marshal(&beat{
-		Machine: k.name, Address: k.at, Type: k.typ.Name, Zone: k.zone, Spot: k.spot,
-		Session: k.session, Seq: k.seq, Token: k.token, Notice: k.notice, Tasks: k.tasks,
+	b, _ := wire.Marshal(&statusReport{
+		Machine: k.name, Address: k.address, Type: k.machineType.Name, Zone: k.zone, Spot: k.spot,
+		Session: k.session, Seq: k.seq, Token: k.token, SpotNotice: k.spotNotice, Tasks: k.tasks,
 	})
 	return b
 }
 
 // report sends reports to one node after the other until one takes them.
-func (k *Worker) report(ctx context.Context) {
-	client := k.site.Client(k.at)
+func (k *Worker) reportLoop(ctx context.Context) {
+	client := k.env.Client(k.address)
 	cur := 0
 	for ctx.Err() == nil {
-		nodes := k.site.Controllers()
+		nodes := k.env.Controllers()
 		k.mu.Lock()
-		body := k.snapshot()
+		body := k.encodeReport()
 		session := k.session
 		k.mu.Unlock()
 		sent := time.Now()
-		status, answer := k.post(ctx, client, nodes[cur%len(nodes)].Address, body)
-		pause := k.site.Timing().ReportGap()
+		status, answer := k.postReport(ctx, client, nodes[cur%len(nodes)].Address, body)
+		pause := k.env.Timing().ReportInterval()
 		switch status {
 		case http.StatusOK:
-			var o orders
+			var o commandBatch
 			if wire.Unmarshal(answer, &o) == nil {
 				k.mu.Lock()
 				if session == k.session && o.Token >= k.token && o.Token > 0 {
 					k.token = o.Token
-					k.answered = sent
+					k.lastAcknowledged = sent
 					k.execute(o.Commands)
 				}
 				k.mu.Unlock()
@@ -368,10 +368,10 @@
 	}
 }
 
-func (k *Worker) post(ctx context.Context, c *http.Client, at string, body []byte) (int, []byte) {
+func (k *Worker) postReport(ctx context.Context, c *http.Client, at string, body []byte) (int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	if k.isMute() {
+	if k.isOutboundLost() {
 		<-ctx.Done()
 		return 0, nil
 	}
@@ -380,7 +380,7 @@
 		return 0, nil
 	}
 	status, b := Exchange(c, req)
-	if status != 0 && k.isDeaf() {
+	if status != 0 && k.isInboundLost() {
 		<-ctx.Done()
 		return 0, nil
 	}
@@ -404,7 +404,7 @@
 // ServeHTTP serves direct commands.
 func (k *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
-	if k.isDeaf() {
+	if k.isInboundLost() {
 		select { // the sender gives up, unless this is a late copy
 		case <-r.Context().Done():
 		case <-time.After(10 * time.Second):
@@ -418,7 +418,7 @@
 	}
 	status := http.StatusOK
 	if r.URL.Path == wire.CommandsPath {
-		var o orders
+		var o commandBatch
 		if wire.Unmarshal(b, &o) != nil || o.Token == 0 || o.Session == 0 {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -428,16 +428,16 @@
 		} else {
 			if o.Token > k.token {
 				k.token = o.Token
-				k.poke()
+				k.reportSoon()
 			}
 			k.execute(o.Commands)
 		}
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(k.snapshot())
+	_, _ = w.Write(k.encodeReport())
 }
 
-func (k *Worker) find(task string, attempt uint64) *lot {
+func (k *Worker) findTask(task string, attempt uint64) *workerTask {
 	for _, t := range k.tasks {
 		if t.Task == task && t.Attempt == attempt {
 			return t
@@ -447,23 +447,23 @@
 }
 
 // execute carries out commands in their order; k.mu is held.
-func (k *Worker) execute(cmds []order) {
+func (k *Worker) execute(cmds []command) {
 	for _, o := range cmds {
-		k.site.Logger().Debug("executed", "machine", k.name, "op", o.Op, "task", o.Task, "attempt", o.Attempt, "token", k.token, "session", k.session)
-		t := k.find(o.Task, o.Attempt)
+		k.env.Logger().Debug("executed", "machine", k.name, "op", o.Op, "task", o.Task, "attempt", o.Attempt, "token", k.token, "session", k.session)
+		t := k.findTask(o.Task, o.Attempt)
 		switch {
 		case o.Op == "start" && t == nil:
-			k.site.Observer().Ordered(o.Task)
-			k.begin(o.Task, o.Attempt)
+			k.env.Observer().StartExecuted(o.Task)
+			k.startTask(o.Task, o.Attempt)
 		case o.Op == "halt" && t != nil && t.State != "exited":
 			if t.timer != nil {
 				t.timer.Stop()
 			}
-			if t.State == "running" && t.spec.CheckpointS > 0 && o.Grace >= t.spec.SaveS {
+			if t.State == "running" && t.spec.CheckpointS > 0 && o.GracePeriod >= t.spec.SaveS {
 				t.State = "flushing"
-				t.timer = time.AfterFunc(time.Duration(t.spec.SaveS*float64(time.Second)), func() { k.end(t, "halted", true) })
-			} else if t.State != "flushing" || o.Grace == 0 {
-				k.exit(t, "halted", false)
+				t.timer = time.AfterFunc(time.Duration(t.spec.SaveS*float64(time.Second)), func() { k.exitFromTimer(t, "halted", true) })
+			} else if t.State != "flushing" || o.GracePeriod == 0 {
+				k.exitTask(t, "halted", false)
 			}
 		case o.Op == "reap" && t != nil && t.State == "exited":
 			for i := range k.tasks {
@@ -476,31 +476,31 @@
 	}
 }
 
-func (k *Worker) exit(t *lot, why string, saved bool) {
-	if g := k.site.Gangs(); g != nil {
+func (k *Worker) exitTask(t *workerTask, why string, saved bool) {
+	if g := k.env.Gangs(); g != nil {
 		why = g.gangLeft(t, why)
 	}
-	t.State, t.Why, t.Saved = "exited", why, saved
+	t.State, t.Cause, t.Checkpointed = "exited", why, saved
 	if why == "done" {
-		k.site.Observer().Done(t.Task, t.spec)
+		k.env.Observer().TaskDone(t.Task, t.spec)
 	}
-	k.leave(t)
-	k.poke()
+	k.noteLeft(t)
+	k.reportSoon()
 }
 
 // end ends a task from a timer.
-func (k *Worker) end(t *lot, why string, saved bool) {
+func (k *Worker) exitFromTimer(t *workerTask, why string, saved bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if t.State != "exited" && k.find(t.Task, t.Attempt) == t {
-		k.exit(t, why, saved)
+	if t.State != "exited" && k.findTask(t.Task, t.Attempt) == t {
+		k.exitTask(t, why, saved)
 	}
 }
 
-func (k *Worker) begin(task string, attempt uint64) {
+func (k *Worker) startTask(task string, attempt uint64) {
 	job, index, _ := strings.Cut(task, "/")
-	spec := k.site.Job(job)
-	t := &lot{Task: task, Attempt: attempt, State: "exited", spec: spec}
+	spec := k.env.Job(job)
+	t := &workerTask{Task: task, Attempt: attempt, State: "exited", spec: spec}
 	var cpus, gpus, mem float64
 	busy := false
 	for _, o := range k.tasks {
@@ -512,53 +512,53 @@
 	k.tasks = append(k.tasks, t)
 	i, err := strconv.Atoi(index)
 	switch {
-	case spec == nil && err == nil && k.site.ServesFiles():
+	case spec == nil && err == nil && k.env.ServesJobFiles():
 		// No user uploaded it: perhaps it came in as a job file.
 		t.State, t.spec = "fetching", &Spec{}
-		go k.describe(t, job)
+		go k.fetchDescription(t, job)
 	case spec == nil || err != nil || i >= spec.Tasks:
-		t.Why = "no_such"
+		t.Cause = "no_such"
 	case busy:
-		t.Why = "in_use"
-	case cpus+spec.CPUs > k.typ.CPUs || gpus+spec.GPUs > k.typ.GPUs || mem+spec.MemGB > k.typ.MemGB:
-		t.Why = "no_room"
+		t.Cause = "in_use"
+	case cpus+spec.CPUs > k.machineType.CPUs || gpus+spec.GPUs > k.machineType.GPUs || mem+spec.MemGB > k.machineType.MemGB:
+		t.Cause = "no_room"
 	default:
 		t.State = "fetching"
 		fetch := time.Duration(0)
 		if !k.images[spec.Image] {
-			fetch = time.Duration(spec.ImageGB / k.typ.FetchGBps * float64(time.Second))
+			fetch = time.Duration(spec.ImageGB / k.machineType.FetchGBps * float64(time.Second))
 		}
-		t.timer = time.AfterFunc(fetch, func() { k.fetched(t) })
+		t.timer = time.AfterFunc(fetch, func() { k.imageFetched(t) })
 	}
-	k.poke()
+	k.reportSoon()
 }
 
-func (k *Worker) fetched(t *lot) {
+func (k *Worker) imageFetched(t *workerTask) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if t.State != "fetching" || k.dead || k.find(t.Task, t.Attempt) != t {
+	if t.State != "fetching" || k.dead || k.findTask(t.Task, t.Attempt) != t {
 		return
 	}
 	k.images[t.spec.Image] = true
-	t.placed = true
-	k.site.Observer().Started(k.taskOn(t))
+	t.onMachine = true
+	k.env.Observer().TaskStarted(k.taskOnMachine(t))
 	switch {
-	case k.Sick || t.spec.Broken:
-		k.exit(t, "error", false)
+	case k.FailsTasks || t.spec.Broken:
+		k.exitTask(t, "error", false)
 	case t.spec.Shape == "ensemble":
 		t.State = "gathering"
-		t.timer = time.AfterFunc(k.site.Timing().GangWait, func() { k.end(t, "alone", false) })
-		if g := k.site.Gangs(); g != nil {
+		t.timer = time.AfterFunc(k.env.Timing().GangWait, func() { k.exitFromTimer(t, "alone", false) })
+		if g := k.env.Gangs(); g != nil {
 			g.gangJoined(t, k)
 		}
 	default:
-		k.run(t)
+		k.runTask(t)
 	}
-	k.poke()
+	k.reportSoon()
 }
 
 // run lets a task run; k.mu is held.
-func (k *Worker) run(t *lot) {
+func (k *Worker) runTask(t *workerTask) {
 	t.State, t.runningAt = "running", time.Now()
 	if t.spec.Shape == "standing" {
 		return
@@ -568,16 +568,16 @@
 		i, _ := strconv.Atoi(index)
 		run = t.spec.RunOf[i]
 	}
-	t.timer = time.AfterFunc(time.Duration(run*float64(time.Second)), func() { k.end(t, "done", false) })
+	t.timer = time.AfterFunc(time.Duration(run*float64(time.Second)), func() { k.exitFromTimer(t, "done", false) })
 }
 
 // Running lists the tasks on the machine.
-func (k *Worker) Running() []string {
+func (k *Worker) RunningTasks() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []string
 	for _, t := range k.tasks {
-		if t.placed {
+		if t.onMachine {
 			out = append(out, t.Task)
 		}
 	}
@@ -596,7 +596,7 @@
 }
 
 // Tasks counts the tasks that the machine has been given and has not ended.
-func (k *Worker) Tasks() int {
+func (k *Worker) ActiveTasks() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := 0
@@ -609,11 +609,11 @@
 }
 
 // Addr is the worker's address.
-func (k *Worker) Addr() string { return k.at }
+func (k *Worker) Address() string { return k.address }
 
 // Answered is when its last report that was answered was sent.
-func (k *Worker) Answered() time.Time {
+func (k *Worker) LastAcknowledged() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.answered
+	return k.lastAcknowledged
 }
