--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -51,16 +51,16 @@
 
 // Node is a controller of the world.
 type Node struct {
-	Name   string
-	Zone   string
-	addr   string
-	peers  string // where the others reach it
-	nomad  string // where Nomad's clients do
-	gate   *gate
-	cancel context.CancelFunc
-	l, pl  net.Listener
-	nl     net.Listener // nil: Nomad's clients are not served
-	nd     *node.Node
+	Name                   string
+	Zone                   string
+	addr                   string
+	peerAddr               string // where the others reach it
+	nomadAddr              string // where Nomad's clients do
+	gate                   *logGate
+	cancel                 context.CancelFunc
+	listener, peerListener net.Listener
+	nomadListener          net.Listener // nil: Nomad's clients are not served
+	node                   *node.Node
 }
 
 // World is a deployment of stand-ins round real controllers.
@@ -75,31 +75,31 @@
 	Nodes        []*Node
 	Log          *slog.Logger
 	Settings     config.Settings // of the nodes that are started from now on
-	BackIn       time.Duration   // until a node that ended with a request is started again
+	RestartDelay time.Duration   // until a node that ended with a request is started again
 
-	ctx                           context.Context
-	cancel                        context.CancelFunc
-	platform                      config.Platform
-	lease, reportGap              time.Duration
-	gangWait, gangPeers, cancelIn time.Duration
+	ctx                                             context.Context
+	cancel                                          context.CancelFunc
+	platform                                        config.Platform
+	leaseTTL, reportInterval                        time.Duration
+	gangWaitTimeout, gangPeerTimeout, cancelTimeout time.Duration
 
 	nodesMu sync.Mutex // nodes start and end
 	closed  bool       // none starts any more
 
-	mu    sync.Mutex
-	looks func(id string) // see Looks
-	last  func(id string) // see Last
-	specs map[string]*Spec
-	files map[string][]string // native jobs of job files that a machine has run, by team/name
-	gangs map[string]*gang
-	check *checker
-	users int
+	mu             sync.Mutex
+	onUserState    func(id string) // see Looks
+	onLastTaskDone func(id string) // see Last
+	specs          map[string]*Spec
+	nativeJobs     map[string][]string // native jobs of job files that a machine has run, by team/name
+	gangs          map[string]*gangState
+	checker        *worldChecker
+	userRequests   int
 }
 
-type gang struct {
-	ready   map[*lot]*Worker
+type gangState struct {
+	ready   map[*workerTask]*Worker
 	running bool
-	over    bool // a task has left
+	ended   bool // a task has left
 	done    bool // it was done
 }
 
@@ -119,39 +119,39 @@
 		CloudFaults: NewFaults(seed + 1), WorkerFaults: NewFaults(seed + 2),
 		Settings: config.DefaultSettings(),
 		Log:      slog.New(slog.NewTextHandler(io.Discard, nil)), ctx: ctx, cancel: cancel, platform: p,
-		lease: sec(p.Params.Workers.LeaseS), reportGap: sec(p.Params.Workers.ReportS),
-		gangWait: sec(p.Params.Workers.GangWaitS), gangPeers: sec(p.Params.Workers.GangPeerS),
-		cancelIn: sec(p.Params.Workers.CancelS),
-		specs:    map[string]*Spec{}, files: map[string][]string{}, gangs: map[string]*gang{},
-	}
-	w.check = newChecker(w)
-	byClient := func(r *http.Request) { w.endsWith(r.RemoteAddr) }
-	w.StateFaults.ends, w.CloudFaults.ends, w.WorkerFaults.ends = byClient, byClient, byClient
+		leaseTTL: sec(p.Params.Workers.LeaseS), reportInterval: sec(p.Params.Workers.ReportS),
+		gangWaitTimeout: sec(p.Params.Workers.GangWaitS), gangPeerTimeout: sec(p.Params.Workers.GangPeerS),
+		cancelTimeout: sec(p.Params.Workers.CancelS),
+		specs:         map[string]*Spec{}, nativeJobs: map[string][]string{}, gangs: map[string]*gangState{},
+	}
+	w.checker = newWorldChecker(w)
+	byClient := func(r *http.Request) { w.crashNodeAt(r.RemoteAddr) }
+	w.StateFaults.crashNode, w.CloudFaults.crashNode, w.WorkerFaults.crashNode = byClient, byClient, byClient
 	address := func(n int, _ string) string { return fmt.Sprintf("10.1.0.%d:9000", n) }
-	w.Cloud = NewCloud(types, 100, address, func(m Place, at string, t *MachineType) Running {
+	w.Cloud = NewCloud(types, 100, address, func(m MachineInfo, at string, t *MachineType) MachineProcess {
 		if w.ctx.Err() != nil {
 			return nil
 		}
-		return StartWorker(worldSite{w}, at, m, t)
+		return StartWorker(worldEnvironment{w}, at, m, t)
 	})
 	w.Net.Serve(stateAddr, w.StateFaults.Wrap(w.State))
 	w.Net.Serve(cloudAddr, w.CloudFaults.Wrap(w.Cloud))
 	for i, zone := range []string{"a", "b", "c"} {
 		n := &Node{
 			Name: fmt.Sprintf("node-%d", i), Zone: zone,
-			addr: fmt.Sprintf("10.0.0.%d:8080", i+1), peers: fmt.Sprintf("10.0.0.%d:8081", i+1),
-			nomad: fmt.Sprintf("10.0.0.%d:4646", i+1),
+			addr: fmt.Sprintf("10.0.0.%d:8080", i+1), peerAddr: fmt.Sprintf("10.0.0.%d:8081", i+1),
+			nomadAddr: fmt.Sprintf("10.0.0.%d:4646", i+1),
 		}
-		n.gate = newGate(w.Log.Handler())
-		w.Net.Place(n.addr, zone)
-		w.Net.Place(n.peers, zone)
-		w.Net.Place(n.nomad, zone)
+		n.gate = newLogGate(w.Log.Handler())
+		w.Net.SetZone(n.addr, zone)
+		w.Net.SetZone(n.peerAddr, zone)
+		w.Net.SetZone(n.nomadAddr, zone)
 		w.Nodes = append(w.Nodes, n)
 		f := NewFaults(seed + 10 + uint64(i))
-		f.ends = func(*http.Request) { w.endsWith(n.addr) }
+		f.crashNode = func(*http.Request) { w.crashNodeAt(n.addr) }
 		w.NodeFaults = append(w.NodeFaults, f)
 	}
-	go w.check.watch()
+	go w.checker.checkPeriodically()
 	return w
 }
 
@@ -167,29 +167,29 @@
 	p.Member, p.Zone, p.Listen = n.Name, n.Zone, n.addr
 	for _, o := range w.Nodes {
 		if o != n {
-			p.Peers = append(p.Peers, config.Peer{Member: o.Name, Zone: o.Zone, Endpoint: o.peers})
+			p.Peers = append(p.Peers, config.Peer{Member: o.Name, Zone: o.Zone, Endpoint: o.peerAddr})
 		}
 	}
 	p.Services.State, p.Services.Cloud = stateAddr, cloudAddr
 	ctx, cancel := context.WithCancel(w.ctx)
 	nd := node.New(&p, w.Settings, slog.New(n.gate).With("node", n.Name), w.Net.Dialer(n.addr))
-	n.cancel, n.nd = cancel, nd
+	n.cancel, n.node = cancel, nd
 	go nd.Run(ctx)
-	n.l = w.Net.Serve(n.addr, w.NodeFaults[i].Wrap(httpapi.Handler(nd)))
-	n.nl = nil
+	n.listener = w.Net.Serve(n.addr, w.NodeFaults[i].Wrap(httpapi.Handler(nd)))
+	n.nomadListener = nil
 	if w.Settings.Nomad != nil {
-		n.nl = w.Net.Serve(n.nomad, nomadapi.Handler(nd, w.Settings.Nomad, slog.New(n.gate)))
+		n.nomadListener = w.Net.Serve(n.nomadAddr, nomadapi.Handler(nd, w.Settings.Nomad, slog.New(n.gate)))
 	}
-	n.pl = w.Net.Listen(n.peers)
-	go func() { _ = peer.Serve(n.pl, nd) }()
+	n.peerListener = w.Net.Listen(n.peerAddr)
+	go func() { _ = peer.Serve(n.peerListener, nd) }()
 }
 
 // LogTo has the nodes that are started from now on log to h, and beside them what the
 // stand-ins do with tasks.
-func (w *World) LogTo(h slog.Handler) {
+func (w *World) SetLogHandler(h slog.Handler) {
 	w.Log = slog.New(h)
 	for _, n := range w.Nodes {
-		n.gate = newGate(h)
+		n.gate = newLogGate(h)
 	}
 }
 
@@ -197,9 +197,9 @@
 // nothing reaches it or leaves it, and whatever it wants to log waits.
 func (w *World) Freeze(i int, frozen bool) {
 	n := w.Nodes[i]
-	n.gate.set(frozen)
-	w.Net.Still(n.addr, frozen)
-	w.Net.Still(n.peers, frozen)
+	n.gate.setClosed(frozen)
+	w.Net.Freeze(n.addr, frozen)
+	w.Net.Freeze(n.peerAddr, frozen)
 }
 
 // Leader is the node that leads, by the state service's record; -1 for none.
@@ -217,31 +217,31 @@
 }
 
 // gate is a log handler that can be shut: who logs then waits.
-type gate struct {
+type logGate struct {
 	slog.Handler
-	mu   sync.Mutex
-	open *sync.Cond
-	shut bool
+	mu     sync.Mutex
+	opened *sync.Cond
+	closed bool
 }
 
-func newGate(h slog.Handler) *gate {
-	g := &gate{Handler: h}
-	g.open = sync.NewCond(&g.mu)
+func newLogGate(h slog.Handler) *logGate {
+	g := &logGate{Handler: h}
+	g.opened = sync.NewCond(&g.mu)
 	return g
 }
 
-func (g *gate) set(shut bool) {
+func (g *logGate) setClosed(shut bool) {
 	g.mu.Lock()
-	g.shut = shut
-	g.open.Broadcast()
+	g.closed = shut
+	g.opened.Broadcast()
 	g.mu.Unlock()
 }
 
 // Enabled is asked for every line, also for those that are thrown away.
-func (g *gate) Enabled(ctx context.Context, l slog.Level) bool {
+func (g *logGate) Enabled(ctx context.Context, l slog.Level) bool {
 	g.mu.Lock()
-	for g.shut {
-		g.open.Wait()
+	for g.closed {
+		g.opened.Wait()
 	}
 	g.mu.Unlock()
 	return g.Handler.Enabled(ctx, l)
@@ -257,23 +257,23 @@
 	}
 	n.cancel()
 	n.cancel = nil
-	_ = n.l.Close()
-	_ = n.pl.Close()
-	if n.nl != nil {
-		_ = n.nl.Close()
+	_ = n.listener.Close()
+	_ = n.peerListener.Close()
+	if n.nomadListener != nil {
+		_ = n.nomadListener.Close()
 	}
-	w.Net.Drop(n.addr)
-	w.Net.Drop(n.nomad)
-	w.Net.Drop(n.peers)
+	w.Net.DropHost(n.addr)
+	w.Net.DropHost(n.nomadAddr)
+	w.Net.DropHost(n.peerAddr)
 }
 
 // endsWith ends the process of the node at an address, without a word, and starts it
 // again at once.
-func (w *World) endsWith(at string) {
+func (w *World) crashNodeAt(at string) {
 	for i, n := range w.Nodes {
 		if n.addr == at {
 			w.Kill(i)
-			time.AfterFunc(w.BackIn, func() { w.StartNode(i) })
+			time.AfterFunc(w.RestartDelay, func() { w.StartNode(i) })
 		}
 	}
 }
@@ -287,7 +287,7 @@
 		w.Kill(i)
 	}
 	for _, k := range w.Cloud.Workers() {
-		k.Die()
+		k.Terminate()
 	}
 	w.cancel()
 	w.Net.Close()
@@ -300,18 +300,18 @@
 func (w *World) NodeAddr(i int) string { return w.Nodes[i].addr }
 
 // CutPeers cuts or mends the ways between the nodes, and nothing else.
-func (w *World) CutPeers(cut bool) {
+func (w *World) BlockPeerLinks(cut bool) {
 	for i := range w.Nodes {
-		w.CutPeersOf(i, cut)
+		w.BlockPeerLinksOf(i, cut)
 	}
 }
 
 // CutPeersOf cuts or mends the ways between a node and the others.
-func (w *World) CutPeersOf(i int, cut bool) {
+func (w *World) BlockPeerLinksOf(i int, cut bool) {
 	for _, b := range w.Nodes {
 		if a := w.Nodes[i]; a != b {
-			w.Net.Cut(a.addr, b.peers, cut)
-			w.Net.Cut(b.addr, a.peers, cut)
+			w.Net.BlockLink(a.addr, b.peerAddr, cut)
+			w.Net.BlockLink(b.addr, a.peerAddr, cut)
 		}
 	}
 }
@@ -332,18 +332,18 @@
 }
 
 // gangJoined lets a gang run once all its tasks wait; the worker's lock is held.
-func (w *World) gangJoined(t *lot, k *Worker) {
+func (w *World) gangJoined(t *workerTask, k *Worker) {
 	job, _, _ := strings.Cut(t.Task, "/")
 	key := fmt.Sprintf("%s#%d", job, t.Attempt)
 	w.mu.Lock()
 	g := w.gangs[key]
 	if g == nil {
-		g = &gang{ready: map[*lot]*Worker{}}
+		g = &gangState{ready: map[*workerTask]*Worker{}}
 		w.gangs[key] = g
 	}
 	g.ready[t] = k
 	full := len(g.ready) == t.spec.Tasks && !g.running
-	var members map[*lot]*Worker
+	var members map[*workerTask]*Worker
 	if full {
 		g.running = true
 		members = maps.Clone(g.ready) // a task may leave while the others begin
@@ -357,10 +357,10 @@
 			k.mu.Lock()
 			if t.State == "gathering" {
 				t.timer.Stop()
-				k.run(t)
+				k.runTask(t)
 			}
 			k.mu.Unlock()
-			k.poke()
+			k.reportSoon()
 		}
 	}()
 }
@@ -368,7 +368,7 @@
 // gangLeft lets the rest of a gang notice that a task leaves, and says why it
 // does. The tasks of a gang complete together: if one is done, all are, and none
 // is once another has gone.
-func (w *World) gangLeft(t *lot, why string) string {
+func (w *World) gangLeft(t *workerTask, why string) string {
 	if t.spec == nil || t.spec.Shape != "ensemble" {
 		return why
 	}
@@ -380,22 +380,22 @@
 		return why
 	}
 	delete(g.ready, t)
-	if g.over && !g.done && why == "done" {
+	if g.ended && !g.done && why == "done" {
 		return "mates_gone"
 	}
-	if !g.running || g.over {
+	if !g.running || g.ended {
 		return why
 	}
-	g.over = true
-	after, with := w.gangPeers/2, "mates_gone"
+	g.ended = true
+	after, with := w.gangPeerTimeout/2, "mates_gone"
 	if why == "done" {
 		after, with, g.done = 0, "done", true
 		for i := range t.spec.Tasks {
-			w.check.Done(wire.TaskName(job, i), nil)
+			w.checker.TaskDone(wire.TaskName(job, i), nil)
 		}
 	}
 	for o, k := range g.ready {
-		time.AfterFunc(after, func() { k.end(o, with, false) })
+		time.AfterFunc(after, func() { k.exitFromTimer(o, with, false) })
 	}
 	return why
 }
@@ -413,15 +413,15 @@
 }
 
 // next is the node that the load balancer chooses.
-func (w *World) next() string {
+func (w *World) nextNodeAddr() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.users++
-	return w.Nodes[w.users%len(w.Nodes)].addr
+	w.userRequests++
+	return w.Nodes[w.userRequests%len(w.Nodes)].addr
 }
 
 // Post submits a body once to a node and returns the status.
-func (w *World) Post(i int, body any) int {
+func (w *World) PostJob(i int, body any) int {
 	b, _ := wire.Marshal(body)
 	status, _ := w.request(http.MethodPost, w.Nodes[i].addr, wire.JobsPath, b, 5*time.Second)
 	return status
@@ -435,14 +435,14 @@
 	w.mu.Unlock()
 	b, _ := wire.Marshal(&s)
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end) && w.ctx.Err() == nil; {
-		status, _ := w.request(http.MethodPost, w.next(), wire.JobsPath, b, 5*time.Second)
+		status, _ := w.request(http.MethodPost, w.nextNodeAddr(), wire.JobsPath, b, 5*time.Second)
 		switch status {
 		case http.StatusOK, http.StatusCreated:
-			w.check.Accepted(s.ID)
-			w.look(s.ID)
+			w.checker.JobAccepted(s.ID)
+			w.notifyUserState(s.ID)
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			w.check.Refused(s.ID, status)
+			w.checker.JobRefused(s.ID, status)
 			return false
 		}
 		time.Sleep(time.Second)
@@ -451,67 +451,67 @@
 }
 
 // Poll asks once and returns what the user is told; "" for no answer.
-func (w *World) Poll(id string) string { return w.ask(w.next(), id) }
+func (w *World) Poll(id string) string { return w.pollAddr(w.nextNodeAddr(), id) }
 
 // PollAt asks one node.
-func (w *World) PollAt(i int, id string) string { return w.ask(w.Nodes[i].addr, id) }
+func (w *World) PollAt(i int, id string) string { return w.pollAddr(w.Nodes[i].addr, id) }
 
-func (w *World) ask(at, id string) string {
-	before := w.check.Asks(id)
+func (w *World) pollAddr(at, id string) string {
+	before := w.checker.LastObserved(id)
 	status, b := w.request(http.MethodGet, at, wire.JobsPath+"/"+id, nil, 2*time.Second)
-	return w.answered(id, status, b, before)
+	return w.noteAnswer(id, status, b, before)
 }
 
 // answered is what a user is told of a job by an answer; "" for nothing.
-func (w *World) answered(id string, status int, body []byte, before Asked) string {
+func (w *World) noteAnswer(id string, status int, body []byte, before ObservedState) string {
 	var s wire.JobState
 	switch {
 	case (status == http.StatusOK || status == http.StatusCreated) && wire.Unmarshal(body, &s) == nil:
-		w.check.told(id, s.State, before)
+		w.checker.noteState(id, s.State, before)
 		return s.State
 	case status == http.StatusNotFound:
-		w.check.told(id, "unknown", before)
+		w.checker.noteState(id, "unknown", before)
 		return "unknown"
 	}
-	w.check.unanswered(id)
+	w.checker.noteUnanswered(id)
 	return ""
 }
 
 // Repeat submits a job once more at one node, with another body if one is given, and
 // returns the status and what the user is told.
-func (w *World) Repeat(i int, id string, body any) (int, string) {
+func (w *World) Resubmit(i int, id string, body any) (int, string) {
 	if body == nil {
 		body = w.spec(id)
 	}
-	before := w.check.Asks(id)
+	before := w.checker.LastObserved(id)
 	b, _ := wire.Marshal(body)
 	status, answer := w.request(http.MethodPost, w.Nodes[i].addr, wire.JobsPath, b, 5*time.Second)
-	if before.known && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
-		w.check.Refused(id, status)
+	if before.accepted && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
+		w.checker.JobRefused(id, status)
 	}
-	if status == http.StatusCreated && before.known {
-		w.check.twice(id)
+	if status == http.StatusCreated && before.accepted {
+		w.checker.acceptedTwice(id)
 	}
-	return status, w.answered(id, status, answer, before)
+	return status, w.noteAnswer(id, status, answer, before)
 }
 
 // CancelAt asks one node once to cancel a job and returns what the user is told.
 func (w *World) CancelAt(i int, id string) string {
-	w.check.CallsOff(id)
-	before := w.check.Asks(id)
+	w.checker.CancelRequested(id)
+	before := w.checker.LastObserved(id)
 	status, b := w.request(http.MethodPost, w.Nodes[i].addr, wire.JobsPath+"/"+id+"/"+wire.CancelSuffix, nil, 5*time.Second)
-	return w.answered(id, status, b, before)
+	return w.noteAnswer(id, status, b, before)
 }
 
 // ReportCopy has a copy of a worker's report arrive at a node and returns how that is
 // answered: the worker does not learn of it.
-func (w *World) ReportCopy(i int, body []byte) int {
+func (w *World) SendReportCopy(i int, body []byte) int {
 	status, _ := w.request(http.MethodPost, w.Nodes[i].addr, wire.ReportPath, body, 4*time.Second)
 	return status
 }
 
 // Await polls until the job is in the state, and reports whether it came there.
-func (w *World) Await(id, state string, within time.Duration) bool {
+func (w *World) AwaitState(id, state string, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		switch w.Poll(id) {
 		case state:
@@ -527,11 +527,11 @@
 // Cancel cancels a job as a user does and returns its state, "" if it could
 // not be cancelled.
 func (w *World) Cancel(id string) string {
-	w.check.CallsOff(id)
-	before := w.check.Asks(id)
+	w.checker.CancelRequested(id)
+	before := w.checker.LastObserved(id)
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); {
-		status, b := w.request(http.MethodPost, w.next(), wire.JobsPath+"/"+id+"/"+wire.CancelSuffix, nil, 5*time.Second)
-		if told := w.answered(id, status, b, before); told != "" && told != "unknown" {
+		status, b := w.request(http.MethodPost, w.nextNodeAddr(), wire.JobsPath+"/"+id+"/"+wire.CancelSuffix, nil, 5*time.Second)
+		if told := w.noteAnswer(id, status, b, before); told != "" && told != "unknown" {
 			return told
 		}
 		time.Sleep(time.Second)
@@ -541,31 +541,31 @@
 
 // Looks has f called right after a user was told that a job is accepted, done or cancelled;
 // nil: nothing.
-func (w *World) Looks(f func(id string)) {
+func (w *World) OnUserState(f func(id string)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.looks = f
+	w.onUserState = f
 }
 
 // Last has f called as the last task of a job is done; nil: nothing.
-func (w *World) Last(f func(id string)) {
+func (w *World) OnLastTaskDone(f func(id string)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.last = f
+	w.onLastTaskDone = f
 }
 
-func (w *World) look(id string) {
+func (w *World) notifyUserState(id string) {
 	w.mu.Lock()
-	f := w.looks
+	f := w.onUserState
 	w.mu.Unlock()
 	if f != nil {
 		f(id)
 	}
 }
 
-func (w *World) lastDone(id string) {
+func (w *World) notifyLastTaskDone(id string) {
 	w.mu.Lock()
-	f := w.last
+	f := w.onLastTaskDone
 	w.mu.Unlock()
 	if f != nil {
 		f(id)
@@ -573,29 +573,29 @@
 }
 
 // Fail notes a rule that a user found broken.
-func (w *World) Fail(format string, args ...any) {
-	w.check.mu.Lock()
-	defer w.check.mu.Unlock()
-	w.check.fail(format, args...)
+func (w *World) ReportViolation(format string, args ...any) {
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
+	w.checker.reportViolation(format, args...)
 }
 
 // Known lists the jobs that users know to be accepted, with the last final state told.
-func (w *World) Known() map[string]string {
-	w.check.mu.Lock()
-	defer w.check.mu.Unlock()
+func (w *World) AcceptedJobs() map[string]string {
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
 	out := map[string]string{}
-	for id := range w.check.known {
-		out[id] = w.check.last[id]
+	for id := range w.checker.accepted {
+		out[id] = w.checker.finalStates[id]
 	}
 	return out
 }
 
 // SetLimit has the rules go by other limits of teams than the platform's file has.
-func (w *World) SetLimit(limit func(team string) Limit) {
-	w.check.mu.Lock()
-	defer w.check.mu.Unlock()
-	w.check.Limit = limit
+func (w *World) SetTeamLimit(limit func(team string) Limit) {
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
+	w.checker.Limit = limit
 }
 
 // Broken lists the rules that were broken.
-func (w *World) Broken() []string { return w.check.List() }
+func (w *World) Violations() []string { return w.checker.Violations() }
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func gang(id, tasks int, run float64) simulator.Spec {
+func gangState(id, tasks int, run float64) simulator.Spec {
 	return simulator.Spec{
 		ID: fmt.Sprintf("job-%06d", id), Class: "train", Team: "blue", Shape: "ensemble", Urgency: "high",
 		Tasks: tasks, CPUs: 4, MemGB: 4, Image: "im3", ImageGB: 1, OneZone: true, Spot: true,
@@ -68,126 +68,129 @@
 
 // TestDays plays whole days against the real controllers under fake time and
 // looks for broken rules and for work that does not get done.
-func TestDays(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	s := time.Second
-	for _, day := range []day{
+	for _, sc := range []scenario{
 		{name: "quiet", seed: 1},
 		{name: "answers lost", seed: 2, setup: func(w *simulator.World) {
-			w.StateFaults.LoseAnswer, w.StateFaults.LoseRequest = 0.05, 0.05
-			w.WorkerFaults.LoseAnswer, w.WorkerFaults.LoseRequest = 0.2, 0.1
-			w.CloudFaults.LoseAnswer = 0.2
+			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest = 0.05, 0.05
+			w.WorkerFaults.LoseResponse, w.WorkerFaults.LoseRequest = 0.2, 0.1
+			w.CloudFaults.LoseResponse = 0.2
 		}},
 		{name: "late commands and transactions", seed: 3, setup: func(w *simulator.World) {
-			w.StateFaults.Late, w.StateFaults.LateBy = 0.03, 9*time.Second
-			w.WorkerFaults.Late, w.WorkerFaults.LateBy = 0.3, 20*time.Second
-			w.CloudFaults.Late, w.CloudFaults.LateBy = 0.2, 30*time.Second
+			w.StateFaults.ExecuteLate, w.StateFaults.LateDelay = 0.03, 9*time.Second
+			w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay = 0.3, 20*time.Second
+			w.CloudFaults.ExecuteLate, w.CloudFaults.LateDelay = 0.2, 30*time.Second
 		}},
 		{name: "slow services", seed: 4, setup: func(w *simulator.World) {
-			w.StateFaults.Delay, w.WorkerFaults.Delay = 300*time.Millisecond, time.Second
+			w.StateFaults.MaxDelay, w.WorkerFaults.MaxDelay = 300*time.Millisecond, time.Second
 		}},
-		{name: "controllers crash", seed: 5, acts: []act{
-			{30 * s, kill(0)}, {35 * s, start(0)}, {50 * s, kill(1)}, {51 * s, kill(2)}, {60 * s, start(1)}, {62 * s, start(2)},
-			{80 * s, killAll}, {85 * s, startAll},
+		{name: "controllers crash", seed: 5, actions: []action{
+			{30 * s, killNode(0)}, {35 * s, startNode(0)}, {50 * s, killNode(1)}, {51 * s, killNode(2)}, {60 * s, startNode(1)}, {62 * s, startNode(2)},
+			{80 * s, killAllNodes}, {85 * s, startAllNodes},
 		}},
-		{name: "machines die", seed: 6, acts: []act{
-			{40 * s, func(w *simulator.World) { w.Cloud.Workers()[0].Die() }},
-			{55 * s, func(w *simulator.World) { w.Cloud.Workers()[1].Die() }},
-			{70 * s, func(w *simulator.World) { w.Cloud.Workers()[0].SetNotice(5) }},
+		{name: "machines die", seed: 6, actions: []action{
+			{40 * s, func(w *simulator.World) { w.Cloud.Workers()[0].Terminate() }},
+			{55 * s, func(w *simulator.World) { w.Cloud.Workers()[1].Terminate() }},
+			{70 * s, func(w *simulator.World) { w.Cloud.Workers()[0].SetSpotNotice(5) }},
 		}},
-		{name: "state outages", seed: 7, acts: []act{
-			{40 * s, func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.Down = true }) }},
+		{name: "state outages", seed: 7, actions: []action{
+			{40 * s, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
 			{52 * s, func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-				w.State.Renewed()
+				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+				w.State.RenewLeases()
 			}},
-			{70 * s, func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.Down = true }) }},
-			{75 * s, killAll}, {78 * s, startAll},
+			{70 * s, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
+			{75 * s, killAllNodes}, {78 * s, startAllNodes},
 			{100 * s, func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-				w.State.Renewed()
+				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+				w.State.RenewLeases()
 			}},
 		}},
-		{name: "a state outage longer than leader's and workers' leases", seed: 12, kept: true, acts: []act{
-			{40 * s, func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.Down = true }) }},
+		{name: "a state outage longer than leader's and workers' leases", seed: 12, keepsLeases: true, actions: []action{
+			{40 * s, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
 			{80 * s, func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-				w.State.Renewed()
+				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+				w.State.RenewLeases()
 			}},
 		}},
-		{name: "all controllers crash at the end of an outage", seed: 13, kept: true, acts: []act{
-			{40 * s, func(w *simulator.World) { w.StateFaults.Set(func(f *simulator.Faults) { f.Down = true }) }},
-			{60 * s, killAll}, {63 * s, startAll},
+		{name: "all controllers crash at the end of an outage", seed: 13, keepsLeases: true, actions: []action{
+			{40 * s, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
+			{60 * s, killAllNodes}, {63 * s, startAllNodes},
 			{65 * s, func(w *simulator.World) {
-				w.StateFaults.Set(func(f *simulator.Faults) { f.Down = false })
-				w.State.Renewed()
+				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
+				w.State.RenewLeases()
 			}},
 		}},
-		{name: "cut from the state service and from workers", seed: 8, acts: []act{
-			{40 * s, func(w *simulator.World) { cutNode(w, 0, w.StateAddr(), true) }},
-			{60 * s, func(w *simulator.World) { cutNode(w, 0, w.StateAddr(), false); cutNode(w, 1, w.StateAddr(), true) }},
-			{75 * s, func(w *simulator.World) { cutNode(w, 1, w.StateAddr(), false) }},
-			{80 * s, func(w *simulator.World) { cutWorkers(w, 2, true) }},
-			{110 * s, func(w *simulator.World) { cutWorkers(w, 2, false) }},
+		{name: "cut from the state service and from workers", seed: 8, actions: []action{
+			{40 * s, func(w *simulator.World) { partitionNode(w, 0, w.StateAddr(), true) }},
+			{60 * s, func(w *simulator.World) {
+				partitionNode(w, 0, w.StateAddr(), false)
+				partitionNode(w, 1, w.StateAddr(), true)
+			}},
+			{75 * s, func(w *simulator.World) { partitionNode(w, 1, w.StateAddr(), false) }},
+			{80 * s, func(w *simulator.World) { partitionNodeFromWorkers(w, 2, true) }},
+			{110 * s, func(w *simulator.World) { partitionNodeFromWorkers(w, 2, false) }},
 		}},
-		{name: "partitioned machines", seed: 9, acts: []act{
-			{40 * s, func(w *simulator.World) { isolate(w, w.Cloud.Workers()[0], true) }},
+		{name: "partitioned machines", seed: 9, actions: []action{
+			{40 * s, func(w *simulator.World) { partitionWorker(w, w.Cloud.Workers()[0], true) }},
 			{52 * s, func(w *simulator.World) {
 				if ks := w.Cloud.Workers(); len(ks) > 0 {
-					isolate(w, ks[0], false)
+					partitionWorker(w, ks[0], false)
 				}
 			}},
 		}},
-		{name: "a faulty machine", seed: 10, acts: []act{
-			{30 * s, func(w *simulator.World) { w.Cloud.Workers()[0].SetSick() }},
+		{name: "a faulty machine", seed: 10, actions: []action{
+			{30 * s, func(w *simulator.World) { w.Cloud.Workers()[0].SetFailsTasks() }},
 		}},
 		{name: "all at once", seed: 11, setup: func(w *simulator.World) {
-			w.StateFaults.LoseAnswer, w.StateFaults.Late, w.StateFaults.LateBy = 0.02, 0.02, 8*time.Second
-			w.WorkerFaults.LoseAnswer, w.WorkerFaults.Late, w.WorkerFaults.LateBy = 0.1, 0.1, 25*time.Second
-		}, acts: []act{
-			{35 * s, kill(0)}, {45 * s, start(0)}, {47 * s, func(w *simulator.World) { w.Cloud.Workers()[0].Die() }},
-			{60 * s, killAll}, {63 * s, startAll}, {90 * s, kill(1)}, {91 * s, start(1)},
+			w.StateFaults.LoseResponse, w.StateFaults.ExecuteLate, w.StateFaults.LateDelay = 0.02, 0.02, 8*time.Second
+			w.WorkerFaults.LoseResponse, w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay = 0.1, 0.1, 25*time.Second
+		}, actions: []action{
+			{35 * s, killNode(0)}, {45 * s, startNode(0)}, {47 * s, func(w *simulator.World) { w.Cloud.Workers()[0].Terminate() }},
+			{60 * s, killAllNodes}, {63 * s, startAllNodes}, {90 * s, killNode(1)}, {91 * s, startNode(1)},
 		}},
 	} {
-		t.Run(day.name, func(t *testing.T) { play(t, day, platform(), machineTypes, mixedJobs) })
+		t.Run(sc.name, func(t *testing.T) { runScenario(t, sc, platform(), machineTypes, mixedWorkload) })
 	}
 }
 
 // act is something that happens at a time of a day.
-type act struct {
+type action struct {
 	at time.Duration
 	do func(w *simulator.World)
 }
 
 // day is a day to be played.
-type day struct {
-	name  string
-	seed  uint64
-	setup func(w *simulator.World)
-	acts  []act
-	kept  bool // no worker's lease may run out
-	ends  bool // with its last act, what setup began is over too
+type scenario struct {
+	name           string
+	seed           uint64
+	setup          func(w *simulator.World)
+	actions        []action
+	keepsLeases    bool // no worker's lease may run out
+	setupFaultsEnd bool // with its last act, what setup began is over too
 }
 
 // settles is for what a trouble leaves behind: copies and late writes that are under way.
-const settles = 15 * time.Second
+const inFlightGrace = 15 * time.Second
 
 // over is when the last trouble of the day is.
-func (d *day) over() time.Duration {
+func (d *scenario) faultsOver() time.Duration {
 	var last time.Duration
-	for _, a := range d.acts {
+	for _, a := range d.actions {
 		last = max(last, a.at)
 	}
-	return last + settles
+	return last + inFlightGrace
 }
 
 // users is who submits jobs on a day.
 type users struct {
-	w      *simulator.World
-	begun  time.Time // when the day began
-	r      *rand.Rand
-	group  sync.WaitGroup
-	mu     sync.Mutex
-	undone []string
+	w          *simulator.World
+	startedAt  time.Time // when the day began
+	random     *rand.Rand
+	group      sync.WaitGroup
+	mu         sync.Mutex
+	unfinished []string
 }
 
 func (u *users) after(d time.Duration, f func()) {
@@ -195,101 +198,101 @@
 }
 
 // sometime does so within so many seconds.
-func (u *users) sometime(seconds int, f func()) {
-	u.after(time.Duration(u.r.IntN(seconds))*time.Second, f)
+func (u *users) afterRandom(seconds int, f func()) {
+	u.after(time.Duration(u.random.IntN(seconds))*time.Second, f)
 }
 
 // must has the job come to a state, unless a trouble of the day calls it off.
-func (u *users) must(id, state string) {
-	if !u.w.Await(id, state, 400*time.Second) && u.w.Known()[id] != "aborted" {
+func (u *users) expectState(id, state string) {
+	if !u.w.AwaitState(id, state, 400*time.Second) && u.w.AcceptedJobs()[id] != "aborted" {
 		u.mu.Lock()
-		u.undone = append(u.undone, id+" is not "+state)
+		u.unfinished = append(u.unfinished, id+" is not "+state)
 		u.mu.Unlock()
 	}
 }
 
-func (u *users) run(job simulator.Spec) {
+func (u *users) runToDone(job simulator.Spec) {
 	if u.w.Submit(job) {
-		u.must(job.ID, "done")
+		u.expectState(job.ID, "done")
 	}
 }
 
 // logDir keeps the logs, at debug, of days that fail: a seed does not repeat exactly, so
 // a failure is worked out from the run that failed.
 var (
-	logDir = flag.String("logs", "", "directory for the logs of days that fail")
-	runs   atomic.Int64
+	logDir     = flag.String("logs", "", "directory for the logs of days that fail")
+	failedRuns atomic.Int64
 )
 
 // locked is a writer that many can use.
-type locked struct {
+type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
 }
 
-func (l *locked) Write(b []byte) (int, error) {
+func (l *lockedWriter) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.w.Write(b)
 }
 
 // play plays a day under fake time.
-func play(t *testing.T, day day, p config.Platform, types []simulator.MachineType, jobs func(t *testing.T, u *users)) {
+func runScenario(t *testing.T, sc scenario, p config.Platform, types []simulator.MachineType, jobs func(t *testing.T, u *users)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := simulator.NewWorld(day.seed, p, types)
+		w := simulator.NewWorld(sc.seed, p, types)
 		if *logDir != "" {
 			var log bytes.Buffer
-			w.LogTo(slog.NewTextHandler(&locked{w: &log}, &slog.HandlerOptions{Level: slog.LevelDebug}))
+			w.SetLogHandler(slog.NewTextHandler(&lockedWriter{w: &log}, &slog.HandlerOptions{Level: slog.LevelDebug}))
 			defer func() {
 				if t.Failed() {
-					name := fmt.Sprintf("%s-%d.log", strings.NewReplacer("/", "-", " ", "_").Replace(t.Name()), runs.Add(1))
+					name := fmt.Sprintf("%s-%d.log", strings.NewReplacer("/", "-", " ", "_").Replace(t.Name()), failedRuns.Add(1))
 					_ = os.WriteFile(filepath.Join(*logDir, name), log.Bytes(), 0o644)
 				}
 			}()
 		}
 		defer w.Close()
-		if day.setup != nil {
-			day.setup(w)
+		if sc.setup != nil {
+			sc.setup(w)
 		}
-		startAll(w)
-		u := &users{w: w, begun: time.Now(), r: rand.New(rand.NewPCG(day.seed, 7))}
-		for _, a := range day.acts {
+		startAllNodes(w)
+		u := &users{w: w, startedAt: time.Now(), random: rand.New(rand.NewPCG(sc.seed, 7))}
+		for _, a := range sc.actions {
 			u.after(a.at, func() { a.do(w) })
 		}
-		if day.setup == nil || day.ends {
-			u.after(day.over(), w.Quiet)
+		if sc.setup == nil || sc.setupFaultsEnd {
+			u.after(sc.faultsOver(), w.ExpectLiveness)
 		}
 		jobs(t, u)
 		u.group.Wait()
 		time.Sleep(60 * time.Second) // what is late arrives, what is cancelled must be gone
-		for _, b := range w.Broken() {
+		for _, b := range w.Violations() {
 			t.Error(b)
 		}
-		for _, id := range u.undone {
+		for _, id := range u.unfinished {
 			t.Error(id)
 		}
-		if n := w.Lapsed(); day.kept && n > 0 {
+		if n := w.LeasesExpired(); sc.keepsLeases && n > 0 {
 			t.Errorf("%d workers' leases ran out", n)
 		}
-		if w.Starts() == 0 {
+		if w.TaskStarts() == 0 {
 			t.Error("nothing ran")
 		}
 	})
 }
 
 // mixedJobs are arrays, gangs and services side by side.
-func mixedJobs(t *testing.T, u *users) {
+func mixedWorkload(t *testing.T, u *users) {
 	const s = time.Second
-	w, r := u.w, u.r
+	w, r := u.w, u.random
 	for i := range 12 {
 		job := array(100+i, 1+r.IntN(12), 5+10*r.Float64())
 		cancelled := i%5 == 4
 		if i%3 == 1 {
 			job.Team, job.Urgency = "green", "idle"
 		}
-		u.sometime(100, func() {
+		u.afterRandom(100, func() {
 			if !cancelled {
-				u.run(job)
+				u.runToDone(job)
 			} else if w.Submit(job) {
 				time.Sleep(6 * s)
 				w.Cancel(job.ID)
@@ -297,21 +300,21 @@
 		})
 	}
 	for i := range 4 {
-		job := gang(200+i, 2+r.IntN(3), 8)
-		u.sometime(100, func() { u.run(job) })
+		job := gangState(200+i, 2+r.IntN(3), 8)
+		u.afterRandom(100, func() { u.runToDone(job) })
 	}
 	for i := range 2 {
 		job := array(400+i, 4, 6)
 		job.Team, job.GPUs, job.Types = "green", 1, []string{"g16"}
-		u.sometime(60, func() { u.run(job) })
+		u.afterRandom(60, func() { u.runToDone(job) })
 	}
 	for i := range 4 {
 		job := service(300+i, 1+i%3)
-		u.sometime(60, func() {
+		u.afterRandom(60, func() {
 			if !w.Submit(job) {
 				return
 			}
-			u.must(job.ID, "running")
+			u.expectState(job.ID, "running")
 			time.Sleep(60 * s)
 			w.Cancel(job.ID)
 		})
@@ -331,7 +334,7 @@
 
 // wholeMachines is a platform of machines with eight GPUs, for which three teams
 // have guarantees and limits, in GPUs alone.
-func wholeMachines() (config.Platform, []simulator.MachineType) {
+func wholeMachinePlatform() (config.Platform, []simulator.MachineType) {
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:0]
 	addTeam(&p, "river", 0, 0, 16, 48)
@@ -348,30 +351,30 @@
 // gangJobs are gangs of whole machines, some in one zone, and arrays of single
 // GPUs that borrow what their teams leave. Some images take longer to fetch than
 // a worker lets a gang task wait.
-func gangJobs(t *testing.T, u *users) {
-	r := u.r
+func gangWorkload(t *testing.T, u *users) {
+	r := u.random
 	for i := range 10 {
-		job := gang(200+i, []int{1, 2, 4}[i%3], 10+20*r.Float64())
+		job := gangState(200+i, []int{1, 2, 4}[i%3], 10+20*r.Float64())
 		job.Team, job.CPUs, job.GPUs, job.MemGB = []string{"radar", "river"}[i%2], 57, 8, 410
 		job.Spot, job.OneZone = i%2 == 1, i%2 == 0
 		job.Image, job.ImageGB = fmt.Sprint("gang", i%3), []float64{3, 6, 12}[i%3]
-		u.sometime(90, func() { u.run(job) })
+		u.afterRandom(90, func() { u.runToDone(job) })
 	}
 	// One of its machines has the image, the others fetch it for twice as long as
 	// the one waits.
 	for i, tasks := range []int{1, 3} {
-		job := gang(250+i, tasks, 10)
+		job := gangState(250+i, tasks, 10)
 		job.Team, job.CPUs, job.GPUs, job.MemGB, job.Image, job.ImageGB = "radar", 57, 8, 410, "large", 12
-		u.after(time.Duration(60*i)*time.Second, func() { u.run(job) })
+		u.after(time.Duration(60*i)*time.Second, func() { u.runToDone(job) })
 	}
 	for i := range 8 {
 		job := array(100+i, 8+r.IntN(24), 5+15*r.Float64())
 		job.Team, job.CPUs, job.GPUs, job.MemGB = "models", 6, 1, 48
 		job.CheckpointS, job.SaveS, job.DueS = 4, 1, 200.0
 		cancelled := i == 3
-		u.sometime(60, func() {
+		u.afterRandom(60, func() {
 			if !cancelled {
-				u.run(job)
+				u.runToDone(job)
 			} else if u.w.Submit(job) {
 				time.Sleep(10 * time.Second)
 				u.w.Cancel(job.ID)
@@ -382,9 +385,9 @@
 		for want, job := range map[string]simulator.Spec{
 			"more than its team's limit": {Tasks: 9, GPUs: 8}, "more than any machine": {Tasks: 1, GPUs: 9},
 		} {
-			bad := gang(299, job.Tasks, 5)
+			bad := gangState(299, job.Tasks, 5)
 			bad.Team, bad.GPUs = "radar", job.GPUs
-			if got := u.w.Post(1, &bad); got != http.StatusUnprocessableEntity {
+			if got := u.w.PostJob(1, &bad); got != http.StatusUnprocessableEntity {
 				t.Errorf("a gang that needs %s is answered %d", want, got)
 			}
 		}
@@ -392,87 +395,89 @@
 }
 
 // TestGangDays plays days of whole machines, gangs and borrowed GPUs.
-func TestGangDays(t *testing.T) {
+func TestGangScenarios(t *testing.T) {
 	const s = time.Second
 	few := func(w *simulator.World) { w.Cloud.Capacity = 9 }
 	wave := func(w *simulator.World) {
 		for i, k := range w.Cloud.Workers() {
 			switch i % 3 {
 			case 0:
-				k.Die()
+				k.Terminate()
 			case 1:
-				k.SetNotice(8)
+				k.SetSpotNotice(8)
 			}
 		}
 	}
-	for _, day := range []day{
+	for _, sc := range []scenario{
 		{name: "quiet", seed: 21},
 		{name: "fewer machines than work", seed: 22, setup: few},
-		{name: "takeover in mid-gang", seed: 23, setup: few, acts: []act{
-			{41 * s, kill(0)}, {47 * s, start(0)}, {60 * s, kill(1)}, {66 * s, start(1)}, {80 * s, killAll}, {86 * s, startAll},
+		{name: "takeover in mid-gang", seed: 23, setup: few, actions: []action{
+			{41 * s, killNode(0)}, {47 * s, startNode(0)}, {60 * s, killNode(1)}, {66 * s, startNode(1)}, {80 * s, killAllNodes}, {86 * s, startAllNodes},
 		}},
-		{name: "machines are taken in a wave", seed: 24, acts: []act{{50 * s, wave}, {75 * s, wave}}},
+		{name: "machines are taken in a wave", seed: 24, actions: []action{{50 * s, wave}, {75 * s, wave}}},
 		{name: "late and lost commands", seed: 25, setup: func(w *simulator.World) {
-			w.WorkerFaults.LoseAnswer, w.WorkerFaults.Late, w.WorkerFaults.LateBy = 0.1, 0.1, 25*time.Second
-		}, acts: []act{{45 * s, kill(0)}, {51 * s, start(0)}, {60 * s, wave}}},
+			w.WorkerFaults.LoseResponse, w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay = 0.1, 0.1, 25*time.Second
+		}, actions: []action{{45 * s, killNode(0)}, {51 * s, startNode(0)}, {60 * s, wave}}},
 	} {
-		t.Run(day.name, func(t *testing.T) {
-			p, types := wholeMachines()
-			play(t, day, p, types, gangJobs)
+		t.Run(sc.name, func(t *testing.T) {
+			p, types := wholeMachinePlatform()
+			runScenario(t, sc, p, types, gangWorkload)
 		})
 	}
 }
 
-func kill(i int) func(*simulator.World)  { return func(w *simulator.World) { w.Kill(i) } }
-func start(i int) func(*simulator.World) { return func(w *simulator.World) { w.StartNode(i) } }
+func killNode(i int) func(*simulator.World)  { return func(w *simulator.World) { w.Kill(i) } }
+func startNode(i int) func(*simulator.World) { return func(w *simulator.World) { w.StartNode(i) } }
 
-func killAll(w *simulator.World) {
+func killAllNodes(w *simulator.World) {
 	for i := range 3 {
 		w.Kill(i)
 	}
 }
 
-func startAll(w *simulator.World) {
+func startAllNodes(w *simulator.World) {
 	for i := range 3 {
 		w.StartNode(i)
 	}
 }
 
-func cutNode(w *simulator.World, i int, other string, cut bool) { w.Net.Cut(w.NodeAddr(i), other, cut) }
+func partitionNode(w *simulator.World, i int, other string, cut bool) {
+	w.Net.BlockLink(w.NodeAddr(i), other, cut)
+}
 
-func cutWorkers(w *simulator.World, i int, cut bool) {
+func partitionNodeFromWorkers(w *simulator.World, i int, cut bool) {
 	for _, k := range w.Cloud.Workers() {
-		w.Net.Cut(w.NodeAddr(i), k.Addr(), cut)
+		w.Net.BlockLink(w.NodeAddr(i), k.Address(), cut)
 	}
 }
 
-func isolate(w *simulator.World, k *simulator.Worker, cut bool) {
+func partitionWorker(w *simulator.World, k *simulator.Worker, cut bool) {
 	for i := range 3 {
-		w.Net.Cut(w.NodeAddr(i), k.Addr(), cut)
+		w.Net.BlockLink(w.NodeAddr(i), k.Address(), cut)
 	}
 }
 
 // TestLivenessIsChecked: the checker finds it where nobody answers about a job, and where a
 // job waits beside room for it, once troubles are over.
-func TestLivenessIsChecked(t *testing.T) {
+func TestLivenessChecker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulator.NewWorld(62, platform(), machineTypes[:1])
 		defer w.Close()
-		startAll(w)
+		startAllNodes(w)
 		time.Sleep(10 * time.Second)
 		w.Submit(service(1, 1))
 		time.Sleep(60 * time.Second)
-		w.Quiet()
+		w.ExpectLiveness()
 		waits := service(2, 1)
 		w.Submit(waits)
-		killAll(w)
+		killAllNodes(w)
 		for range 100 {
 			w.Poll(waits.ID)
 			time.Sleep(time.Second)
 		}
 		for _, rule := range []string{"forgotten: no question about job-000002", "neglected: job-000002"} {
-			if !slices.ContainsFunc(w.Broken(), func(b string) bool { return strings.HasPrefix(b, rule) }) {
-				t.Errorf("not found: %s; found %v", rule, w.Broken())
+			if !slices.ContainsFunc(w.Violations(), func(b string) bool { return strings.HasPrefix(b, rule) }) {
+				t.Errorf("not found: %s; found %v", rule, w.Violations())
 			}
 		}
 	})
--- a/internal/simulator/writes_test.go
+++ b/internal/simulator/writes_test.go
@@ -12,7 +12,7 @@
 // TestUsersWriteFirst: a leader that opens hundreds of jobs at once has a part of its
 // budget left for submissions that come to it. On a day with a swarm of single tasks
 // they were answered 503 in each burst of starts.
-func TestUsersWriteFirst(t *testing.T) {
+func TestSubmissionWriteBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
 		p.Params.State.WriteRPS = 30
@@ -20,8 +20,8 @@
 		addTeam(&p, "blue", 0, 0, 0, 0)
 		w := simulator.NewWorld(71, p, machineTypes)
 		defer w.Close()
-		w.Cloud.Boots(func(int) float64 { return 3 })
-		startAll(w)
+		w.Cloud.SetBootFactor(func(int) float64 { return 3 })
+		startAllNodes(w)
 		time.Sleep(2 * time.Second)
 		lead := w.Leader()
 		id := 0
@@ -29,7 +29,7 @@
 			id++
 			job := array(id, 1, 30)
 			job.CPUs, job.Urgency = 0.25, "idle"
-			return w.Post(node, &job)
+			return w.PostJob(node, &job)
 		}
 		for i := range 300 {
 			swarm((lead + 1 + i%2) % 3)
--- a/internal/wire/records.go
+++ b/internal/wire/records.go
@@ -90,13 +90,13 @@
 }
 
 type rentalRecord struct {
-	Request  string   `msgpack:"req"`
-	Type     string   `msgpack:"type"`
-	Zone     string   `msgpack:"zone"`
-	Spot     bool     `msgpack:"spot"`
-	Count    int      `msgpack:"count"`
-	Machines []string `msgpack:"names"`
-	RentedAt int64    `msgpack:"at"`
+	RequestID string   `msgpack:"req"`
+	Type      string   `msgpack:"type"`
+	Zone      string   `msgpack:"zone"`
+	Spot      bool     `msgpack:"spot"`
+	Count     int      `msgpack:"count"`
+	Machines  []string `msgpack:"names"`
+	RentedAt  int64    `msgpack:"at"`
 }
 
 type completionRecord struct {
@@ -198,7 +198,7 @@
 	var w rentalRecord
 	err := Unmarshal(b, &w)
 	return core.RentalRecord{
-		RequestID: w.Request, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count, Machines: w.Machines, RentedAt: core.Micros(w.RentedAt),
+		RequestID: w.RequestID, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count, Machines: w.Machines, RentedAt: core.Micros(w.RentedAt),
 	}, err
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -238,11 +238,11 @@
 
 // RentRequest is a request to the cloud to rent machines.
 type RentRequest struct {
-	Request string `msgpack:"hire"`
-	Type    string `msgpack:"breed"`
-	Zone    string `msgpack:"paddock"`
-	Spot    bool   `msgpack:"loaners"`
-	Count   int    `msgpack:"count"`
+	RequestID string `msgpack:"hire"`
+	Type      string `msgpack:"breed"`
+	Zone      string `msgpack:"paddock"`
+	Spot      bool   `msgpack:"loaners"`
+	Count     int    `msgpack:"count"`
 }
 
 // MachineNames is the cloud's response to a rental, and the request to release machines.
