--- a/cmd/aspenstall/nomad.go
+++ b/cmd/aspenstall/nomad.go
@@ -116,7 +116,7 @@
 	if s.Nomad != nil {
 		n = *s.Nomad
 	}
-	t := translate.Terms{Team: c.Team, MHzPerCPU: n.MHzPerCPU, ScratchMB: n.ScratchMB, GPUs: n.GPUDevices, Cap: s.PriorityCap}
+	t := translate.Policy{Team: c.Team, MHzPerCPU: n.MHzPerCPU, ScratchMB: n.ScratchMB, GPUs: n.GPUDevices, MaxPriority: s.PriorityCap}
 	if p != nil {
 		t.Zones = p.Params.Zones
 	}
@@ -148,7 +148,7 @@
 }
 
 // checkFile parses and translates a job file. Refusals are in the result; the error is of reading it.
-func checkFile(path string, o jobfile.Options, t translate.Terms) (checkResult, error) {
+func checkFile(path string, o jobfile.Options, t translate.Policy) (checkResult, error) {
 	k := checkResult{File: path}
 	src, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -202,7 +202,7 @@
 // Look runs read on the owning goroutine when the query's condition holds, and returns the index
 // that read saw, which is never lower than q.After. Nothing is polled: a waiting query is woken by
 // the change, which arrives by the watch that the node has anyway.
-func (n *Node) Look(ctx context.Context, q httpapi.Query, read func(*registry.Registry)) (uint64, error) {
+func (n *Node) ReadRegistry(ctx context.Context, q httpapi.Query, read func(*registry.Registry)) (uint64, error) {
 	type outcome struct {
 		index uint64
 		err   error
@@ -212,10 +212,10 @@
 	var w *waiter
 	s := n.nomad
 	indexNow := func() uint64 {
-		if q.Of.ID == "" {
-			return s.registry.TeamIndex(q.Of.Team)
+		if q.Name.ID == "" {
+			return s.registry.TeamIndex(q.Name.Team)
 		}
-		return s.registry.Index(q.Of)
+		return s.registry.Index(q.Name)
 	}
 	finish := func() {
 		if w != nil {
@@ -223,7 +223,7 @@
 			w = nil
 		}
 		read(s.registry)
-		out <- outcome{max(indexNow(), q.After, 1), nil}
+		out <- outcome{max(indexNow(), q.AfterIndex, 1), nil}
 	}
 	post := func(f func()) bool {
 		select {
@@ -235,7 +235,7 @@
 	}
 	begin := func() {
 		switch {
-		case q.After == 0:
+		case q.AfterIndex == 0:
 			n.readLinearizable(func(ok bool) {
 				if !ok {
 					out <- outcome{err: httpapi.ErrUnavailable}
@@ -245,14 +245,14 @@
 			})
 		case !n.view.ready:
 			out <- outcome{err: httpapi.ErrUnavailable}
-		case indexNow() > q.After:
+		case indexNow() > q.AfterIndex:
 			finish()
 		case s.waiterCount >= s.maxWaiters:
 			out <- outcome{err: httpapi.ErrBusy}
 		default:
-			w = &waiter{name: q.Of}
+			w = &waiter{name: q.Name}
 			recheckIn := core.MaxMicros
-			if j := s.registry.Get(q.Of); j != nil && q.Progress {
+			if j := s.registry.Get(q.Name); j != nil && q.WakeOnCounts {
 				for _, g := range j.Groups {
 					w.nativeIDs = append(w.nativeIDs, g.Native)
 					if at, ok := s.countsChangedAt[g.Native]; ok && n.now()-at < recentCountsWindow {
@@ -283,9 +283,9 @@
 		return 0, httpapi.ErrUnavailable
 	}
 	var timeout <-chan time.Time
-	t := time.NewTimer(q.Wait)
+	t := time.NewTimer(q.MaxWait)
 	defer t.Stop()
-	if q.After > 0 {
+	if q.AfterIndex > 0 {
 		timeout = t.C
 	}
 	for {
@@ -293,7 +293,7 @@
 		case s := <-out:
 			return s.index, s.err
 		case d := <-recheck:
-			if d < q.Wait {
+			if d < q.MaxWait {
 				t.Reset(d)
 			}
 		case <-timeout:
@@ -330,10 +330,10 @@
 }
 
 // Terms returns the rules for the job files of a team.
-func (n *Node) Terms(team string) translate.Terms {
+func (n *Node) TranslationPolicy(team string) translate.Policy {
 	s := n.settings.Nomad
-	return translate.Terms{
-		Team: team, Zones: n.platform.Params.Zones, MHzPerCPU: s.MHzPerCPU, ScratchMB: s.ScratchMB, GPUs: s.GPUDevices, Cap: n.priorityCap,
+	return translate.Policy{
+		Team: team, Zones: n.platform.Params.Zones, MHzPerCPU: s.MHzPerCPU, ScratchMB: s.ScratchMB, GPUs: s.GPUDevices, MaxPriority: n.priorityCap,
 	}
 }
 
@@ -361,15 +361,15 @@
 
 // Register registers a job of a job file. It returns once the job, its version and the native job
 // of each group are written, in one transaction.
-func (n *Node) Register(ctx context.Context, reg registry.Registration) (httpapi.Registered, error) {
-	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
+func (n *Node) Register(ctx context.Context, reg registry.Registration) (httpapi.RegisterResult, error) {
+	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.RegisterResult, error)) {
 		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
 			if len(n.catalog) == 0 || !n.mayDecide() {
 				return nil, httpapi.ErrUnavailable // it is not known which jobs could run
 			}
 			for i := range reg.Groups {
 				if why := n.infeasibleReason(&reg.Groups[i].Spec); why != "" {
-					return nil, &httpapi.RefusedError{Why: fmt.Sprintf("group %q can never run here: %s", reg.Groups[i].Name, why)}
+					return nil, &httpapi.RefusedError{Reason: fmt.Sprintf("group %q can never run here: %s", reg.Groups[i].Name, why)}
 				}
 			}
 			return n.nomad.registry.Register(reg, newNativeID, wallClock())
@@ -403,8 +403,8 @@
 }
 
 // Deregister stops a job, or removes it if purge is set.
-func (n *Node) Deregister(ctx context.Context, name registry.Name, purge bool) (httpapi.Registered, error) {
-	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.Registered, error)) {
+func (n *Node) Deregister(ctx context.Context, name registry.Name, purge bool) (httpapi.RegisterResult, error) {
+	return callWithError(ctx, n, httpapi.ErrUnavailable, func(reply func(httpapi.RegisterResult, error)) {
 		n.changeJob(maxChangeAttempts, reply, func() (*registry.Change, error) {
 			ch, err := n.nomad.registry.Deregister(name, purge)
 			if err == nil && ch == nil {
@@ -416,15 +416,15 @@
 }
 
 // changeJob computes a change from the current state and writes it.
-func (n *Node) changeJob(attempts int, reply func(httpapi.Registered, error), plan func() (*registry.Change, error), name registry.Name) {
+func (n *Node) changeJob(attempts int, reply func(httpapi.RegisterResult, error), plan func() (*registry.Change, error), name registry.Name) {
 	n.readLinearizable(func(ok bool) {
 		if !ok {
-			reply(httpapi.Registered{}, httpapi.ErrUnavailable)
+			reply(httpapi.RegisterResult{}, httpapi.ErrUnavailable)
 			return
 		}
 		ch, err := plan()
 		if err != nil {
-			reply(httpapi.Registered{}, err)
+			reply(httpapi.RegisterResult{}, err)
 			return
 		}
 		if ch.Empty() {
@@ -434,7 +434,7 @@
 		req, learn, err := n.changeRequest(ch)
 		if err != nil {
 			n.log.Error("encoding a job failed", "err", err)
-			reply(httpapi.Registered{}, err)
+			reply(httpapi.RegisterResult{}, err)
 			return
 		}
 		req.done = func(rev uint64, err error) {
@@ -447,27 +447,27 @@
 				n.changeJob(attempts-1, reply, plan, name)
 			case errors.Is(err, statestore.ErrInvalid):
 				n.log.Info("job file refused by the state service", "team", name.Team, "job", name.ID, "err", err)
-				reply(httpapi.Registered{}, &httpapi.RefusedError{Why: "the state service refused the job's records"})
+				reply(httpapi.RegisterResult{}, &httpapi.RefusedError{Reason: "the state service refused the job's records"})
 			default:
-				reply(httpapi.Registered{}, httpapi.ErrUnavailable)
+				reply(httpapi.RegisterResult{}, httpapi.ErrUnavailable)
 			}
 		}
 		if !n.committer.add(req, true) {
-			reply(httpapi.Registered{}, httpapi.ErrUnavailable)
+			reply(httpapi.RegisterResult{}, httpapi.ErrUnavailable)
 		}
 	})
 }
 
 // registeredState returns the state of a job after a change; a job that was just purged has no
 // state.
-func (n *Node) registeredState(name registry.Name, rev uint64) httpapi.Registered {
+func (n *Node) registeredState(name registry.Name, rev uint64) httpapi.RegisterResult {
 	j := n.nomad.registry.Get(name)
 	if j == nil {
-		return httpapi.Registered{Index: rev}
+		return httpapi.RegisterResult{Index: rev}
 	}
-	out := httpapi.Registered{Index: j.JobModifyIndex, Version: j.Version}
+	out := httpapi.RegisterResult{Index: j.JobModifyIndex, Version: j.Version}
 	for _, g := range j.Groups {
-		out.Natives = append(out.Natives, g.Native)
+		out.NativeIDs = append(out.NativeIDs, g.Native)
 	}
 	return out
 }
@@ -552,7 +552,7 @@
 }
 
 // ShowAll asks the leader for tasks and machines. It works on any node.
-func (n *Node) ShowAll(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
+func (n *Node) QueryLeader(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
 	c, here := n.leaderClient(ctx)
 	switch {
 	case here:
@@ -577,12 +577,12 @@
 // Members returns the controllers and which of them leads.
 func (n *Node) Members(ctx context.Context) httpapi.Members {
 	leader, _ := call(ctx, n, func(reply func(string)) { reply(n.view.leader) })
-	m := httpapi.Members{Self: n.platform.Member, Zone: n.platform.Zone, All: []string{n.platform.ClusterListen}}
+	m := httpapi.Members{Self: n.platform.Member, Zone: n.platform.Zone, Addresses: []string{n.platform.ClusterListen}}
 	if leader == n.platform.Member {
 		m.Leader = n.platform.ClusterListen
 	}
 	for _, p := range n.platform.Peers {
-		m.All = append(m.All, p.Endpoint)
+		m.Addresses = append(m.Addresses, p.Endpoint)
 		if p.Member == leader {
 			m.Leader = p.Endpoint
 		}
--- a/internal/nomad/httpapi/agent.go
+++ b/internal/nomad/httpapi/agent.go
@@ -14,41 +14,41 @@
 // nodes lists the machines. They are everybody's, and say nothing of what runs
 // on them. Nothing of them is recorded at an index: who waits here waits for a
 // change to the team's jobs, or for the time that was asked for.
-func nodes(q *request) (any, error) {
-	list, err := q.machines()
+func listNodes(q *request) (any, error) {
+	list, err := q.fetchNodes()
 	if err != nil {
 		return nil, err
 	}
-	p, err := q.page()
+	p, err := q.parsePage()
 	if err != nil {
 		return nil, err
 	}
 	out := []nodeView{}
 	for _, n := range list {
-		if strings.HasPrefix(n.ID, q.q.Get("prefix")) {
+		if strings.HasPrefix(n.ID, q.params.Get("prefix")) {
 			out = append(out, n)
 		}
 	}
-	return cut(q, out, p, func(n nodeView) string { return n.Name }), nil
+	return paginate(q, out, p, func(n nodeView) string { return n.Name }), nil
 }
 
-func (q *request) machines() ([]nodeView, error) {
-	if err := q.look(registry.Name{Team: q.team}, false, func(*registry.Registry) {}); err != nil {
+func (q *request) fetchNodes() ([]nodeView, error) {
+	if err := q.readRegistry(registry.Name{Team: q.team}, false, func(*registry.Registry) {}); err != nil {
 		return nil, err
 	}
-	s, err := q.b.ShowAll(q.r.Context(), &peer.ViewRequest{Machines: true})
+	s, err := q.backend.QueryLeader(q.r.Context(), &peer.ViewRequest{Machines: true})
 	if err != nil {
 		return nil, err
 	}
 	var out []nodeView
 	for _, m := range s.Machines {
-		out = append(out, nodeOf(m))
+		out = append(out, newNodeView(m))
 	}
 	return out, nil
 }
 
-func node(q *request) (any, error) {
-	list, err := q.machines()
+func getNode(q *request) (any, error) {
+	list, err := q.fetchNodes()
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 			return n, nil
 		}
 	}
-	return nil, fail(http.StatusNotFound, "node not found")
+	return nil, statusErrorf(http.StatusNotFound, "node not found")
 }
 
 type namespaceView struct {
@@ -65,46 +65,46 @@
 	CreateIndex, ModifyIndex uint64
 }
 
-func (q *request) namespace() namespaceView {
+func (q *request) teamNamespace() namespaceView {
 	return namespaceView{Name: q.team, Description: "the team's jobs; " + translate.DefaultNamespace + " is another name for it"}
 }
 
 // namespaces lists the caller's team and no other.
-func namespaces(q *request) (any, error) {
-	err := q.look(registry.Name{Team: q.team}, false, func(*registry.Registry) {})
-	return []namespaceView{q.namespace()}, err
+func listNamespaces(q *request) (any, error) {
+	err := q.readRegistry(registry.Name{Team: q.team}, false, func(*registry.Registry) {})
+	return []namespaceView{q.teamNamespace()}, err
 }
 
-func namespace(q *request) (any, error) {
+func getNamespace(q *request) (any, error) {
 	if q.id != q.team && q.id != translate.DefaultNamespace {
-		return nil, fail(http.StatusNotFound, "Namespace not found")
+		return nil, statusErrorf(http.StatusNotFound, "Namespace not found")
 	}
-	return q.namespace(), nil
+	return q.teamNamespace(), nil
 }
 
-func leader(q *request) (any, error) { return q.b.Members(q.r.Context()).Leader, nil }
+func getLeader(q *request) (any, error) { return q.backend.Members(q.r.Context()).Leader, nil }
 
-func peers(q *request) (any, error) { return q.b.Members(q.r.Context()).All, nil }
+func listPeers(q *request) (any, error) { return q.backend.Members(q.r.Context()).Addresses, nil }
 
 type healthView struct {
 	OK      bool   `json:"ok"`
 	Message string `json:"message"`
 }
 
-func health(q *request) (any, error) {
-	if q.q.Get("type") == "client" {
-		return nil, fail(http.StatusInternalServerError, `{"client":{"ok":false,"message":"client not enabled"}}`)
+func getHealth(q *request) (any, error) {
+	if q.params.Get("type") == "client" {
+		return nil, statusErrorf(http.StatusInternalServerError, `{"client":{"ok":false,"message":"client not enabled"}}`)
 	}
-	if !q.b.Healthy() {
-		q.write(http.StatusInternalServerError, map[string]healthView{"server": {false, "requests cannot be served now"}})
+	if !q.backend.Healthy() {
+		q.writeJSON(http.StatusInternalServerError, map[string]healthView{"server": {false, "requests cannot be served now"}})
 		return nil, nil
 	}
 	return map[string]healthView{"server": {true, "ok"}}, nil
 }
 
-func agentSelf(q *request) (any, error) {
-	m := q.b.Members(q.r.Context())
-	host, port, _ := net.SplitHostPort(m.All[0])
+func getAgentSelf(q *request) (any, error) {
+	m := q.backend.Members(q.r.Context())
+	host, port, _ := net.SplitHostPort(m.Addresses[0])
 	n, _ := strconv.Atoi(port)
 	return map[string]any{
 		"member": map[string]any{
@@ -112,6 +112,6 @@
 			"Tags": map[string]string{"role": "aspenstall", "region": "global", "dc": m.Zone},
 		},
 		"config": map[string]any{"Region": "global", "Datacenter": m.Zone, "ACL": map[string]bool{"Enabled": true}},
-		"stats":  map[string]any{"nomad": map[string]string{"server": "true", "leader": strconv.FormatBool(m.Leader == m.All[0])}},
+		"stats":  map[string]any{"nomad": map[string]string{"server": "true", "leader": strconv.FormatBool(m.Leader == m.Addresses[0])}},
 	}, nil
 }
--- a/internal/nomad/httpapi/allocs.go
+++ b/internal/nomad/httpapi/allocs.go
@@ -16,31 +16,31 @@
 
 // maxAllocs is how many tasks one answer lists; the next ones come with
 // next_token.
-const maxAllocs = 5000
+const maxAllocsPerPage = 5000
 
 // unit is a group of a job as allocations are listed.
-type unit struct {
-	job   registry.Job
-	group int // which of the job's
-	rec   core.JobRecord
-	index uint64
-	first int // the first task that is listed
+type groupAllocs struct {
+	job         registry.Job
+	groupIndex  int // which of the job's
+	record      core.JobRecord
+	modifyIndex uint64
+	firstTask   int // the first task that is listed
 }
 
-func (u *unit) native() string { return u.job.Groups[u.group].Native }
+func (u *groupAllocs) nativeID() string { return u.job.Groups[u.groupIndex].Native }
 
 // token says where a list of allocations begins.
-type token struct {
+type pageToken struct {
 	job   string
 	group int
 	task  int
 }
 
-func (t token) String() string { return fmt.Sprintf("%d.%d.%x", t.group, t.task, t.job) }
+func (t pageToken) String() string { return fmt.Sprintf("%d.%d.%x", t.group, t.task, t.job) }
 
-func parseToken(s string) (token, error) {
-	var t token
-	bad := fail(http.StatusBadRequest, "Invalid next_token")
+func parsePageToken(s string) (pageToken, error) {
+	var t pageToken
+	bad := statusErrorf(http.StatusBadRequest, "Invalid next_token")
 	part := strings.SplitN(s, ".", 3)
 	if len(part) != 3 {
 		return t, bad
@@ -58,23 +58,23 @@
 
 // list lists the allocations of units: those of finished jobs are known, the
 // others the leader tells, all in one answer.
-func (q *request) list(units []unit) ([]allocView, error) {
-	p, err := q.page()
+func (q *request) listAllocs(units []groupAllocs) ([]allocView, error) {
+	p, err := q.parsePage()
 	if err != nil {
 		return nil, err
 	}
-	limit := maxAllocs
-	if p.size > 0 {
-		limit = min(p.size, limit)
+	limit := maxAllocsPerPage
+	if p.perPage > 0 {
+		limit = min(p.perPage, limit)
 	}
-	if p.from != "" {
-		from, err := parseToken(p.from)
+	if p.startToken != "" {
+		from, err := parsePageToken(p.startToken)
 		if err != nil {
 			return nil, err
 		}
-		units = after(units, from)
+		units = skipToToken(units, from)
 	}
-	shown, err := q.ask(units, limit)
+	shown, err := q.fetchJobViews(units, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -83,15 +83,15 @@
 	for _, u := range units {
 		room := limit - len(out)
 		if room == 0 {
-			q.w.Header().Set("X-Nomad-NextToken", token{u.job.ID, u.group, u.first}.String())
+			q.w.Header().Set("X-Nomad-NextToken", pageToken{u.job.ID, u.groupIndex, u.firstTask}.String())
 			return out, nil
 		}
-		tasks, more := u.tasks(shown, room)
+		tasks, more := u.taskViews(shown, room)
 		for _, t := range tasks {
-			out = append(out, allocOf(&u.job, u.job.Groups[u.group], u.index, now, t))
+			out = append(out, newAllocView(&u.job, u.job.Groups[u.groupIndex], u.modifyIndex, now, t))
 		}
 		if more {
-			q.w.Header().Set("X-Nomad-NextToken", token{u.job.ID, u.group, tasks[len(tasks)-1].Index + 1}.String())
+			q.w.Header().Set("X-Nomad-NextToken", pageToken{u.job.ID, u.groupIndex, tasks[len(tasks)-1].Index + 1}.String())
 			return out, nil
 		}
 	}
@@ -99,31 +99,31 @@
 }
 
 // after are the units from a token on; they are in the order of names.
-func after(units []unit, t token) []unit {
-	for len(units) > 0 && (units[0].job.ID < t.job || units[0].job.ID == t.job && units[0].group < t.group) {
+func skipToToken(units []groupAllocs, t pageToken) []groupAllocs {
+	for len(units) > 0 && (units[0].job.ID < t.job || units[0].job.ID == t.job && units[0].groupIndex < t.group) {
 		units = units[1:]
 	}
-	if len(units) > 0 && units[0].job.ID == t.job && units[0].group == t.group {
-		units[0].first = t.task
+	if len(units) > 0 && units[0].job.ID == t.job && units[0].groupIndex == t.group {
+		units[0].firstTask = t.task
 	}
 	return units
 }
 
 // ask asks the leader about the units that are not over, by native job. What
 // it leaves out is beyond the limit, where the list ends before.
-func (q *request) ask(units []unit, limit int) (map[string]peer.JobView, error) {
+func (q *request) fetchJobViews(units []groupAllocs, limit int) (map[string]peer.JobView, error) {
 	a := &peer.ViewRequest{Limit: limit}
 	for _, u := range units {
-		if u.rec.Phase == core.Pending {
-			a.Jobs = append(a.Jobs, peer.JobViewRequest{Job: u.native(), FirstTask: u.first})
+		if u.record.Phase == core.Pending {
+			a.Jobs = append(a.Jobs, peer.JobViewRequest{Job: u.nativeID(), FirstTask: u.firstTask})
 		}
 	}
 	if len(a.Jobs) == 0 {
 		return nil, nil
 	}
-	ctx, cancel := q.work()
+	ctx, cancel := q.withTimeout()
 	defer cancel()
-	s, err := q.b.ShowAll(ctx, a)
+	s, err := q.backend.QueryLeader(ctx, a)
 	if err != nil {
 		return nil, err
 	}
@@ -135,17 +135,17 @@
 }
 
 // tasks are a unit's tasks that are done or on a machine, at most room of them.
-func (u *unit) tasks(shown map[string]peer.JobView, room int) (tasks []core.TaskView, more bool) {
-	switch u.rec.Phase {
+func (u *groupAllocs) taskViews(shown map[string]peer.JobView, room int) (tasks []core.TaskView, more bool) {
+	switch u.record.Phase {
 	case core.Done:
-		for i := u.first; i < u.rec.Spec.Tasks; i++ {
+		for i := u.firstTask; i < u.record.Spec.Tasks; i++ {
 			if len(tasks) == room {
 				return tasks, true
 			}
 			tasks = append(tasks, core.TaskView{Index: i, Done: true})
 		}
 	case core.Pending:
-		j := shown[u.native()]
+		j := shown[u.nativeID()]
 		tasks, more = j.Tasks, j.More
 		if len(tasks) > room {
 			tasks, more = tasks[:room], true
@@ -155,32 +155,32 @@
 	return tasks, more
 }
 
-func unitsOf(r *registry.Registry, j *registry.Job, index uint64) []unit {
-	var out []unit
+func groupAllocsOf(r *registry.Registry, j *registry.Job, index uint64) []groupAllocs {
+	var out []groupAllocs
 	for i, g := range j.Groups {
 		rec, _ := r.NativeRecord(g.Native)
-		out = append(out, unit{job: *j, group: i, rec: rec, index: index})
+		out = append(out, groupAllocs{job: *j, groupIndex: i, record: rec, modifyIndex: index})
 	}
 	return out
 }
 
 // allocations lists all of the team's.
-func allocations(q *request) (any, error) {
-	var units []unit
-	err := q.look(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
+func listAllocations(q *request) (any, error) {
+	var units []groupAllocs
+	err := q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
 		for _, j := range r.List(q.team, "") {
-			units = append(units, unitsOf(r, j, r.ModifyIndex(j))...)
+			units = append(units, groupAllocsOf(r, j, r.ModifyIndex(j))...)
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	list, err := q.list(units)
+	list, err := q.listAllocs(units)
 	if err != nil {
 		return nil, err
 	}
 	// As published, the prefix is of the id.
-	if prefix := q.q.Get("prefix"); prefix != "" {
+	if prefix := q.params.Get("prefix"); prefix != "" {
 		kept := []allocView{}
 		for _, a := range list {
 			if strings.HasPrefix(a.ID, prefix) {
@@ -192,36 +192,36 @@
 	return list, nil
 }
 
-func jobAllocations(q *request) (any, error) {
-	var units []unit
-	err := q.look(q.name(), true, func(r *registry.Registry) {
-		if j := r.Get(q.name()); j != nil {
-			units = unitsOf(r, j, r.ModifyIndex(j))
+func listJobAllocations(q *request) (any, error) {
+	var units []groupAllocs
+	err := q.readRegistry(q.jobName(), true, func(r *registry.Registry) {
+		if j := r.Get(q.jobName()); j != nil {
+			units = groupAllocsOf(r, j, r.ModifyIndex(j))
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	return q.list(units)
+	return q.listAllocs(units)
 }
 
 // allocation finds one by its id, which names the native job and the task.
-func allocation(q *request) (any, error) {
+func getAllocation(q *request) (any, error) {
 	b, err := hex.DecodeString(strings.ReplaceAll(q.id, "-", ""))
-	missing := fail(http.StatusNotFound, "alloc not found")
+	missing := statusErrorf(http.StatusNotFound, "alloc not found")
 	if err != nil || len(b) != 16 {
 		return nil, missing
 	}
 	index := binary.BigEndian.Uint64(b[8:])
-	var u *unit
-	err = q.look(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
+	var u *groupAllocs
+	err = q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
 		if index >= core.MaxTasks {
 			return
 		}
 		for _, j := range r.List(q.team, "") {
-			for _, k := range unitsOf(r, j, r.ModifyIndex(j)) {
-				if allocationID(k.native(), int(index)) == q.id {
-					k.first = int(index)
+			for _, k := range groupAllocsOf(r, j, r.ModifyIndex(j)) {
+				if allocationID(k.nativeID(), int(index)) == q.id {
+					k.firstTask = int(index)
 					u = &k
 				}
 			}
@@ -233,46 +233,46 @@
 	if u == nil {
 		return nil, missing
 	}
-	shown, err := q.ask([]unit{*u}, 1)
+	shown, err := q.fetchJobViews([]groupAllocs{*u}, 1)
 	if err != nil {
 		return nil, err
 	}
-	tasks, _ := u.tasks(shown, 1)
+	tasks, _ := u.taskViews(shown, 1)
 	if len(tasks) == 0 || tasks[0].Index != int(index) {
 		return nil, missing // it waits: it has no place yet
 	}
-	return allocOf(&u.job, u.job.Groups[u.group], u.index, core.Micros(time.Now().UnixMicro()), tasks[0]), nil
+	return newAllocView(&u.job, u.job.Groups[u.groupIndex], u.modifyIndex, core.Micros(time.Now().UnixMicro()), tasks[0]), nil
 }
 
 // evaluations lists the last decision on each of the team's jobs.
-func evaluations(q *request) (any, error) {
-	p, err := q.page()
+func listEvaluations(q *request) (any, error) {
+	p, err := q.parsePage()
 	if err != nil {
 		return nil, err
 	}
 	out := []evalView{}
-	err = q.look(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
-		for _, j := range cut(q, r.List(q.team, ""), p, func(j *registry.Job) string { return j.ID }) {
-			out = append(out, evaluationOf(r, j))
+	err = q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
+		for _, j := range paginate(q, r.List(q.team, ""), p, func(j *registry.Job) string { return j.ID }) {
+			out = append(out, newEvalView(r, j))
 		}
 	})
 	return out, err
 }
 
-func jobEvaluations(q *request) (any, error) {
+func listJobEvaluations(q *request) (any, error) {
 	out := []evalView{}
-	err := q.look(q.name(), false, func(r *registry.Registry) {
-		if j := r.Get(q.name()); j != nil {
-			out = append(out, evaluationOf(r, j))
+	err := q.readRegistry(q.jobName(), false, func(r *registry.Registry) {
+		if j := r.Get(q.jobName()); j != nil {
+			out = append(out, newEvalView(r, j))
 		}
 	})
 	return out, err
 }
 
 // evaluated finds the job whose last decision has an id.
-func (q *request) evaluated(see func(r *registry.Registry, j *registry.Job)) error {
+func (q *request) findEvaluation(see func(r *registry.Registry, j *registry.Job)) error {
 	missing := true
-	err := q.look(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
+	err := q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
 		for _, j := range r.List(q.team, "") {
 			if evaluationID(j.Name, j.JobModifyIndex) == q.id {
 				see(r, j)
@@ -281,21 +281,21 @@
 		}
 	})
 	if err == nil && missing {
-		err = fail(http.StatusNotFound, "eval not found")
+		err = statusErrorf(http.StatusNotFound, "eval not found")
 	}
 	return err
 }
 
-func evaluation(q *request) (any, error) {
+func getEvaluation(q *request) (any, error) {
 	var out evalView
-	err := q.evaluated(func(r *registry.Registry, j *registry.Job) { out = evaluationOf(r, j) })
+	err := q.findEvaluation(func(r *registry.Registry, j *registry.Job) { out = newEvalView(r, j) })
 	return out, err
 }
 
-func evaluationAllocations(q *request) (any, error) {
-	var units []unit
-	if err := q.evaluated(func(r *registry.Registry, j *registry.Job) { units = unitsOf(r, j, r.ModifyIndex(j)) }); err != nil {
+func listEvaluationAllocations(q *request) (any, error) {
+	var units []groupAllocs
+	if err := q.findEvaluation(func(r *registry.Registry, j *registry.Job) { units = groupAllocsOf(r, j, r.ModifyIndex(j)) }); err != nil {
 		return nil, err
 	}
-	return q.list(units)
+	return q.listAllocs(units)
 }
--- a/internal/nomad/httpapi/backend.go
+++ b/internal/nomad/httpapi/backend.go
@@ -30,23 +30,23 @@
 )
 
 // RefusedError says why a job could never run here.
-type RefusedError struct{ Why string }
+type RefusedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return e.Why }
+func (e *RefusedError) Error() string { return e.Reason }
 
 // Query is a look at the registry.
 type Query struct {
-	Of       registry.Name // a job, or with an empty ID all of the team's
-	After    uint64        // 0: answer at once; else once the index is higher, or
-	Wait     time.Duration // when this is over
-	Progress bool          // answer also when the job's counts change
+	Name         registry.Name // a job, or with an empty ID all of the team's
+	AfterIndex   uint64        // 0: answer at once; else once the index is higher, or
+	MaxWait      time.Duration // when this is over
+	WakeOnCounts bool          // answer also when the job's counts change
 }
 
 // Registered is what became of a registration.
-type Registered struct {
-	Index   uint64 // the job's JobModifyIndex
-	Version uint64
-	Natives []string
+type RegisterResult struct {
+	Index     uint64 // the job's JobModifyIndex
+	Version   uint64
+	NativeIDs []string
 }
 
 // Members are the controllers and which of them leads, by the addresses at
@@ -54,7 +54,7 @@
 type Members struct {
 	Self, Zone string
 	Leader     string // address; "" for none
-	All        []string
+	Addresses  []string
 }
 
 // Backend is a controller. Every method returns by itself before its context
@@ -62,14 +62,14 @@
 type Backend interface {
 	// Look runs see as the query says and returns the index that it saw. see
 	// must copy what it keeps, and not wait.
-	Look(ctx context.Context, q Query, see func(*registry.Registry)) (uint64, error)
-	Register(ctx context.Context, r registry.Registration) (Registered, error)
+	ReadRegistry(ctx context.Context, q Query, see func(*registry.Registry)) (uint64, error)
+	Register(ctx context.Context, r registry.Registration) (RegisterResult, error)
 	// Plan says what a registration would change, and of which job.
 	Plan(ctx context.Context, r registry.Registration) (*registry.Change, *registry.Job, error)
-	Deregister(ctx context.Context, n registry.Name, purge bool) (Registered, error)
+	Deregister(ctx context.Context, n registry.Name, purge bool) (RegisterResult, error)
 	// ShowAll asks the leader where tasks and machines are.
-	ShowAll(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error)
+	QueryLeader(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error)
 	Members(ctx context.Context) Members
-	Terms(team string) translate.Terms
+	TranslationPolicy(team string) translate.Policy
 	Healthy() bool
 }
--- a/internal/nomad/httpapi/events.go
+++ b/internal/nomad/httpapi/events.go
@@ -12,7 +12,7 @@
 )
 
 // heartbeat is how often an idle stream says that it is alive.
-const heartbeat = 10 * time.Second
+const heartbeatInterval = 10 * time.Second
 
 // event is one of the published events.
 type event struct {
@@ -23,25 +23,25 @@
 }
 
 // frame is what is sent at once: the events of one index.
-type frame struct {
+type eventFrame struct {
 	Index  uint64
 	Events []event
 }
 
 // topics are what a stream wants: keys by topic, "*" for any.
-type topics map[string][]string
+type topicFilter map[string][]string
 
-var servedTopics = []string{"Job", "Evaluation"}
+var supportedTopics = []string{"Job", "Evaluation"}
 
-func readTopics(q *request) (topics, error) {
-	out := topics{}
-	for _, t := range q.q["topic"] {
+func parseTopics(q *request) (topicFilter, error) {
+	out := topicFilter{}
+	for _, t := range q.params["topic"] {
 		topic, key, ok := strings.Cut(t, ":")
 		if !ok || key == "" {
 			key = "*"
 		}
-		if topic != "*" && !slices.Contains(servedTopics, topic) {
-			return nil, fail(http.StatusNotImplemented, "topic %s is not served; there are %s", topic, strings.Join(servedTopics, " and "))
+		if topic != "*" && !slices.Contains(supportedTopics, topic) {
+			return nil, statusErrorf(http.StatusNotImplemented, "topic %s is not served; there are %s", topic, strings.Join(supportedTopics, " and "))
 		}
 		out[topic] = append(out[topic], key)
 	}
@@ -51,7 +51,7 @@
 	return out, nil
 }
 
-func (t topics) want(e event) bool {
+func (t topicFilter) matches(e event) bool {
 	for _, topic := range []string{e.Topic, "*"} {
 		for _, k := range t[topic] {
 			if k == "*" || k == e.Key || slices.Contains(e.FilterKeys, k) {
@@ -66,24 +66,24 @@
 // blocking query that goes on: what a job is at an index follows from its
 // records, so that a stream can be resumed with the index on any node. A job
 // that changed twice meanwhile is told once, as it is.
-func eventStream(q *request) (any, error) {
-	want, err := readTopics(q)
+func streamEvents(q *request) (any, error) {
+	want, err := parseTopics(q)
 	if err != nil {
 		return nil, err
 	}
-	if !q.visible() {
-		return nil, errDenied
+	if !q.namespaceVisible() {
+		return nil, errForbidden
 	}
 	after := uint64(0)
-	if s := q.q.Get("index"); s != "" {
+	if s := q.params.Get("index"); s != "" {
 		if after, err = strconv.ParseUint(s, 10, 64); err != nil {
-			return nil, fail(http.StatusBadRequest, "Invalid index")
+			return nil, statusErrorf(http.StatusBadRequest, "Invalid index")
 		}
 	}
 	team := registry.Name{Team: q.team}
 	if after == 0 {
 		// From now on, as published.
-		if after, err = q.lookFor(Query{Of: team}, func(*registry.Registry) {}); err != nil {
+		if after, err = q.runQuery(Query{Name: team}, func(*registry.Registry) {}); err != nil {
 			return nil, err
 		}
 	}
@@ -96,7 +96,7 @@
 			q.log.Error("event", "err", err)
 			return false
 		}
-		_ = q.ctl.SetWriteDeadline(time.Now().Add(bodyTime))
+		_ = q.ctl.SetWriteDeadline(time.Now().Add(ioTimeout))
 		if _, err := q.w.Write(append(b, '\n')); err != nil {
 			return false
 		}
@@ -106,8 +106,8 @@
 		return nil, nil
 	}
 	for q.r.Context().Err() == nil {
-		var frames []frame
-		index, err := q.b.Look(q.r.Context(), Query{Of: team, After: after, Wait: heartbeat}, func(r *registry.Registry) {
+		var frames []eventFrame
+		index, err := q.backend.ReadRegistry(q.r.Context(), Query{Name: team, AfterIndex: after, MaxWait: heartbeatInterval}, func(r *registry.Registry) {
 			frames = framesAfter(r, q.team, after, want)
 		})
 		if err != nil {
@@ -128,10 +128,10 @@
 }
 
 // framesAfter are the events of a team after an index, in order.
-func framesAfter(r *registry.Registry, team string, after uint64, want topics) []frame {
+func framesAfter(r *registry.Registry, team string, after uint64, want topicFilter) []eventFrame {
 	byIndex := map[uint64][]event{}
 	add := func(e event) {
-		if want.want(e) {
+		if want.matches(e) {
 			byIndex[e.Index] = append(byIndex[e.Index], e)
 		}
 	}
@@ -143,9 +143,9 @@
 			}
 			add(event{
 				Topic: "Job", Type: kind, Key: j.ID, Namespace: team, Index: j.JobModifyIndex, FilterKeys: []string{},
-				Payload: map[string]any{"Job": stubOf(r, j)},
+				Payload: map[string]any{"Job": newJobStub(r, j)},
 			})
-			e := evaluationOf(r, j)
+			e := newEvalView(r, j)
 			add(event{
 				Topic: "Evaluation", Type: "EvaluationUpdated", Key: e.ID, Namespace: team, Index: j.JobModifyIndex,
 				FilterKeys: []string{j.ID}, Payload: map[string]any{"Evaluation": e},
@@ -153,11 +153,11 @@
 		}
 		if at := r.ModifyIndex(j); at > after && at > j.JobModifyIndex {
 			// Groups of it are done or were cancelled.
-			e := evaluationOf(r, j)
+			e := newEvalView(r, j)
 			e.TriggeredBy, e.ModifyIndex = "alloc-stop", at
 			add(event{
 				Topic: "Evaluation", Type: "EvaluationUpdated", Key: e.ID, Namespace: team, Index: at,
-				FilterKeys: []string{j.ID}, Payload: map[string]any{"Evaluation": e, "Job": stubOf(r, j)},
+				FilterKeys: []string{j.ID}, Payload: map[string]any{"Evaluation": e, "Job": newJobStub(r, j)},
 			})
 		}
 	}
@@ -167,11 +167,11 @@
 			Payload: map[string]any{"Job": nil},
 		})
 	}
-	var out []frame
+	var out []eventFrame
 	for index, events := range byIndex {
-		out = append(out, frame{index, events})
+		out = append(out, eventFrame{index, events})
 	}
-	slices.SortFunc(out, func(a, b frame) int {
+	slices.SortFunc(out, func(a, b eventFrame) int {
 		if a.Index < b.Index {
 			return -1
 		}
--- a/internal/nomad/httpapi/jobs.go
+++ b/internal/nomad/httpapi/jobs.go
@@ -16,60 +16,60 @@
 )
 
 // jobs lists the team's jobs, or registers one.
-func jobs(q *request) (any, error) {
+func handleJobs(q *request) (any, error) {
 	if q.r.Method != http.MethodGet {
-		return register(q)
+		return registerJob(q)
 	}
-	page, err := q.page()
+	page, err := q.parsePage()
 	if err != nil {
 		return nil, err
 	}
 	out := []jobStub{}
-	err = q.look(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
-		list := r.List(q.team, q.q.Get("prefix"))
-		for _, j := range cut(q, list, page, func(j *registry.Job) string { return j.ID }) {
-			out = append(out, stubOf(r, j))
+	err = q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
+		list := r.List(q.team, q.params.Get("prefix"))
+		for _, j := range paginate(q, list, page, func(j *registry.Job) string { return j.ID }) {
+			out = append(out, newJobStub(r, j))
 		}
 	})
 	return out, err
 }
 
 // page is which part of a list is wanted.
-type page struct {
-	size int    // 0: all
-	from string // the token of the first
+type pageParams struct {
+	perPage    int    // 0: all
+	startToken string // the token of the first
 }
 
-func (q *request) page() (page, error) {
-	p := page{from: q.q.Get("next_token")}
-	if s := q.q.Get("per_page"); s != "" {
+func (q *request) parsePage() (pageParams, error) {
+	p := pageParams{startToken: q.params.Get("next_token")}
+	if s := q.params.Get("per_page"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 0 {
-			return p, fail(http.StatusBadRequest, "Invalid per_page")
+			return p, statusErrorf(http.StatusBadRequest, "Invalid per_page")
 		}
-		p.size = n
+		p.perPage = n
 	}
-	if q.q.Get("reverse") == "true" {
-		return p, fail(http.StatusBadRequest, "reverse is not served: lists are in the order of names")
+	if q.params.Get("reverse") == "true" {
+		return p, statusErrorf(http.StatusBadRequest, "reverse is not served: lists are in the order of names")
 	}
 	return p, nil
 }
 
 // cut takes a page of a list that is sorted by token, and says where the next
 // begins.
-func cut[T any](q *request, list []T, p page, token func(T) string) []T {
-	for len(list) > 0 && p.from != "" && token(list[0]) < p.from {
+func paginate[T any](q *request, list []T, p pageParams, token func(T) string) []T {
+	for len(list) > 0 && p.startToken != "" && token(list[0]) < p.startToken {
 		list = list[1:]
 	}
-	if p.size > 0 && len(list) > p.size {
-		q.w.Header().Set("X-Nomad-NextToken", token(list[p.size]))
-		list = list[:p.size]
+	if p.perPage > 0 && len(list) > p.perPage {
+		q.w.Header().Set("X-Nomad-NextToken", token(list[p.perPage]))
+		list = list[:p.perPage]
 	}
 	return list
 }
 
 // registration is what stands beside the job in a request.
-type registration struct {
+type registerRequest struct {
 	EnforceIndex   bool
 	JobModifyIndex uint64
 	PreserveCounts bool
@@ -77,26 +77,26 @@
 }
 
 // read reads the job of a request and translates it for the caller's team.
-func (q *request) read() (*registration, *jobfile.File, []translate.Group, error) {
-	b, err := q.body()
+func (q *request) readJob() (*registerRequest, *jobfile.File, []translate.Group, error) {
+	b, err := q.readBody()
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	f, err := jobfile.Parse("job", b, jobfile.Options{Request: true})
 	if err != nil {
-		return nil, nil, nil, problems(err)
+		return nil, nil, nil, badRequestIfProblems(err)
 	}
-	var reg registration
+	var reg registerRequest
 	if err := json.Unmarshal(b, &reg); err != nil {
-		return nil, nil, nil, fail(http.StatusBadRequest, "%v", err)
+		return nil, nil, nil, statusErrorf(http.StatusBadRequest, "%v", err)
 	}
 	if reg.PreserveCounts {
-		return nil, nil, nil, fail(http.StatusBadRequest, "PreserveCounts is not served: the number of tasks is the job's")
+		return nil, nil, nil, statusErrorf(http.StatusBadRequest, "PreserveCounts is not served: the number of tasks is the job's")
 	}
-	if !q.visible() {
-		return nil, nil, nil, errDenied
+	if !q.namespaceVisible() {
+		return nil, nil, nil, errForbidden
 	}
-	groups, ps := translate.Job(f, q.b.Terms(q.team))
+	groups, ps := translate.Job(f, q.backend.TranslationPolicy(q.team))
 	if ps != nil {
 		return &reg, f, nil, ps
 	}
@@ -104,16 +104,16 @@
 }
 
 // problems is the answer to a file with problems.
-func problems(err error) error {
+func badRequestIfProblems(err error) error {
 	var ps jobfile.Problems
 	if errors.As(err, &ps) {
-		return fail(http.StatusBadRequest, "%v", ps)
+		return statusErrorf(http.StatusBadRequest, "%v", ps)
 	}
 	return err
 }
 
 // toRegister is a registration of a job that was read.
-func (q *request) toRegister(reg *registration, f *jobfile.File, groups []translate.Group) (registry.Registration, error) {
+func (q *request) newRegistration(reg *registerRequest, f *jobfile.File, groups []translate.Group) (registry.Registration, error) {
 	job := *f.Job
 	job.Namespace = q.team
 	src, err := json.Marshal(&job)
@@ -124,32 +124,32 @@
 	}, err
 }
 
-func register(q *request) (any, error) {
-	reg, f, groups, err := q.read()
+func registerJob(q *request) (any, error) {
+	reg, f, groups, err := q.readJob()
 	if err != nil {
-		return nil, problems(err)
+		return nil, badRequestIfProblems(err)
 	}
 	if q.id != "" && q.id != f.Job.ID {
-		return nil, fail(http.StatusBadRequest, "Job ID does not match name")
+		return nil, statusErrorf(http.StatusBadRequest, "Job ID does not match name")
 	}
-	r, err := q.toRegister(reg, f, groups)
+	r, err := q.newRegistration(reg, f, groups)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := q.work()
+	ctx, cancel := q.withTimeout()
 	defer cancel()
-	done, err := q.b.Register(ctx, r)
+	done, err := q.backend.Register(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	return &registered{
+	return &registerResponse{
 		EvalID: evaluationID(r.Name, done.Index), EvalCreateIndex: done.Index, JobModifyIndex: done.Index,
-		Warnings: warnings(f), meta: q.meta(done.Index),
+		Warnings: formatWarnings(f), responseMeta: q.newResponseMeta(done.Index),
 	}, nil
 }
 
 // warnings tells what of a file is ignored.
-func warnings(f *jobfile.File) string {
+func formatWarnings(f *jobfile.File) string {
 	ps := translate.Warnings(f)
 	if len(ps) == 0 {
 		return ""
@@ -158,20 +158,20 @@
 }
 
 // meta are the fields that answers to writes have.
-type meta struct {
+type responseMeta struct {
 	Index       uint64
 	LastContact int64
 	KnownLeader bool
 }
 
-func (q *request) meta(index uint64) meta {
+func (q *request) newResponseMeta(index uint64) responseMeta {
 	q.w.Header().Set("X-Nomad-Index", strconv.FormatUint(index, 10))
-	return meta{Index: index, KnownLeader: true}
+	return responseMeta{Index: index, KnownLeader: true}
 }
 
 // parseJob reads HCL and answers with its JSON form.
 func parseJob(q *request) (any, error) {
-	b, err := q.body()
+	b, err := q.readBody()
 	if err != nil {
 		return nil, err
 	}
@@ -182,13 +182,13 @@
 		Variables    string
 	}
 	if err := json.Unmarshal(b, &in); err != nil {
-		return nil, fail(http.StatusBadRequest, "%v", err)
+		return nil, statusErrorf(http.StatusBadRequest, "%v", err)
 	}
 	if in.HCLv1 {
-		return nil, fail(http.StatusBadRequest, "HCL's first version is not served")
+		return nil, statusErrorf(http.StatusBadRequest, "HCL's first version is not served")
 	}
 	if in.JobHCL == "" {
-		return nil, fail(http.StatusBadRequest, "Job spec is empty")
+		return nil, statusErrorf(http.StatusBadRequest, "Job spec is empty")
 	}
 	o := jobfile.Options{}
 	if in.Variables != "" {
@@ -196,7 +196,7 @@
 	}
 	f, err := jobfile.Parse("job", []byte(in.JobHCL), o)
 	if err != nil {
-		return nil, problems(err)
+		return nil, badRequestIfProblems(err)
 	}
 	return f.Job, nil
 }
@@ -208,9 +208,9 @@
 		ValidationErrors      []string
 		Error, Warnings       string
 	}{DriverConfigValidated: true, ValidationErrors: []string{}}
-	_, f, _, err := q.read()
+	_, f, _, err := q.readJob()
 	var ps jobfile.Problems
-	var bad *failure
+	var bad *statusError
 	switch {
 	case errors.As(err, &ps):
 	case errors.As(err, &bad) && bad.status == http.StatusBadRequest:
@@ -225,99 +225,99 @@
 		out.Error = fmt.Sprintf("%d error(s) occurred:\n%s", len(ps), strings.Join(out.ValidationErrors, "\n"))
 	}
 	if f != nil {
-		out.Warnings = warnings(f)
+		out.Warnings = formatWarnings(f)
 	}
 	return &out, nil
 }
 
 // job answers for one job: reads it, registers a version, or ends it.
-func job(q *request) (any, error) {
+func handleJob(q *request) (any, error) {
 	switch q.r.Method {
 	case http.MethodPost, http.MethodPut:
-		return register(q)
+		return registerJob(q)
 	case http.MethodDelete:
-		return deregister(q)
+		return deregisterJob(q)
 	}
 	var out *fullJob
 	var failed error
-	err := q.look(q.name(), true, func(r *registry.Registry) {
-		if j := r.Get(q.name()); j != nil {
-			out, failed = fullOf(r, j, j.Version)
+	err := q.readRegistry(q.jobName(), true, func(r *registry.Registry) {
+		if j := r.Get(q.jobName()); j != nil {
+			out, failed = newFullJob(r, j, j.Version)
 		}
 	})
-	return found(out, cmp.Or(err, failed))
+	return orNotFound(out, cmp.Or(err, failed))
 }
 
 // found is an answer that may not be there.
-func found[T any](v *T, err error) (any, error) {
+func orNotFound[T any](v *T, err error) (any, error) {
 	switch {
 	case err != nil:
 		return nil, err
 	case v == nil:
-		return nil, errNoJob
+		return nil, errJobNotFound
 	}
 	return v, nil
 }
 
-func deregister(q *request) (any, error) {
-	if !q.visible() {
-		return nil, errNoJob
+func deregisterJob(q *request) (any, error) {
+	if !q.namespaceVisible() {
+		return nil, errJobNotFound
 	}
-	ctx, cancel := q.work()
+	ctx, cancel := q.withTimeout()
 	defer cancel()
-	done, err := q.b.Deregister(ctx, q.name(), q.q.Get("purge") == "true")
+	done, err := q.backend.Deregister(ctx, q.jobName(), q.params.Get("purge") == "true")
 	if err != nil {
 		return nil, err
 	}
-	return &registered{
-		EvalID: evaluationID(q.name(), done.Index), EvalCreateIndex: done.Index, JobModifyIndex: done.Index, meta: q.meta(done.Index),
+	return &registerResponse{
+		EvalID: evaluationID(q.jobName(), done.Index), EvalCreateIndex: done.Index, JobModifyIndex: done.Index, responseMeta: q.newResponseMeta(done.Index),
 	}, nil
 }
 
 // plan says what a registration would change, and changes nothing.
-func plan(q *request) (any, error) {
-	reg, f, groups, err := q.read()
+func planJob(q *request) (any, error) {
+	reg, f, groups, err := q.readJob()
 	if err != nil {
-		return nil, problems(err)
+		return nil, badRequestIfProblems(err)
 	}
 	if q.id != f.Job.ID {
-		return nil, fail(http.StatusBadRequest, "Job ID does not match")
+		return nil, statusErrorf(http.StatusBadRequest, "Job ID does not match")
 	}
-	r, err := q.toRegister(reg, f, groups)
+	r, err := q.newRegistration(reg, f, groups)
 	if err != nil {
 		return nil, err
 	}
 	r.EnforceIndex = false
-	ctx, cancel := q.work()
+	ctx, cancel := q.withTimeout()
 	defer cancel()
-	ch, old, err := q.b.Plan(ctx, r)
+	ch, old, err := q.backend.Plan(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	return planOf(r, ch, old, reg.Diff, warnings(f)), nil
+	return newJobPlan(r, ch, old, reg.Diff, formatWarnings(f)), nil
 }
 
-func summary(q *request) (any, error) {
+func getJobSummary(q *request) (any, error) {
 	var out *jobSummary
-	err := q.look(q.name(), true, func(r *registry.Registry) {
-		if j := r.Get(q.name()); j != nil {
-			out = summaryOf(r, j)
+	err := q.readRegistry(q.jobName(), true, func(r *registry.Registry) {
+		if j := r.Get(q.jobName()); j != nil {
+			out = newJobSummary(r, j)
 		}
 	})
-	return found(out, err)
+	return orNotFound(out, err)
 }
 
-func versions(q *request) (any, error) {
+func listJobVersions(q *request) (any, error) {
 	var out *jobVersions
 	var failed error
-	err := q.look(q.name(), false, func(r *registry.Registry) {
-		j := r.Get(q.name())
+	err := q.readRegistry(q.jobName(), false, func(r *registry.Registry) {
+		j := r.Get(q.jobName())
 		if j == nil {
 			return
 		}
 		out = &jobVersions{Versions: []*fullJob{}}
 		for _, v := range j.Versions() {
-			full, err := fullOf(r, j, v)
+			full, err := newFullJob(r, j, v)
 			if err != nil {
 				failed = err
 				return
@@ -325,33 +325,33 @@
 			out.Versions = append(out.Versions, full)
 		}
 	})
-	return found(out, cmp.Or(err, failed))
+	return orNotFound(out, cmp.Or(err, failed))
 }
 
 // description is what a machine runs for a task of a native job: it asks with
 // the job's id, as it was told to start it.
-func description(q *request) (any, error) {
-	if !q.tokens.agent(q.r.Header.Get("X-Nomad-Token")) {
-		if !q.bad.Allow() {
-			return nil, errTooMany
+func getTaskDescription(q *request) (any, error) {
+	if !q.tokens.isAgent(q.r.Header.Get("X-Nomad-Token")) {
+		if !q.badTokenLimiter.Allow() {
+			return nil, errTooManyRequests
 		}
-		return nil, errDenied
+		return nil, errForbidden
 	}
 	var out *taskDescription
 	var failed error
 	// A machine may be told to start what this node has not yet heard of.
-	_, err := q.lookFor(Query{Of: registry.Name{ID: q.id}}, func(r *registry.Registry) {
+	_, err := q.runQuery(Query{Name: registry.Name{ID: q.id}}, func(r *registry.Registry) {
 		j, g := r.ByNative(q.id)
 		if j == nil {
 			return
 		}
-		out, failed = describe(r, j, g)
+		out, failed = describeTask(r, j, g)
 	})
-	return found(out, cmp.Or(err, failed))
+	return orNotFound(out, cmp.Or(err, failed))
 }
 
 // describe finds a group's task in its job's source.
-func describe(r *registry.Registry, j *registry.Job, g *registry.Group) (*taskDescription, error) {
+func describeTask(r *registry.Registry, j *registry.Job, g *registry.Group) (*taskDescription, error) {
 	b, _, _, err := j.Source(j.Version)
 	if err != nil {
 		return nil, err
@@ -375,4 +375,4 @@
 }
 
 // nanos is a time of day as clients read it.
-func nanos(t core.Micros) int64 { return int64(t) * 1000 }
+func unixNanos(t core.Micros) int64 { return int64(t) * 1000 }
--- a/internal/nomad/httpapi/server_test.go
+++ b/internal/nomad/httpapi/server_test.go
@@ -19,31 +19,33 @@
 )
 
 // backend answers from an empty registry.
-type backend struct{ healthy bool }
+type fakeBackend struct{ healthy bool }
 
-func (backend) Look(_ context.Context, q Query, see func(*registry.Registry)) (uint64, error) {
+func (fakeBackend) ReadRegistry(_ context.Context, q Query, see func(*registry.Registry)) (uint64, error) {
 	see(registry.New(registry.Limits{MaxOps: 12, MaxValueBytes: 4096}, nil))
-	return max(q.After, 1), nil
+	return max(q.AfterIndex, 1), nil
 }
-func (backend) Register(context.Context, registry.Registration) (Registered, error) {
-	return Registered{Index: 7}, nil
+func (fakeBackend) Register(context.Context, registry.Registration) (RegisterResult, error) {
+	return RegisterResult{Index: 7}, nil
 }
-func (backend) Plan(context.Context, registry.Registration) (*registry.Change, *registry.Job, error) {
+func (fakeBackend) Plan(context.Context, registry.Registration) (*registry.Change, *registry.Job, error) {
 	return &registry.Change{}, nil, nil
 }
-func (backend) Deregister(context.Context, registry.Name, bool) (Registered, error) {
-	return Registered{}, ErrNoJob
+func (fakeBackend) Deregister(context.Context, registry.Name, bool) (RegisterResult, error) {
+	return RegisterResult{}, ErrNoJob
 }
-func (backend) ShowAll(context.Context, *peer.ViewRequest) (*peer.ViewResponse, error) {
+func (fakeBackend) QueryLeader(context.Context, *peer.ViewRequest) (*peer.ViewResponse, error) {
 	return nil, ErrNoLeader
 }
-func (backend) Members(context.Context) Members { return Members{All: []string{"10.0.0.1:1"}} }
-func (b backend) Healthy() bool                 { return b.healthy }
-func (backend) Terms(team string) translate.Terms {
-	return translate.Terms{Team: team, MHzPerCPU: 1000, ScratchMB: 300}
+func (fakeBackend) Members(context.Context) Members {
+	return Members{Addresses: []string{"10.0.0.1:1"}}
+}
+func (b fakeBackend) Healthy() bool { return b.healthy }
+func (fakeBackend) TranslationPolicy(team string) translate.Policy {
+	return translate.Policy{Team: team, MHzPerCPU: 1000, ScratchMB: 300}
 }
 
-func testServer(perSecond int) http.Handler {
+func newTestHandler(perSecond int) http.Handler {
 	key := []byte("a key of a few bytes")
 	s := config.DefaultNomad()
 	s.TokenHashKey, s.RequestsPerS = key, perSecond
@@ -52,10 +54,10 @@
 		"green": {HashToken(key, "of green")},
 	}
 	s.AgentTokens = []config.Hash{HashToken(key, "of machines")}
-	return Handler(backend{}, &s, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return Handler(fakeBackend{}, &s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func do(h http.Handler, method, path, token, body string, headers ...string) *httptest.ResponseRecorder {
+func doRequest(h http.Handler, method, path, token, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("X-Nomad-Token", token)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -68,11 +70,11 @@
 
 // A token names a team, two during its renewal; a machine's is no team's.
 func TestTokens(t *testing.T) {
-	h := testServer(1000)
+	h := newTestHandler(1000)
 	for _, c := range []struct {
 		token, path string
 		status      int
-		says        string
+		wantBody    string
 	}{
 		{"new of blue", "/v1/namespaces", 200, `"blue"`},
 		{"old of blue", "/v1/namespaces", 200, `"blue"`},
@@ -84,24 +86,24 @@
 		{"", "/v1/status/peers", 200, "10.0.0.1:1"},
 		{"of green", "/v1/nodes", 503, "No cluster leader"},
 	} {
-		w := do(h, "GET", c.path, c.token, "")
-		if w.Code != c.status || !strings.Contains(w.Body.String(), c.says) {
+		w := doRequest(h, "GET", c.path, c.token, "")
+		if w.Code != c.status || !strings.Contains(w.Body.String(), c.wantBody) {
 			t.Errorf("%q at %s: %d %s", c.token, c.path, w.Code, w.Body)
 		}
 	}
-	if w := do(h, "GET", "/v1/namespaces", "", "", "Authorization", "Bearer of green"); w.Code != 200 {
+	if w := doRequest(h, "GET", "/v1/namespaces", "", "", "Authorization", "Bearer of green"); w.Code != 200 {
 		t.Errorf("as a bearer: %d", w.Code)
 	}
 }
 
 // A team that asks too often is told when to come back, and takes nothing from
 // others; who guesses tokens is slowed down.
-func TestLimits(t *testing.T) {
-	h := testServer(2)
+func TestRateLimits(t *testing.T) {
+	h := newTestHandler(2)
 	count := func(token string, n, status int) int {
 		got := 0
 		for range n {
-			w := do(h, "GET", "/v1/namespaces", token, "")
+			w := doRequest(h, "GET", "/v1/namespaces", token, "")
 			if w.Code == status {
 				got++
 			}
@@ -123,7 +125,7 @@
 }
 
 // Names are whatever is escaped in the path; where nothing is, its end decides.
-func TestFind(t *testing.T) {
+func TestFindRoute(t *testing.T) {
 	for path, want := range map[string]string{
 		"/v1/job/a":                    "a",
 		"/v1/job/a%2Fb":                "a/b",
@@ -143,7 +145,7 @@
 		"/v1/job/a/periodic/force":     "a",
 		"/v1/evaluation/3/allocations": "3",
 	} {
-		_, id, err := find(path)
+		_, id, err := findRoute(path)
 		if err != nil {
 			id = err.Error()
 		}
@@ -153,26 +155,26 @@
 	}
 }
 
-const good = `{"ID":"j","Type":"batch","TaskGroups":[{"Name":"g","Tasks":[{"Name":"t","Driver":"d","Config":{"image":"i"},
+const validJob = `{"ID":"j","Type":"batch","TaskGroups":[{"Name":"g","Tasks":[{"Name":"t","Driver":"d","Config":{"image":"i"},
 "Leader":true,"Meta":{"aspenstall_class":"c","aspenstall_image_gb":"1","aspenstall_expect_s":"5"}}]}]}`
 
 // Requests about jobs: what is wrong is told in the published forms.
 func TestJobRequests(t *testing.T) {
-	h := testServer(1000)
+	h := newTestHandler(1000)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
-		says               string
+		wantBody           string
 	}{
-		{"PUT", "/v1/jobs", `{"Job":` + good + `,"EnforceIndex":true,"JobModifyIndex":3,"Submission":{}}`, 200, `"JobModifyIndex":7`},
-		{"PUT", "/v1/jobs", `{"Job":` + good + `}`, 200, "leader is ignored"},
-		{"POST", "/v1/job/other", `{"Job":` + good + `}`, 400, "Job ID does not match"},
-		{"PUT", "/v1/jobs", `{"Job":` + good + `,"PreserveCounts":true}`, 400, "PreserveCounts is not served"},
+		{"PUT", "/v1/jobs", `{"Job":` + validJob + `,"EnforceIndex":true,"JobModifyIndex":3,"Submission":{}}`, 200, `"JobModifyIndex":7`},
+		{"PUT", "/v1/jobs", `{"Job":` + validJob + `}`, 200, "leader is ignored"},
+		{"POST", "/v1/job/other", `{"Job":` + validJob + `}`, 400, "Job ID does not match"},
+		{"PUT", "/v1/jobs", `{"Job":` + validJob + `,"PreserveCounts":true}`, 400, "PreserveCounts is not served"},
 		{"PUT", "/v1/jobs", `{"Jobs":{}}`, 400, "Job must be specified"},
 		{"PUT", "/v1/jobs", `{"Job":{"ID":1}}`, 400, "job:1:9: ID: got number, want string"},
 		{"PUT", "/v1/jobs", `not JSON`, 400, ""},
-		{"PUT", "/v1/jobs?namespace=green", `{"Job":` + good + `}`, 403, "Permission denied"},
-		{"PUT", "/v1/job/j/plan", `{"Job":` + good + `,"Diff":true}`, 200, `"Type":"Added"`},
+		{"PUT", "/v1/jobs?namespace=green", `{"Job":` + validJob + `}`, 403, "Permission denied"},
+		{"PUT", "/v1/job/j/plan", `{"Job":` + validJob + `,"Diff":true}`, 200, `"Type":"Added"`},
 		{"PUT", "/v1/validate/job", `{"Job":{"ID":"j","Type":"system"}}`, 200, "1:18: type system"},
 		{"PUT", "/v1/jobs/parse", `{"JobHCL":"job \"a\" {\n x = 1\n}"}`, 400, "job:2:2: x: no such attribute of job"},
 		{"PUT", "/v1/jobs/parse", `{"JobHCL":"variable \"v\" {}\njob \"a\" { name = var.v }","Variables":"v = \"w\""}`, 200, `"Name":"w"`},
@@ -181,13 +183,13 @@
 		{"DELETE", "/v1/job/j?purge=true", "", 404, "job not found"},
 		{"GET", "/v1/jobs?per_page=x", "", 400, "Invalid per_page"},
 		{"GET", "/v1/jobs?wait=x", "", 400, "Invalid wait"},
-		{"PUT", "/v1/jobs", strings.Repeat(" ", maxBody+1), 413, "more than"},
+		{"PUT", "/v1/jobs", strings.Repeat(" ", maxBodyBytes+1), 413, "more than"},
 	} {
-		w := do(h, c.method, c.path, "of green", c.body)
+		w := doRequest(h, c.method, c.path, "of green", c.body)
 		if c.path == "/v1/jobs?namespace=green" {
-			w = do(h, c.method, c.path, "new of blue", c.body)
+			w = doRequest(h, c.method, c.path, "new of blue", c.body)
 		}
-		if w.Code != c.status || !strings.Contains(w.Body.String(), c.says) {
+		if w.Code != c.status || !strings.Contains(w.Body.String(), c.wantBody) {
 			t.Errorf("%s %s %.40s: %d %.300s", c.method, c.path, c.body, w.Code, w.Body)
 		}
 	}
@@ -195,10 +197,10 @@
 
 // Long answers are compressed for who can read it.
 func TestGzip(t *testing.T) {
-	h := testServer(1000)
+	h := newTestHandler(1000)
 	body := `{"JobHCL":` + fmt.Sprintf("%q", `job "a" { name = "`+strings.Repeat("n", 3000)+`" }`) + `}`
 	for accepts, want := range map[string]bool{"": false, "gzip": true, "deflate, gzip;q=0.5": true, "gzip;q=0": false, "br": false} {
-		w := do(h, "PUT", "/v1/jobs/parse", "of green", body, "Accept-Encoding", accepts)
+		w := doRequest(h, "PUT", "/v1/jobs/parse", "of green", body, "Accept-Encoding", accepts)
 		zipped := w.Header().Get("Content-Encoding") == "gzip"
 		var r io.Reader = w.Body
 		if zipped {
--- a/internal/nomad/httpapi/token.go
+++ b/internal/nomad/httpapi/token.go
@@ -17,10 +17,10 @@
 }
 
 // tokens tells whose a token is.
-type tokens struct {
-	key    []byte
-	teams  []teamToken
-	agents []config.Hash
+type tokenTable struct {
+	hashKey     []byte
+	teams       []teamToken
+	agentHashes []config.Hash
 }
 
 type teamToken struct {
@@ -28,8 +28,8 @@
 	hash config.Hash
 }
 
-func newTokens(s *config.Nomad) *tokens {
-	t := &tokens{key: s.TokenHashKey, agents: s.AgentTokens}
+func newTokenTable(s *config.Nomad) *tokenTable {
+	t := &tokenTable{hashKey: s.TokenHashKey, agentHashes: s.AgentTokens}
 	for team, list := range s.Tokens {
 		for _, h := range list {
 			t.teams = append(t.teams, teamToken{team, h})
@@ -40,8 +40,8 @@
 
 // team is the team that a token names. Every hash is compared, each in constant
 // time, so that how long it takes says nothing.
-func (t *tokens) team(token string) (string, bool) {
-	h := HashToken(t.key, token)
+func (t *tokenTable) teamOf(token string) (string, bool) {
+	h := HashToken(t.hashKey, token)
 	team, found := "", 0
 	for i := range t.teams {
 		if same := subtle.ConstantTimeCompare(h[:], t.teams[i].hash[:]); same == 1 {
@@ -52,11 +52,11 @@
 }
 
 // agent reports whether a token is a machine's.
-func (t *tokens) agent(token string) bool {
-	h := HashToken(t.key, token)
+func (t *tokenTable) isAgent(token string) bool {
+	h := HashToken(t.hashKey, token)
 	found := 0
-	for i := range t.agents {
-		found |= subtle.ConstantTimeCompare(h[:], t.agents[i][:])
+	for i := range t.agentHashes {
+		found |= subtle.ConstantTimeCompare(h[:], t.agentHashes[i][:])
 	}
 	return found == 1
 }
--- a/internal/nomad/httpapi/views.go
+++ b/internal/nomad/httpapi/views.go
@@ -13,12 +13,12 @@
 
 // The published JSON of answers. Fields have the published names.
 
-type registered struct {
+type registerResponse struct {
 	EvalID          string
 	EvalCreateIndex uint64
 	JobModifyIndex  uint64
 	Warnings        string
-	meta
+	responseMeta
 }
 
 type jobStub struct {
@@ -68,7 +68,7 @@
 	Meta    map[string]string // the job's, the group's and the task's
 }
 
-func summaryOf(r *registry.Registry, j *registry.Job) *jobSummary {
+func newJobSummary(r *registry.Registry, j *registry.Job) *jobSummary {
 	s := &jobSummary{
 		JobID: j.ID, Namespace: j.Team, Summary: map[string]groupSummary{},
 		CreateIndex: j.CreateIndex, ModifyIndex: r.ModifyIndex(j),
@@ -80,17 +80,17 @@
 	return s
 }
 
-func stubOf(r *registry.Registry, j *registry.Job) jobStub {
+func newJobStub(r *registry.Registry, j *registry.Job) jobStub {
 	return jobStub{
 		ID: j.ID, Name: j.Title, Namespace: j.Team, Datacenters: j.Datacenters, NodePool: "default", Type: j.Type, Priority: j.Priority,
-		Stop: j.Stopped, Status: string(r.Status(j)), JobSummary: summaryOf(r, j),
+		Stop: j.Stopped, Status: string(r.Status(j)), JobSummary: newJobSummary(r, j),
 		CreateIndex: j.CreateIndex, ModifyIndex: r.ModifyIndex(j), JobModifyIndex: j.JobModifyIndex,
-		SubmitTime: nanos(j.Submitted), Version: j.Version,
+		SubmitTime: unixNanos(j.Submitted), Version: j.Version,
 	}
 }
 
 // fullOf is a version of a job as it was registered, with how it stands.
-func fullOf(r *registry.Registry, j *registry.Job, version uint64) (*fullJob, error) {
+func newFullJob(r *registry.Registry, j *registry.Job, version uint64) (*fullJob, error) {
 	b, index, at, err := j.Source(version)
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	f := &fullJob{
-		Job: src, Version: version, SubmitTime: nanos(at), CreateIndex: j.CreateIndex,
+		Job: src, Version: version, SubmitTime: unixNanos(at), CreateIndex: j.CreateIndex,
 		JobModifyIndex: index, ModifyIndex: index, Stop: true, Status: string(registry.Dead),
 	}
 	if version == j.Version {
@@ -145,7 +145,7 @@
 
 // planOf says what a change does, by group: which groups begin, end or go on.
 // It does not say which fields of them differ.
-func planOf(reg registry.Registration, ch *registry.Change, old *registry.Job, diff bool, warnings string) *jobPlan {
+func newJobPlan(reg registry.Registration, ch *registry.Change, old *registry.Job, diff bool, warnings string) *jobPlan {
 	p := &jobPlan{FailedTGAllocs: map[string]struct{}{}, Warnings: warnings}
 	p.Annotations.DesiredTGUpdates = map[string]*desiredUpdates{}
 	of := func(group string) *desiredUpdates {
@@ -198,12 +198,12 @@
 }
 
 // uuid writes 16 bytes as clients expect ids.
-func uuid(b [16]byte) string {
+func formatUUID(b [16]byte) string {
 	h := hex.EncodeToString(b[:])
 	return fmt.Sprintf("%s-%s-%s-%s-%s", h[:8], h[8:12], h[12:16], h[16:20], h[20:])
 }
 
-func hash8(parts ...string) []byte {
+func shortHash(parts ...string) []byte {
 	h := sha256.New()
 	for _, p := range parts {
 		fmt.Fprintf(h, "%d:%s", len(p), p)
@@ -215,24 +215,24 @@
 // index, and so the same on every node.
 func evaluationID(n registry.Name, index uint64) string {
 	var b [16]byte
-	copy(b[:], hash8("evaluation", n.Team, n.ID))
+	copy(b[:], shortHash("evaluation", n.Team, n.ID))
 	binary.BigEndian.PutUint64(b[8:], index)
-	return uuid(b)
+	return formatUUID(b)
 }
 
 // allocationID is a task's id, which it keeps wherever it runs.
 func allocationID(native string, index int) string {
 	var b [16]byte
-	copy(b[:], hash8("allocation", native))
+	copy(b[:], shortHash("allocation", native))
 	binary.BigEndian.PutUint64(b[8:], uint64(index))
-	return uuid(b)
+	return formatUUID(b)
 }
 
-func machineID(name string) string {
+func nodeID(name string) string {
 	var b [16]byte
-	copy(b[:], hash8("machine", name))
-	copy(b[8:], hash8("machine's", name))
-	return uuid(b)
+	copy(b[:], shortHash("machine", name))
+	copy(b[8:], shortHash("machine's", name))
+	return formatUUID(b)
 }
 
 type evalView struct {
@@ -245,11 +245,11 @@
 
 // evaluationOf is the decision that a job's last registration or
 // deregistration was: nothing is left to decide once it is written.
-func evaluationOf(r *registry.Registry, j *registry.Job) evalView {
+func newEvalView(r *registry.Registry, j *registry.Job) evalView {
 	e := evalView{
 		ID: evaluationID(j.Name, j.JobModifyIndex), Namespace: j.Team, Type: j.Type, TriggeredBy: "job-register", JobID: j.ID,
 		Status: "complete", Priority: j.Priority, JobModifyIndex: j.JobModifyIndex, CreateIndex: j.JobModifyIndex, ModifyIndex: j.JobModifyIndex,
-		CreateTime: nanos(j.Submitted), ModifyTime: nanos(j.Submitted), QueuedAllocations: map[string]int{},
+		CreateTime: unixNanos(j.Submitted), ModifyTime: unixNanos(j.Submitted), QueuedAllocations: map[string]int{},
 	}
 	if j.Stopped {
 		e.TriggeredBy = "job-deregister"
@@ -280,12 +280,12 @@
 }
 
 // allocOf is a task that is done or on a machine.
-func allocOf(j *registry.Job, g registry.Group, index uint64, now core.Micros, t core.TaskView) allocView {
+func newAllocView(j *registry.Job, g registry.Group, index uint64, now core.Micros, t core.TaskView) allocView {
 	a := allocView{
 		ID: allocationID(g.Native, t.Index), EvalID: evaluationID(j.Name, j.JobModifyIndex), Name: fmt.Sprintf("%s.%s[%d]", j.ID, g.Name, t.Index),
 		Namespace: j.Team, JobID: j.ID, JobType: j.Type, JobVersion: j.Version, TaskGroup: g.Name,
 		DesiredStatus: "run", CreateIndex: j.JobModifyIndex, ModifyIndex: index, TaskStates: map[string]taskState{},
-		CreateTime: nanos(j.Submitted), ModifyTime: nanos(j.Submitted),
+		CreateTime: unixNanos(j.Submitted), ModifyTime: unixNanos(j.Submitted),
 	}
 	state := taskState{State: "pending"}
 	switch {
@@ -297,8 +297,8 @@
 		a.ClientStatus = "pending"
 	}
 	if t.Machine != "" {
-		a.NodeID, a.NodeName = machineID(t.Machine), t.Machine
-		a.CreateTime, a.ModifyTime = nanos(now-t.Age), nanos(now-t.Age)
+		a.NodeID, a.NodeName = nodeID(t.Machine), t.Machine
+		a.CreateTime, a.ModifyTime = unixNanos(now-t.Age), unixNanos(now-t.Age)
 	}
 	a.TaskStates[g.Name] = state
 	return a
@@ -312,9 +312,9 @@
 	CreateIndex, ModifyIndex                                                                                      uint64
 }
 
-func nodeOf(m core.MachineView) nodeView {
+func newNodeView(m core.MachineView) nodeView {
 	n := nodeView{
-		ID: machineID(m.Name), Name: m.Name, Datacenter: m.Zone, NodeClass: m.Type, NodePool: "default", Status: "ready",
+		ID: nodeID(m.Name), Name: m.Name, Datacenter: m.Zone, NodeClass: m.Type, NodePool: "default", Status: "ready",
 		SchedulingEligibility: "eligible", Attributes: map[string]string{"aspenstall.spot": fmt.Sprint(m.Spot)}, Drivers: map[string]struct{}{},
 	}
 	if !m.Ready {
--- a/internal/nomad/jobfile/eval.go
+++ b/internal/nomad/jobfile/eval.go
@@ -14,26 +14,26 @@
 // How much evaluating one file may cost: a small file can ask for any amount
 // of work and memory.
 const (
-	maxSteps = 200_000 // expressions evaluated, blocks and elements made
-	maxBytes = 8 << 20 // of texts made on the way
-	maxExp   = 4096    // binary exponent of a number: 1e9999999 is a short text and a long number
+	maxEvalSteps = 200_000 // expressions evaluated, blocks and elements made
+	maxEvalBytes = 8 << 20 // of texts made on the way
+	maxExponent  = 4096    // binary exponent of a number: 1e9999999 is a short text and a long number
 )
 
 // large reports whether a number is too long to be written out.
-func large(v cty.Value) bool {
+func exceedsExponent(v cty.Value) bool {
 	if v.Type() != cty.Number || !v.IsKnown() || v.IsNull() {
 		return false
 	}
 	e := v.AsBigFloat().MantExp(nil)
-	return e > maxExp || e < -maxExp
+	return e > maxExponent || e < -maxExponent
 }
 
-var errBudget = errors.New("the file asks for too much work to evaluate it")
+var errBudgetExceeded = errors.New("the file asks for too much work to evaluate it")
 
 // budget is what is left of it.
 type budget struct {
 	steps, bytes int
-	told         bool // the file's reader has been told
+	reported     bool // the file's reader has been told
 }
 
 func (b *budget) spend(steps, bytes int) bool {
@@ -54,7 +54,7 @@
 	case ty == cty.String:
 		return b.spend(0, len(v.AsString()))
 	case ty == cty.Number:
-		return !large(v)
+		return !exceedsExponent(v)
 	case ty.IsObjectType() || ty.IsTupleType() || ty.IsCollectionType():
 		for it := v.ElementIterator(); it.Next(); {
 			if _, e := it.Element(); !b.charge(e) {
@@ -68,71 +68,71 @@
 // counted is an expression whose evaluation is paid from the budget. A name
 // that only the running task knows, such as ${node.class}, stays as it was
 // written.
-type counted struct {
+type meteredExpr struct {
 	hclsyntax.Expression
-	b        *budget
+	budget   *budget
 	verbatim string
 }
 
-func (c *counted) Value(ctx *hcl.EvalContext) (cty.Value, hcl.Diagnostics) {
-	if !c.b.spend(1, 0) {
-		return cty.DynamicVal, c.over()
+func (c *meteredExpr) Value(ctx *hcl.EvalContext) (cty.Value, hcl.Diagnostics) {
+	if !c.budget.spend(1, 0) {
+		return cty.DynamicVal, c.budgetExceeded()
 	}
 	if c.verbatim != "" {
 		return cty.StringVal(c.verbatim), nil
 	}
 	v, diags := c.Expression.Value(ctx)
-	if !diags.HasErrors() && large(v) {
-		return cty.DynamicVal, append(diags, c.over()...)
+	if !diags.HasErrors() && exceedsExponent(v) {
+		return cty.DynamicVal, append(diags, c.budgetExceeded()...)
 	}
-	if !diags.HasErrors() && v.Type() == cty.String && v.IsKnown() && !v.IsNull() && !c.b.spend(0, len(v.AsString())) {
-		return cty.DynamicVal, append(diags, c.over()...)
+	if !diags.HasErrors() && v.Type() == cty.String && v.IsKnown() && !v.IsNull() && !c.budget.spend(0, len(v.AsString())) {
+		return cty.DynamicVal, append(diags, c.budgetExceeded()...)
 	}
 	return v, diags
 }
 
 // over is one line for the whole file, not one for each expression after it.
-func (c *counted) over() hcl.Diagnostics {
-	d := &hcl.Diagnostic{Severity: hcl.DiagError, Summary: errBudget.Error(), Subject: c.Range().Ptr()}
-	if c.b.told {
+func (c *meteredExpr) budgetExceeded() hcl.Diagnostics {
+	d := &hcl.Diagnostic{Severity: hcl.DiagError, Summary: errBudgetExceeded.Error(), Subject: c.Range().Ptr()}
+	if c.budget.reported {
 		d.Summary = ""
 	}
-	c.b.told = true
+	c.budget.reported = true
 	return hcl.Diagnostics{d}
 }
 
 // runtimeNames are the roots of names that only the running task knows.
-var runtimeNames = map[string]bool{"attr": true, "node": true, "device": true, "meta": true, "env": true, "unique": true}
+var runtimeRoots = map[string]bool{"attr": true, "node": true, "device": true, "meta": true, "env": true, "unique": true}
 
-func isRuntime(root string) bool { return runtimeNames[root] || strings.HasPrefix(root, "NOMAD_") }
+func isRuntimeRoot(root string) bool { return runtimeRoots[root] || strings.HasPrefix(root, "NOMAD_") }
 
 // instrument puts a file's expressions on the budget.
-type instrument struct {
-	src []byte
-	b   *budget
+type instrumenter struct {
+	src    []byte
+	budget *budget
 }
 
-func (in *instrument) body(b *hclsyntax.Body) {
+func (in *instrumenter) instrumentBody(b *hclsyntax.Body) {
 	for _, a := range b.Attributes {
-		a.Expr = in.expr(a.Expr, nil)
+		a.Expr = in.instrumentExpr(a.Expr, nil)
 	}
 	for _, k := range b.Blocks {
 		if k.Type != "variable" { // its type is no expression
-			in.body(k.Body)
+			in.instrumentBody(k.Body)
 		}
 	}
 }
 
 // expr replaces an expression and all below it; bound are the names that
 // enclosing expressions give a meaning.
-func (in *instrument) expr(e hclsyntax.Expression, bound []string) hclsyntax.Expression {
-	sub := func(e hclsyntax.Expression) hclsyntax.Expression { return in.expr(e, bound) }
+func (in *instrumenter) instrumentExpr(e hclsyntax.Expression, bound []string) hclsyntax.Expression {
+	sub := func(e hclsyntax.Expression) hclsyntax.Expression { return in.instrumentExpr(e, bound) }
 	all := func(es []hclsyntax.Expression) {
 		for i := range es {
 			es[i] = sub(es[i])
 		}
 	}
-	c := &counted{Expression: e, b: in.b}
+	c := &meteredExpr{Expression: e, budget: in.budget}
 	switch e := e.(type) {
 	case nil, *hclsyntax.LiteralValueExpr, *hclsyntax.AnonSymbolExpr:
 		return e
@@ -143,7 +143,7 @@
 				return c
 			}
 		}
-		if isRuntime(root) {
+		if isRuntimeRoot(root) {
 			c.verbatim = "${" + string(e.SrcRange.SliceBytes(in.src)) + "}"
 		}
 	case *hclsyntax.TemplateExpr:
@@ -170,7 +170,7 @@
 		inner := append(bound[:len(bound):len(bound)], e.KeyVar, e.ValVar)
 		for _, p := range []*hclsyntax.Expression{&e.KeyExpr, &e.ValExpr, &e.CondExpr} {
 			if *p != nil {
-				*p = in.expr(*p, inner)
+				*p = in.instrumentExpr(*p, inner)
 			}
 		}
 	case *hclsyntax.ConditionalExpr:
@@ -191,7 +191,7 @@
 
 // unreadable finds where brackets, templates or operators nest deeper than is
 // read, since the parser calls itself for each, and numbers without end.
-func unreadable(name string, src []byte) (Problem, bool) {
+func checkTokens(name string, src []byte) (Problem, bool) {
 	tokens, _ := hclsyntax.LexConfig(src, name, hcl.InitialPos)
 	depth, chain := 0, 0
 	for _, t := range tokens {
@@ -206,27 +206,27 @@
 		case hclsyntax.TokenNewline, hclsyntax.TokenComma:
 			chain = 0
 		case hclsyntax.TokenNumberLit:
-			if !writable(string(t.Bytes)) {
-				return problemf(position(t.Range), "%.40s: number out of range", t.Bytes), true
+			if !numberInRange(string(t.Bytes)) {
+				return problemf(posOf(t.Range), "%.40s: number out of range", t.Bytes), true
 			}
 		}
 		if depth > maxDepth || chain > 8*maxDepth {
-			return problemf(position(t.Range), "nested deeper than %d levels", maxDepth), true
+			return problemf(posOf(t.Range), "nested deeper than %d levels", maxDepth), true
 		}
 	}
 	return Problem{}, false
 }
 
 // writable reports whether a number in decimal is one that is soon written out.
-func writable(s string) bool {
+func numberInRange(s string) bool {
 	_, err := strconv.ParseFloat(s, 64)
 	return err == nil && len(s) <= 400
 }
 
-func position(r hcl.Range) Pos { return Pos{r.Filename, r.Start.Line, r.Start.Column} }
+func posOf(r hcl.Range) Pos { return Pos{r.Filename, r.Start.Line, r.Start.Column} }
 
 // problems turns the parser's findings into ours.
-func problems(diags hcl.Diagnostics) Problems {
+func problemsOf(diags hcl.Diagnostics) Problems {
 	var out Problems
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError || d.Summary == "" {
@@ -237,7 +237,7 @@
 			p.Text += ": " + strings.Join(strings.Fields(d.Detail), " ")
 		}
 		if d.Subject != nil {
-			p.Pos = position(*d.Subject)
+			p.Pos = posOf(*d.Subject)
 		}
 		out = append(out, p)
 	}
--- a/internal/nomad/jobfile/functions.go
+++ b/internal/nomad/jobfile/functions.go
@@ -22,7 +22,7 @@
 // standard are the functions of the published list whose result depends on
 // their arguments alone. Those that read files, the clock or random numbers
 // are not here: the same file has to become the same job wherever it is read.
-var standard = map[string]function.Function{
+var supportedFunctions = map[string]function.Function{
 	"abs": stdlib.AbsoluteFunc, "ceil": stdlib.CeilFunc, "floor": stdlib.FloorFunc, "log": stdlib.LogFunc,
 	"max": stdlib.MaxFunc, "min": stdlib.MinFunc, "parseint": stdlib.ParseIntFunc, "pow": stdlib.PowFunc, "signum": stdlib.SignumFunc,
 
@@ -45,20 +45,20 @@
 	"formatdate": stdlib.FormatDateFunc, "timeadd": stdlib.TimeAddFunc, "convert": typeexpr.ConvertFunc,
 	"can": tryfunc.CanFunc, "try": tryfunc.TryFunc,
 
-	"base64encode": textFunc(func(s string) (string, error) { return base64.StdEncoding.EncodeToString([]byte(s)), nil }),
-	"base64decode": textFunc(func(s string) (string, error) {
+	"base64encode": stringFunc(func(s string) (string, error) { return base64.StdEncoding.EncodeToString([]byte(s)), nil }),
+	"base64decode": stringFunc(func(s string) (string, error) {
 		b, err := base64.StdEncoding.DecodeString(s)
 		return string(b), err
 	}),
-	"urlencode": textFunc(func(s string) (string, error) { return url.QueryEscape(s), nil }),
-	"md5":       textFunc(func(s string) (string, error) { h := md5.Sum([]byte(s)); return hex.EncodeToString(h[:]), nil }),
-	"sha1":      textFunc(func(s string) (string, error) { h := sha1.Sum([]byte(s)); return hex.EncodeToString(h[:]), nil }),
-	"sha256":    textFunc(func(s string) (string, error) { h := sha256.Sum256([]byte(s)); return hex.EncodeToString(h[:]), nil }),
-	"sha512":    textFunc(func(s string) (string, error) { h := sha512.Sum512([]byte(s)); return hex.EncodeToString(h[:]), nil }),
+	"urlencode": stringFunc(func(s string) (string, error) { return url.QueryEscape(s), nil }),
+	"md5":       stringFunc(func(s string) (string, error) { h := md5.Sum([]byte(s)); return hex.EncodeToString(h[:]), nil }),
+	"sha1":      stringFunc(func(s string) (string, error) { h := sha1.Sum([]byte(s)); return hex.EncodeToString(h[:]), nil }),
+	"sha256":    stringFunc(func(s string) (string, error) { h := sha256.Sum256([]byte(s)); return hex.EncodeToString(h[:]), nil }),
+	"sha512":    stringFunc(func(s string) (string, error) { h := sha512.Sum512([]byte(s)); return hex.EncodeToString(h[:]), nil }),
 }
 
 // withheld are published functions that are not served, and why.
-var withheld = map[string]string{
+var unsupportedFunctions = map[string]string{
 	"file": "reads files", "fileexists": "reads files", "fileset": "reads files", "filebase64": "reads files", "filemd5": "reads files",
 	"abspath": "looks at the machine", "basename": "looks at the machine", "dirname": "looks at the machine", "pathexpand": "looks at the machine",
 	"timestamp": "gives another result each time", "uuidv4": "gives another result each time", "bcrypt": "gives another result each time",
@@ -67,7 +67,7 @@
 	"env": "looks at the machine", "consul_key": "asks a server", "vault": "asks a server",
 }
 
-func textFunc(f func(string) (string, error)) function.Function {
+func stringFunc(f func(string) (string, error)) function.Function {
 	return function.New(&function.Spec{
 		Params: []function.Parameter{{Name: "str", Type: cty.String}},
 		Type:   function.StaticReturnType(cty.String),
@@ -79,9 +79,9 @@
 }
 
 // functions are the standard ones on a budget.
-func functions(b *budget) map[string]function.Function {
-	out := make(map[string]function.Function, len(standard))
-	for name, f := range standard {
+func meteredFunctions(b *budget) map[string]function.Function {
+	out := make(map[string]function.Function, len(supportedFunctions))
+	for name, f := range supportedFunctions {
 		if name == "can" || name == "try" || name == "convert" {
 			out[name] = f // takes expressions, which pay by themselves
 			continue
@@ -89,7 +89,7 @@
 		out[name] = function.New(&function.Spec{
 			Params: f.Params(), VarParam: f.VarParam(),
 			Type: func(args []cty.Value) (cty.Type, error) {
-				if err := b.call(name, args); err != nil {
+				if err := b.chargeCall(name, args); err != nil {
 					return cty.DynamicPseudoType, err
 				}
 				return f.ReturnTypeForValues(args)
@@ -97,13 +97,13 @@
 			Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
 				v, err := f.Call(args)
 				if err == nil && !b.charge(v) {
-					return cty.DynamicVal, errBudget
+					return cty.DynamicVal, errBudgetExceeded
 				}
 				return v, err
 			},
 		})
 	}
-	for name, why := range withheld {
+	for name, why := range unsupportedFunctions {
 		out[name] = function.New(&function.Spec{
 			VarParam: &function.Parameter{Name: "args", Type: cty.DynamicPseudoType, AllowNull: true, AllowDynamicType: true},
 			Type: func([]cty.Value) (cty.Type, error) {
@@ -114,15 +114,15 @@
 	return out
 }
 
-var wide = regexp.MustCompile(`%[^a-zA-Z%]*[0-9]{4}`)
+var wideVerb = regexp.MustCompile(`%[^a-zA-Z%]*[0-9]{4}`)
 
 // call pays for a call before it is made, where its result may be far larger
 // than its arguments.
-func (b *budget) call(name string, args []cty.Value) error {
+func (b *budget) chargeCall(name string, args []cty.Value) error {
 	texts, numbers := []string{}, []float64{}
 	for _, a := range args {
 		if !b.charge(a) {
-			return errBudget
+			return errBudgetExceeded
 		}
 		if !a.IsKnown() || a.IsNull() {
 			continue
@@ -137,7 +137,7 @@
 	}
 	made := 0.0
 	switch {
-	case (name == "format" || name == "formatlist") && len(texts) > 0 && wide.MatchString(texts[0]):
+	case (name == "format" || name == "formatlist") && len(texts) > 0 && wideVerb.MatchString(texts[0]):
 		return fmt.Errorf("a width above 999 is not served")
 	case name == "indent" && len(numbers) > 0 && len(texts) > 0:
 		made = numbers[0] * float64(strings.Count(texts[len(texts)-1], "\n")+1)
@@ -166,7 +166,7 @@
 		}
 	}
 	if made < 0 || made > float64(b.bytes) {
-		return errBudget
+		return errBudgetExceeded
 	}
 	return nil
 }
--- a/internal/nomad/jobfile/grammar.go
+++ b/internal/nomad/jobfile/grammar.go
@@ -1,49 +1,49 @@
 package jobfile
 
 // kind is what an item of a job file holds.
-type kind uint8
+type itemKind uint8
 
 const (
-	text   kind = iota
-	whole       // a whole number within lo and hi
-	flag        // true or false
-	span        // a duration: "30s", or nanoseconds in the JSON form
-	texts       // a list of text
-	table       // texts by name; a block or an attribute
-	free        // anything by name; a block or an attribute
-	one         // a block
-	many        // blocks, a list in the JSON form
-	opaque      // known by name only
-	server      // in the JSON form only, written by servers: not read
+	kindString      itemKind = iota
+	kindInt                  // a whole number within lo and hi
+	kindBool                 // true or false
+	kindDuration             // a duration: "30s", or nanoseconds in the JSON form
+	kindStringList           // a list of text
+	kindStringMap            // texts by name; a block or an attribute
+	kindAnyMap               // anything by name; a block or an attribute
+	kindBlock                // a block
+	kindBlockList            // blocks, a list in the JSON form
+	kindOpaque               // known by name only
+	kindServerField          // in the JSON form only, written by servers: not read
 )
 
 // item is an attribute or block of a body.
 type item struct {
-	hcl    string // in the job file; "" if only the JSON form has it
-	field  string // in the JSON form
-	kind   kind
-	lo, hi int64
-	words  []string // the only texts allowed
-	body   *body    // of blocks
+	hclName  string // in the job file; "" if only the JSON form has it
+	jsonName string // in the JSON form
+	kind     itemKind
+	min, max int64
+	allowed  []string // the only texts allowed
+	body     *body    // of blocks
 }
 
 func (i *item) name() string {
-	if i.hcl == "" {
-		return i.field
+	if i.hclName == "" {
+		return i.jsonName
 	}
-	return i.hcl
+	return i.hclName
 }
 
 // body is what a block holds.
 type body struct {
-	items []item
-	label string              // the field that takes the block's label
-	fix   func(*walker, *fix) // what HCL writes in another way than JSON
+	items      []item
+	labelField string                           // the field that takes the block's label
+	normalize  func(*hclDecoder, *blockContent) // what HCL writes in another way than JSON
 }
 
-func (b *body) byHCL(name string) *item {
+func (b *body) itemByHCLName(name string) *item {
 	for i := range b.items {
-		if b.items[i].hcl == name {
+		if b.items[i].hclName == name {
 			return &b.items[i]
 		}
 	}
@@ -51,154 +51,156 @@
 }
 
 const (
-	anyCount  = 1 << 31
+	maxCount  = 1 << 31
 	maxWeight = 100
 )
 
-func attr(hcl, field string, k kind) item { return item{hcl: hcl, field: field, kind: k} }
+func attribute(hcl, field string, k itemKind) item {
+	return item{hclName: hcl, jsonName: field, kind: k}
+}
 
-func number(hcl, field string, lo, hi int64) item {
-	return item{hcl: hcl, field: field, kind: whole, lo: lo, hi: hi}
+func integer(hcl, field string, lo, hi int64) item {
+	return item{hclName: hcl, jsonName: field, kind: kindInt, min: lo, max: hi}
 }
 
-func word(hcl, field string, words ...string) item {
-	return item{hcl: hcl, field: field, kind: text, words: words}
+func enum(hcl, field string, words ...string) item {
+	return item{hclName: hcl, jsonName: field, kind: kindString, allowed: words}
 }
 
 func block(hcl, field string, b *body) item {
-	return item{hcl: hcl, field: field, kind: one, body: b}
+	return item{hclName: hcl, jsonName: field, kind: kindBlock, body: b}
 }
 
-func blocks(hcl, field string, b *body) item {
-	return item{hcl: hcl, field: field, kind: many, body: b}
+func blockList(hcl, field string, b *body) item {
+	return item{hclName: hcl, jsonName: field, kind: kindBlockList, body: b}
 }
 
 // unread are items known by name only.
-func unread(names ...[2]string) []item {
+func opaqueItems(names ...[2]string) []item {
 	var out []item
 	for _, n := range names {
-		out = append(out, item{hcl: n[0], field: n[1], kind: opaque})
+		out = append(out, item{hclName: n[0], jsonName: n[1], kind: kindOpaque})
 	}
 	return out
 }
 
 // written are fields that servers write and clients send back.
-func written(fields ...string) []item {
+func serverFields(fields ...string) []item {
 	var out []item
 	for _, f := range fields {
-		out = append(out, item{field: f, kind: server})
+		out = append(out, item{jsonName: f, kind: kindServerField})
 	}
 	return out
 }
 
-func with(items []item, more ...[]item) []item {
+func appendItems(items []item, more ...[]item) []item {
 	for _, m := range more {
 		items = append(items, m...)
 	}
 	return items
 }
 
-var constraintBody = &body{fix: shorthand, items: []item{
-	attr("attribute", "LTarget", text), attr("operator", "Operand", text), attr("value", "RTarget", text),
+var constraintBody = &body{normalize: normalizeConstraint, items: []item{
+	attribute("attribute", "LTarget", kindString), attribute("operator", "Operand", kindString), attribute("value", "RTarget", kindString),
 }}
 
-var affinityBody = &body{fix: shorthand, items: []item{
-	attr("attribute", "LTarget", text), attr("operator", "Operand", text), attr("value", "RTarget", text),
-	number("weight", "Weight", -maxWeight, maxWeight),
+var affinityBody = &body{normalize: normalizeConstraint, items: []item{
+	attribute("attribute", "LTarget", kindString), attribute("operator", "Operand", kindString), attribute("value", "RTarget", kindString),
+	integer("weight", "Weight", -maxWeight, maxWeight),
 }}
 
 var spreadBody = &body{items: []item{
-	attr("attribute", "Attribute", text), number("weight", "Weight", 0, maxWeight),
-	blocks("target", "SpreadTarget", &body{label: "Value", items: []item{
-		{field: "Value", kind: text}, number("percent", "Percent", 0, 100),
+	attribute("attribute", "Attribute", kindString), integer("weight", "Weight", 0, maxWeight),
+	blockList("target", "SpreadTarget", &body{labelField: "Value", items: []item{
+		{jsonName: "Value", kind: kindString}, integer("percent", "Percent", 0, 100),
 	}}),
 }}
 
 var updateBody = &body{items: []item{
-	attr("stagger", "Stagger", span), number("max_parallel", "MaxParallel", 0, anyCount),
-	word("health_check", "HealthCheck", "checks", "task_states", "manual"),
-	attr("min_healthy_time", "MinHealthyTime", span), attr("healthy_deadline", "HealthyDeadline", span),
-	attr("progress_deadline", "ProgressDeadline", span), number("canary", "Canary", 0, anyCount),
-	attr("auto_revert", "AutoRevert", flag), attr("auto_promote", "AutoPromote", flag),
+	attribute("stagger", "Stagger", kindDuration), integer("max_parallel", "MaxParallel", 0, maxCount),
+	enum("health_check", "HealthCheck", "checks", "task_states", "manual"),
+	attribute("min_healthy_time", "MinHealthyTime", kindDuration), attribute("healthy_deadline", "HealthyDeadline", kindDuration),
+	attribute("progress_deadline", "ProgressDeadline", kindDuration), integer("canary", "Canary", 0, maxCount),
+	attribute("auto_revert", "AutoRevert", kindBool), attribute("auto_promote", "AutoPromote", kindBool),
 }}
 
 var migrateBody = &body{items: []item{
-	number("max_parallel", "MaxParallel", 0, anyCount), word("health_check", "HealthCheck", "checks", "task_states"),
-	attr("min_healthy_time", "MinHealthyTime", span), attr("healthy_deadline", "HealthyDeadline", span),
+	integer("max_parallel", "MaxParallel", 0, maxCount), enum("health_check", "HealthCheck", "checks", "task_states"),
+	attribute("min_healthy_time", "MinHealthyTime", kindDuration), attribute("healthy_deadline", "HealthyDeadline", kindDuration),
 }}
 
 var restartBody = &body{items: []item{
-	attr("interval", "Interval", span), number("attempts", "Attempts", 0, anyCount), attr("delay", "Delay", span),
-	word("mode", "Mode", "delay", "fail"), attr("render_templates", "RenderTemplates", flag),
+	attribute("interval", "Interval", kindDuration), integer("attempts", "Attempts", 0, maxCount), attribute("delay", "Delay", kindDuration),
+	enum("mode", "Mode", "delay", "fail"), attribute("render_templates", "RenderTemplates", kindBool),
 }}
 
 var rescheduleBody = &body{items: []item{
-	number("attempts", "Attempts", 0, anyCount), attr("interval", "Interval", span), attr("delay", "Delay", span),
-	word("delay_function", "DelayFunction", "constant", "exponential", "fibonacci"),
-	attr("max_delay", "MaxDelay", span), attr("unlimited", "Unlimited", flag),
+	integer("attempts", "Attempts", 0, maxCount), attribute("interval", "Interval", kindDuration), attribute("delay", "Delay", kindDuration),
+	enum("delay_function", "DelayFunction", "constant", "exponential", "fibonacci"),
+	attribute("max_delay", "MaxDelay", kindDuration), attribute("unlimited", "Unlimited", kindBool),
 }}
 
-var resourcesBody = &body{items: with([]item{
-	number("cpu", "CPU", 0, anyCount), number("cores", "Cores", 0, anyCount),
-	number("memory", "MemoryMB", 0, anyCount), number("memory_max", "MemoryMaxMB", 0, anyCount),
-	number("disk", "DiskMB", 0, anyCount), number("iops", "IOPS", 0, anyCount), number("secrets", "SecretsMB", 0, anyCount),
-	blocks("device", "Devices", &body{label: "Name", items: []item{
-		{field: "Name", kind: text}, number("count", "Count", 0, 128),
-		blocks("constraint", "Constraints", constraintBody), blocks("affinity", "Affinities", affinityBody),
+var resourcesBody = &body{items: appendItems([]item{
+	integer("cpu", "CPU", 0, maxCount), integer("cores", "Cores", 0, maxCount),
+	integer("memory", "MemoryMB", 0, maxCount), integer("memory_max", "MemoryMaxMB", 0, maxCount),
+	integer("disk", "DiskMB", 0, maxCount), integer("iops", "IOPS", 0, maxCount), integer("secrets", "SecretsMB", 0, maxCount),
+	blockList("device", "Devices", &body{labelField: "Name", items: []item{
+		{jsonName: "Name", kind: kindString}, integer("count", "Count", 0, 128),
+		blockList("constraint", "Constraints", constraintBody), blockList("affinity", "Affinities", affinityBody),
 	}}),
-}, unread([2]string{"network", "Networks"}, [2]string{"numa", "NUMA"}))}
+}, opaqueItems([2]string{"network", "Networks"}, [2]string{"numa", "NUMA"}))}
 
-var taskBody = &body{label: "Name", items: with([]item{
-	{field: "Name", kind: text},
-	attr("driver", "Driver", text), attr("user", "User", text),
-	attr("config", "Config", free), attr("env", "Env", table), attr("meta", "Meta", table),
+var taskBody = &body{labelField: "Name", items: appendItems([]item{
+	{jsonName: "Name", kind: kindString},
+	attribute("driver", "Driver", kindString), attribute("user", "User", kindString),
+	attribute("config", "Config", kindAnyMap), attribute("env", "Env", kindStringMap), attribute("meta", "Meta", kindStringMap),
 	block("resources", "Resources", resourcesBody),
-	blocks("constraint", "Constraints", constraintBody), blocks("affinity", "Affinities", affinityBody),
+	blockList("constraint", "Constraints", constraintBody), blockList("affinity", "Affinities", affinityBody),
 	block("restart", "RestartPolicy", restartBody),
-	attr("kill_timeout", "KillTimeout", span), attr("kill_signal", "KillSignal", text),
-	attr("shutdown_delay", "ShutdownDelay", span), attr("leader", "Leader", flag), attr("kind", "Kind", text),
+	attribute("kill_timeout", "KillTimeout", kindDuration), attribute("kill_signal", "KillSignal", kindString),
+	attribute("shutdown_delay", "ShutdownDelay", kindDuration), attribute("leader", "Leader", kindBool), attribute("kind", "Kind", kindString),
 	block("logs", "LogConfig", &body{items: []item{
-		number("max_files", "MaxFiles", 1, anyCount), number("max_file_size", "MaxFileSizeMB", 1, anyCount),
-		attr("enabled", "Enabled", flag), attr("disabled", "Disabled", flag),
+		integer("max_files", "MaxFiles", 1, maxCount), integer("max_file_size", "MaxFileSizeMB", 1, maxCount),
+		attribute("enabled", "Enabled", kindBool), attribute("disabled", "Disabled", kindBool),
 	}}),
-}, unread([2]string{"lifecycle", "Lifecycle"}, [2]string{"service", "Services"}, [2]string{"artifact", "Artifacts"},
+}, opaqueItems([2]string{"lifecycle", "Lifecycle"}, [2]string{"service", "Services"}, [2]string{"artifact", "Artifacts"},
 	[2]string{"vault", "Vault"}, [2]string{"consul", "Consul"}, [2]string{"template", "Templates"},
 	[2]string{"dispatch_payload", "DispatchPayload"}, [2]string{"volume_mount", "VolumeMounts"},
 	[2]string{"csi_plugin", "CSIPluginConfig"}, [2]string{"scaling", "ScalingPolicies"}, [2]string{"secret", "Secrets"},
 	[2]string{"identity", "Identities"}, [2]string{"action", "Actions"}, [2]string{"schedule", "Schedule"}),
-	written("Identity"))}
+	serverFields("Identity"))}
 
-var groupBody = &body{label: "Name", items: with([]item{
-	{field: "Name", kind: text},
-	number("count", "Count", 0, anyCount),
-	blocks("constraint", "Constraints", constraintBody), blocks("affinity", "Affinities", affinityBody),
-	blocks("spread", "Spreads", spreadBody), blocks("task", "Tasks", taskBody),
+var groupBody = &body{labelField: "Name", items: appendItems([]item{
+	{jsonName: "Name", kind: kindString},
+	integer("count", "Count", 0, maxCount),
+	blockList("constraint", "Constraints", constraintBody), blockList("affinity", "Affinities", affinityBody),
+	blockList("spread", "Spreads", spreadBody), blockList("task", "Tasks", taskBody),
 	block("restart", "RestartPolicy", restartBody), block("reschedule", "ReschedulePolicy", rescheduleBody),
 	block("update", "Update", updateBody), block("migrate", "Migrate", migrateBody),
-	attr("meta", "Meta", table),
+	attribute("meta", "Meta", kindStringMap),
 	block("ephemeral_disk", "EphemeralDisk", &body{items: []item{
-		attr("sticky", "Sticky", flag), attr("migrate", "Migrate", flag), number("size", "SizeMB", 0, anyCount),
+		attribute("sticky", "Sticky", kindBool), attribute("migrate", "Migrate", kindBool), integer("size", "SizeMB", 0, maxCount),
 	}}),
-	attr("shutdown_delay", "ShutdownDelay", span), attr("max_run_duration", "MaxRunDuration", span),
-	attr("stop_after_client_disconnect", "StopAfterClientDisconnect", span),
-	attr("max_client_disconnect", "MaxClientDisconnect", span),
-	attr("prevent_reschedule_on_lost", "PreventRescheduleOnLost", flag),
-}, unread([2]string{"volume", "Volumes"}, [2]string{"network", "Networks"}, [2]string{"service", "Services"},
+	attribute("shutdown_delay", "ShutdownDelay", kindDuration), attribute("max_run_duration", "MaxRunDuration", kindDuration),
+	attribute("stop_after_client_disconnect", "StopAfterClientDisconnect", kindDuration),
+	attribute("max_client_disconnect", "MaxClientDisconnect", kindDuration),
+	attribute("prevent_reschedule_on_lost", "PreventRescheduleOnLost", kindBool),
+}, opaqueItems([2]string{"volume", "Volumes"}, [2]string{"network", "Networks"}, [2]string{"service", "Services"},
 	[2]string{"scaling", "Scaling"}, [2]string{"consul", "Consul"}, [2]string{"disconnect", "Disconnect"}))}
 
-var jobBody = &body{label: "ID", items: with([]item{
-	attr("id", "ID", text), attr("name", "Name", text),
-	attr("region", "Region", text), attr("namespace", "Namespace", text),
-	word("type", "Type", "service", "batch", "system", "sysbatch"),
-	number("priority", "Priority", 1, 100), attr("all_at_once", "AllAtOnce", flag),
-	attr("datacenters", "Datacenters", texts), attr("node_pool", "NodePool", text),
-	blocks("constraint", "Constraints", constraintBody), blocks("affinity", "Affinities", affinityBody),
-	blocks("spread", "Spreads", spreadBody), blocks("group", "TaskGroups", groupBody),
+var jobBody = &body{labelField: "ID", items: appendItems([]item{
+	attribute("id", "ID", kindString), attribute("name", "Name", kindString),
+	attribute("region", "Region", kindString), attribute("namespace", "Namespace", kindString),
+	enum("type", "Type", "service", "batch", "system", "sysbatch"),
+	integer("priority", "Priority", 1, 100), attribute("all_at_once", "AllAtOnce", kindBool),
+	attribute("datacenters", "Datacenters", kindStringList), attribute("node_pool", "NodePool", kindString),
+	blockList("constraint", "Constraints", constraintBody), blockList("affinity", "Affinities", affinityBody),
+	blockList("spread", "Spreads", spreadBody), blockList("group", "TaskGroups", groupBody),
 	block("update", "Update", updateBody), block("migrate", "Migrate", migrateBody),
-	block("reschedule", "Reschedule", rescheduleBody), attr("meta", "Meta", table),
-	{field: "Stop", kind: flag}, {field: "ParentID", kind: text}, {field: "Payload", kind: text},
-}, unread([2]string{"periodic", "Periodic"}, [2]string{"parameterized", "ParameterizedJob"},
+	block("reschedule", "Reschedule", rescheduleBody), attribute("meta", "Meta", kindStringMap),
+	{jsonName: "Stop", kind: kindBool}, {jsonName: "ParentID", kind: kindString}, {jsonName: "Payload", kind: kindString},
+}, opaqueItems([2]string{"periodic", "Periodic"}, [2]string{"parameterized", "ParameterizedJob"},
 	[2]string{"multiregion", "Multiregion"}, [2]string{"ui", "UI"},
 	[2]string{"vault_token", "VaultToken"}, [2]string{"consul_token", "ConsulToken"}),
-	written("Dispatched", "DispatchIdempotencyToken", "ConsulNamespace", "VaultNamespace", "NomadTokenID", "Status",
+	serverFields("Dispatched", "DispatchIdempotencyToken", "ConsulNamespace", "VaultNamespace", "NomadTokenID", "Status",
 		"StatusDescription", "Stable", "Version", "SubmitTime", "CreateIndex", "ModifyIndex", "JobModifyIndex", "VersionTag"))}
--- a/internal/nomad/jobfile/jobfile.go
+++ b/internal/nomad/jobfile/jobfile.go
@@ -73,8 +73,8 @@
 	Name string
 	Job  *Job // with the published defaults
 
-	doc map[string]any // the JSON form, as given
-	at  map[string]Pos // by JSON pointer
+	doc       map[string]any // the JSON form, as given
+	positions map[string]Pos // by JSON pointer
 }
 
 // Options say how a file is read.
@@ -97,7 +97,7 @@
 // Parse reads a job file in either form: what begins with a brace is JSON. The
 // error is of type Problems and lists all that is wrong.
 func Parse(name string, src []byte, o Options) (*File, error) {
-	f := &File{Name: name, at: map[string]Pos{}}
+	f := &File{Name: name, positions: map[string]Pos{}}
 	var ps Problems
 	switch {
 	case len(src) > MaxSource:
@@ -124,9 +124,9 @@
 }
 
 // At is where the value at a JSON pointer was written, or else what holds it.
-func (f *File) At(pointer string) Pos {
+func (f *File) Position(pointer string) Pos {
 	for p := pointer; ; {
-		if pos, ok := f.at[p]; ok {
+		if pos, ok := f.positions[p]; ok {
 			return pos
 		}
 		i := strings.LastIndexByte(p, '/')
@@ -146,29 +146,29 @@
 
 // Each calls f for every attribute and block that the file gives, blocks before
 // what they hold, repeated blocks once each.
-func (f *File) Each(visit func(Entry)) { each(jobBody, "job", "", f.doc, visit) }
+func (f *File) Each(visit func(Entry)) { visitItems(jobBody, "job", "", f.doc, visit) }
 
-func each(b *body, path, pointer string, doc map[string]any, visit func(Entry)) {
+func visitItems(b *body, path, pointer string, doc map[string]any, visit func(Entry)) {
 	for i := range b.items {
 		it := &b.items[i]
-		v, ok := doc[it.field]
-		if !ok || it.kind == server {
+		v, ok := doc[it.jsonName]
+		if !ok || it.kind == kindServerField {
 			continue
 		}
-		p, ptr := path+"."+it.name(), pointer+"/"+escape(it.field)
+		p, ptr := path+"."+it.name(), pointer+"/"+escapePointer(it.jsonName)
 		switch it.kind {
-		case one:
+		case kindBlock:
 			visit(Entry{p, ptr, v})
 			if m, ok := v.(map[string]any); ok {
-				each(it.body, p, ptr, m, visit)
+				visitItems(it.body, p, ptr, m, visit)
 			}
-		case many:
+		case kindBlockList:
 			list, _ := v.([]any)
 			for k, e := range list {
 				at := fmt.Sprintf("%s/%d", ptr, k)
 				visit(Entry{p, at, e})
 				if m, ok := e.(map[string]any); ok {
-					each(it.body, p, at, m, visit)
+					visitItems(it.body, p, at, m, visit)
 				}
 			}
 		default:
@@ -178,7 +178,7 @@
 }
 
 // escape makes a JSON pointer's token of a key (RFC 6901).
-func escape(key string) string {
+func escapePointer(key string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(key)
 }
 
@@ -190,7 +190,7 @@
 	walk = func(b *body, path string) {
 		for i := range b.items {
 			it := &b.items[i]
-			if it.kind == server {
+			if it.kind == kindServerField {
 				continue
 			}
 			out = append(out, path+"."+it.name())
--- a/internal/nomad/jobfile/jobfile_test.go
+++ b/internal/nomad/jobfile/jobfile_test.go
@@ -14,13 +14,13 @@
 )
 
 // The kept schema is the grammar's. UPDATE=1 writes it again.
-func TestSchemaIsTheGrammars(t *testing.T) {
-	want, err := makeSchema()
+func TestSchemaMatchesGrammar(t *testing.T) {
+	want, err := generateSchema()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if os.Getenv("UPDATE") != "" {
-		if err := os.WriteFile(schemaName, want, 0o644); err != nil {
+		if err := os.WriteFile(schemaFile, want, 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
@@ -32,12 +32,12 @@
 
 // Every field that the published client can send is in the grammar under its
 // names, so that none is refused as unknown that has a better answer.
-func TestGrammarKnowsTheClientsFields(t *testing.T) {
+func TestGrammarCoversClientFields(t *testing.T) {
 	var walk func(b *body, ty reflect.Type, path string)
 	walk = func(b *body, ty reflect.Type, path string) {
 		known := map[string]*item{}
 		for i := range b.items {
-			known[b.items[i].field] = &b.items[i]
+			known[b.items[i].jsonName] = &b.items[i]
 		}
 		for i := range ty.NumField() {
 			fd := ty.Field(i)
@@ -47,8 +47,8 @@
 				continue
 			}
 			hcl, form, _ := strings.Cut(fd.Tag.Get("hcl"), ",")
-			if hcl != "" && form != "label" && it.hcl != hcl {
-				t.Errorf("%s.%s: in job files it is %q, not %q", path, fd.Name, hcl, it.hcl)
+			if hcl != "" && form != "label" && it.hclName != hcl {
+				t.Errorf("%s.%s: in job files it is %q, not %q", path, fd.Name, hcl, it.hclName)
 			}
 			if it.body == nil {
 				continue
@@ -63,7 +63,7 @@
 	walk(jobBody, reflect.TypeFor[api.Job](), "Job")
 }
 
-const frost = `
+const sampleHCL = `
 variable "members" {
   type    = number
   default = 6
@@ -113,7 +113,7 @@
 `
 
 func TestHCL(t *testing.T) {
-	f, err := Parse("frost.nomad.hcl", []byte(frost), Options{Vars: map[string]string{"zones": `["a", "b"]`}})
+	f, err := Parse("frost.nomad.hcl", []byte(sampleHCL), Options{Vars: map[string]string{"zones": `["a", "b"]`}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 	if want := `{"args":["--member","${NOMAD_ALLOC_INDEX}","--part",1,"X"],"image":"frost-c6","mount":[{"target":"/data"}]}`; string(got) != want {
 		t.Errorf("config: %s", got)
 	}
-	if p := f.At("/TaskGroups/0/Tasks/0/Resources/MemoryMB"); p.Line != 40 || p.Column != 11 {
+	if p := f.Position("/TaskGroups/0/Tasks/0/Resources/MemoryMB"); p.Line != 40 || p.Column != 11 {
 		t.Errorf("memory is at %v", p)
 	}
 	// The JSON form of the job is the same job.
@@ -202,7 +202,7 @@
 
 // Small files that ask for much: each is refused, soon, and little memory is
 // taken. Without the budget the doubling alone takes all there is.
-func TestBombs(t *testing.T) {
+func TestResourceExhaustion(t *testing.T) {
 	double := "locals {\n a0 = \"0123456789abcdef\"\n"
 	for i := range 40 {
 		n := string(rune('a'+(i+1)/26)) + string(rune('a'+(i+1)%26))
@@ -249,21 +249,21 @@
 }
 
 func FuzzHCL(f *testing.F) {
-	f.Add(frost)
+	f.Add(sampleHCL)
 	f.Add("variable \"a\" {\n type = map(any)\n}\njob \"x\" { meta = var.a }")
 	f.Add("job \"x\" {\n dynamic \"group\" {\n for_each = {a = 1}\n iterator = it\n labels = [it.key]\n content { count = it.value }\n }\n}")
 	f.Add("job \"x\" { name = try(nothing.at.all, \"%{ if true }a%{ endif }\") }")
-	f.Fuzz(func(t *testing.T, src string) { fuzzOne(t, src) })
+	f.Fuzz(func(t *testing.T, src string) { checkRoundTrip(t, src) })
 }
 
 func FuzzJSON(f *testing.F) {
 	f.Add(`{"Job":{"ID":"a","TaskGroups":[{"Name":"g","Count":2,"Tasks":[{"Name":"t","Config":{"image":"i"}}]}]}}`)
 	f.Add(`{"ID":"a","Meta":{"a/b~c":"d"},"Update":{"Stagger":"30s"}}`)
-	f.Fuzz(func(t *testing.T, src string) { fuzzOne(t, "{"+strings.TrimPrefix(src, "{")) })
+	f.Fuzz(func(t *testing.T, src string) { checkRoundTrip(t, "{"+strings.TrimPrefix(src, "{")) })
 }
 
 // fuzzOne reads a file; what is taken survives a round through its own JSON.
-func fuzzOne(t *testing.T, src string) {
+func checkRoundTrip(t *testing.T, src string) {
 	file, err := Parse("f", []byte(src), Options{})
 	if err != nil {
 		var ps Problems
@@ -272,7 +272,7 @@
 		}
 		return
 	}
-	file.Each(func(e Entry) { file.At(e.Pointer) })
+	file.Each(func(e Entry) { file.Position(e.Pointer) })
 	b, err := json.Marshal(file.Job)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/nomad/jobfile/json.go
+++ b/internal/nomad/jobfile/json.go
@@ -11,32 +11,32 @@
 )
 
 // scanner reads JSON and remembers where each value stands.
-type scanner struct {
-	f     *File
-	src   []byte
-	dec   *json.Decoder
-	lines []int // where each line begins
+type jsonScanner struct {
+	file       *File
+	src        []byte
+	dec        *json.Decoder
+	lineStarts []int // where each line begins
 }
 
-func newScanner(f *File, src []byte) *scanner {
-	s := &scanner{f: f, src: src, dec: json.NewDecoder(bytes.NewReader(src)), lines: []int{0}}
+func newJSONScanner(f *File, src []byte) *jsonScanner {
+	s := &jsonScanner{file: f, src: src, dec: json.NewDecoder(bytes.NewReader(src)), lineStarts: []int{0}}
 	s.dec.UseNumber()
 	for i, c := range src {
 		if c == '\n' {
-			s.lines = append(s.lines, i+1)
+			s.lineStarts = append(s.lineStarts, i+1)
 		}
 	}
 	return s
 }
 
-func (s *scanner) pos(offset int) Pos {
+func (s *jsonScanner) pos(offset int) Pos {
 	offset = min(offset, len(s.src))
-	line := sort.SearchInts(s.lines, offset+1)
-	return Pos{s.f.Name, line, utf8.RuneCount(s.src[s.lines[line-1]:offset]) + 1}
+	line := sort.SearchInts(s.lineStarts, offset+1)
+	return Pos{s.file.Name, line, utf8.RuneCount(s.src[s.lineStarts[line-1]:offset]) + 1}
 }
 
 // next is where the next token begins.
-func (s *scanner) next() int {
+func (s *jsonScanner) nextOffset() int {
 	i := int(s.dec.InputOffset())
 	for i < len(s.src) && bytes.IndexByte([]byte(" \t\r\n,:"), s.src[i]) >= 0 {
 		i++
@@ -44,34 +44,34 @@
 	return i
 }
 
-func (s *scanner) value(pointer string, depth int) (any, error) {
-	at := s.next()
+func (s *jsonScanner) readValue(pointer string, depth int) (any, error) {
+	at := s.nextOffset()
 	if depth > maxDepth {
 		return nil, Problems{problemf(s.pos(at), "nested deeper than %d levels", maxDepth)}
 	}
-	if _, ok := s.f.at[pointer]; !ok {
-		s.f.at[pointer] = s.pos(at)
+	if _, ok := s.file.positions[pointer]; !ok {
+		s.file.positions[pointer] = s.pos(at)
 	}
 	t, err := s.dec.Token()
 	if err != nil {
-		return nil, s.syntax(err)
+		return nil, s.syntaxError(err)
 	}
 	switch t {
 	case json.Delim('{'):
 		m := map[string]any{}
 		for s.dec.More() {
-			at := s.next()
+			at := s.nextOffset()
 			t, err := s.dec.Token()
 			if err != nil {
-				return nil, s.syntax(err)
+				return nil, s.syntaxError(err)
 			}
 			key := t.(string) // the decoder sees to that
-			ptr := pointer + "/" + escape(key)
-			if _, twice := s.f.at[ptr]; twice {
+			ptr := pointer + "/" + escapePointer(key)
+			if _, twice := s.file.positions[ptr]; twice {
 				return nil, Problems{problemf(s.pos(at), "%s: given twice", key)}
 			}
-			s.f.at[ptr] = s.pos(at)
-			v, err := s.value(ptr, depth+1)
+			s.file.positions[ptr] = s.pos(at)
+			v, err := s.readValue(ptr, depth+1)
 			if err != nil {
 				return nil, err
 			}
@@ -80,26 +80,26 @@
 			}
 		}
 		_, err = s.dec.Token()
-		return m, s.syntax(err)
+		return m, s.syntaxError(err)
 	case json.Delim('['):
 		list := []any{}
 		for s.dec.More() {
-			v, err := s.value(fmt.Sprintf("%s/%d", pointer, len(list)), depth+1)
+			v, err := s.readValue(fmt.Sprintf("%s/%d", pointer, len(list)), depth+1)
 			if err != nil {
 				return nil, err
 			}
 			list = append(list, v)
 		}
 		_, err = s.dec.Token()
-		return list, s.syntax(err)
+		return list, s.syntaxError(err)
 	}
-	if n, ok := t.(json.Number); ok && !writable(string(n)) {
+	if n, ok := t.(json.Number); ok && !numberInRange(string(n)) {
 		return nil, Problems{problemf(s.pos(at), "%.40s: number out of range", n)}
 	}
 	return t, nil
 }
 
-func (s *scanner) syntax(err error) error {
+func (s *jsonScanner) syntaxError(err error) error {
 	var se *json.SyntaxError
 	switch {
 	case err == nil:
@@ -118,10 +118,10 @@
 	if len(o.Vars) > 0 || len(o.VarFiles) > 0 {
 		return Problems{{Pos{File: f.Name}, "the JSON form has no variables"}}
 	}
-	s := newScanner(f, src)
-	v, err := s.value("", 0)
+	s := newJSONScanner(f, src)
+	v, err := s.readValue("", 0)
 	if err == nil {
-		if end := s.next(); end < len(src) {
+		if end := s.nextOffset(); end < len(src) {
 			err = Problems{problemf(s.pos(end), "not JSON: more than one value")}
 		}
 	}
@@ -140,47 +140,47 @@
 	if ok {
 		for name := range doc {
 			if name != "Job" && !o.Request {
-				return Problems{problemf(f.At("/"+escape(name)), "%s: no such field beside Job", name)}
+				return Problems{problemf(f.Position("/"+escapePointer(name)), "%s: no such field beside Job", name)}
 			}
 		}
 		at := map[string]Pos{}
-		for p, pos := range f.at {
+		for p, pos := range f.positions {
 			if rest, ok := bytes.CutPrefix([]byte(p), []byte("/Job")); ok {
 				at[string(rest)] = pos
 			}
 		}
-		f.at, doc = at, job
+		f.positions, doc = at, job
 	}
 	f.doc = doc
-	return f.durations(jobBody, "", doc)
+	return f.normalizeDurations(jobBody, "", doc)
 }
 
 // durations brings durations that are written with a unit into nanoseconds.
-func (f *File) durations(b *body, pointer string, doc map[string]any) Problems {
+func (f *File) normalizeDurations(b *body, pointer string, doc map[string]any) Problems {
 	var ps Problems
 	for i := range b.items {
 		it := &b.items[i]
-		ptr := pointer + "/" + escape(it.field)
-		switch v := doc[it.field].(type) {
+		ptr := pointer + "/" + escapePointer(it.jsonName)
+		switch v := doc[it.jsonName].(type) {
 		case string:
-			if it.kind != span {
+			if it.kind != kindDuration {
 				continue
 			}
-			ns, ok := duration(v, false)
+			ns, ok := parseDuration(v, false)
 			if !ok {
-				ps = append(ps, problemf(f.At(ptr), "%s: want a duration such as \"30s\", or nanoseconds, not %q", it.field, v))
-				delete(doc, it.field)
+				ps = append(ps, problemf(f.Position(ptr), "%s: want a duration such as \"30s\", or nanoseconds, not %q", it.jsonName, v))
+				delete(doc, it.jsonName)
 				continue
 			}
-			doc[it.field] = ns
+			doc[it.jsonName] = ns
 		case map[string]any:
 			if it.body != nil {
-				ps = append(ps, f.durations(it.body, ptr, v)...)
+				ps = append(ps, f.normalizeDurations(it.body, ptr, v)...)
 			}
 		case []any:
 			for k, e := range v {
 				if m, ok := e.(map[string]any); ok && it.body != nil {
-					ps = append(ps, f.durations(it.body, fmt.Sprintf("%s/%d", ptr, k), m)...)
+					ps = append(ps, f.normalizeDurations(it.body, fmt.Sprintf("%s/%d", ptr, k), m)...)
 				}
 			}
 		}
--- a/internal/nomad/jobfile/model.go
+++ b/internal/nomad/jobfile/model.go
@@ -173,9 +173,9 @@
 }
 
 const (
-	seconds = 1_000_000_000 // nanoseconds
-	minutes = 60 * seconds
-	hours   = 60 * minutes
+	second = 1_000_000_000 // nanoseconds
+	minute = 60 * second
+	hour   = 60 * minute
 )
 
 // DefaultKillTimeout is the published one.
@@ -189,29 +189,29 @@
 	groupDefaults = map[string]any{"Count": 1}
 	taskDefaults  = map[string]any{"KillTimeout": int64(DefaultKillTimeout) * 1000, "KillSignal": "SIGINT", "Resources": map[string]any{}}
 	// A task's processor is given in MHz or in cores, not both.
-	resourceDefaults = map[string]any{"MemoryMB": 300}
-	deviceDefaults   = map[string]any{"Count": 1}
-	constraintEquals = map[string]any{"Operand": "="}
-	affinityDefaults = map[string]any{"Operand": "=", "Weight": 50}
-	updateDefaults   = map[string]any{
-		"Stagger": 30 * seconds, "MaxParallel": 1, "HealthCheck": "checks", "MinHealthyTime": 10 * seconds,
-		"HealthyDeadline": 5 * minutes, "ProgressDeadline": 10 * minutes,
+	resourceDefaults   = map[string]any{"MemoryMB": 300}
+	deviceDefaults     = map[string]any{"Count": 1}
+	constraintDefaults = map[string]any{"Operand": "="}
+	affinityDefaults   = map[string]any{"Operand": "=", "Weight": 50}
+	updateDefaults     = map[string]any{
+		"Stagger": 30 * second, "MaxParallel": 1, "HealthCheck": "checks", "MinHealthyTime": 10 * second,
+		"HealthyDeadline": 5 * minute, "ProgressDeadline": 10 * minute,
 	}
-	migrateDefaults = map[string]any{"MaxParallel": 1, "HealthCheck": "checks", "MinHealthyTime": 10 * seconds, "HealthyDeadline": 5 * minutes}
+	migrateDefaults = map[string]any{"MaxParallel": 1, "HealthCheck": "checks", "MinHealthyTime": 10 * second, "HealthyDeadline": 5 * minute}
 	restartDefaults = map[string]map[string]any{
-		"service": {"Attempts": 2, "Delay": 15 * seconds, "Interval": 30 * minutes, "Mode": "fail"},
-		"batch":   {"Attempts": 3, "Delay": 15 * seconds, "Interval": 24 * hours, "Mode": "fail"},
+		"service": {"Attempts": 2, "Delay": 15 * second, "Interval": 30 * minute, "Mode": "fail"},
+		"batch":   {"Attempts": 3, "Delay": 15 * second, "Interval": 24 * hour, "Mode": "fail"},
 	}
 	rescheduleDefaults = map[string]map[string]any{
-		"service": {"Delay": 30 * seconds, "DelayFunction": "exponential", "MaxDelay": hours, "Unlimited": true},
-		"batch":   {"Attempts": 1, "Interval": 24 * hours, "Delay": 5 * seconds, "DelayFunction": "constant"},
+		"service": {"Delay": 30 * second, "DelayFunction": "exponential", "MaxDelay": hour, "Unlimited": true},
+		"batch":   {"Attempts": 1, "Interval": 24 * hour, "Delay": 5 * second, "DelayFunction": "constant"},
 	}
 	diskDefaults = map[string]any{"SizeMB": 300}
 	logDefaults  = map[string]any{"MaxFiles": 10, "MaxFileSizeMB": 10}
 )
 
 // fill adds defaults to a copy of what a file gives.
-func fill(given any, defaults ...map[string]any) map[string]any {
+func withDefaults(given any, defaults ...map[string]any) map[string]any {
 	m, _ := given.(map[string]any)
 	out := maps.Clone(m)
 	if out == nil {
@@ -228,7 +228,7 @@
 }
 
 // fillAll does so for each of a list that m holds.
-func fillAll(m map[string]any, field string, f func(any) map[string]any) {
+func mapList(m map[string]any, field string, f func(any) map[string]any) {
 	list, ok := m[field].([]any)
 	if !ok {
 		return
@@ -240,14 +240,14 @@
 	m[field] = out
 }
 
-func fillOne(m map[string]any, field string, defaults map[string]any) {
+func fillBlock(m map[string]any, field string, defaults map[string]any) {
 	if b, ok := m[field]; ok {
-		m[field] = fill(b, defaults)
+		m[field] = withDefaults(b, defaults)
 	}
 }
 
-func fillJob(doc map[string]any) map[string]any {
-	job := fill(doc, jobDefaults)
+func jobWithDefaults(doc map[string]any) map[string]any {
+	job := withDefaults(doc, jobDefaults)
 	kind, _ := job["Type"].(string)
 	if restartDefaults[kind] == nil {
 		kind = "service"
@@ -256,34 +256,34 @@
 		job["Name"] = job["ID"]
 	}
 	chooses := func(m map[string]any) {
-		fillAll(m, "Constraints", func(v any) map[string]any { return fill(v, constraintEquals) })
-		fillAll(m, "Affinities", func(v any) map[string]any { return fill(v, affinityDefaults) })
+		mapList(m, "Constraints", func(v any) map[string]any { return withDefaults(v, constraintDefaults) })
+		mapList(m, "Affinities", func(v any) map[string]any { return withDefaults(v, affinityDefaults) })
 	}
 	policies := func(m map[string]any) {
-		fillOne(m, "Update", updateDefaults)
-		fillOne(m, "Migrate", migrateDefaults)
-		fillOne(m, "RestartPolicy", restartDefaults[kind])
-		fillOne(m, "ReschedulePolicy", rescheduleDefaults[kind])
-		fillOne(m, "Reschedule", rescheduleDefaults[kind])
+		fillBlock(m, "Update", updateDefaults)
+		fillBlock(m, "Migrate", migrateDefaults)
+		fillBlock(m, "RestartPolicy", restartDefaults[kind])
+		fillBlock(m, "ReschedulePolicy", rescheduleDefaults[kind])
+		fillBlock(m, "Reschedule", rescheduleDefaults[kind])
 	}
 	chooses(job)
 	policies(job)
-	fillAll(job, "TaskGroups", func(v any) map[string]any {
-		group := fill(v, groupDefaults)
+	mapList(job, "TaskGroups", func(v any) map[string]any {
+		group := withDefaults(v, groupDefaults)
 		chooses(group)
 		policies(group)
-		fillOne(group, "EphemeralDisk", diskDefaults)
-		fillAll(group, "Tasks", func(v any) map[string]any {
-			task := fill(v, taskDefaults)
+		fillBlock(group, "EphemeralDisk", diskDefaults)
+		mapList(group, "Tasks", func(v any) map[string]any {
+			task := withDefaults(v, taskDefaults)
 			chooses(task)
 			policies(task)
-			fillOne(task, "LogConfig", logDefaults)
-			res := fill(task["Resources"], resourceDefaults)
+			fillBlock(task, "LogConfig", logDefaults)
+			res := withDefaults(task["Resources"], resourceDefaults)
 			if res["Cores"] == nil && res["CPU"] == nil {
 				res["CPU"] = 100
 			}
-			fillAll(res, "Devices", func(v any) map[string]any {
-				d := fill(v, deviceDefaults)
+			mapList(res, "Devices", func(v any) map[string]any {
+				d := withDefaults(v, deviceDefaults)
 				chooses(d)
 				return d
 			})
@@ -297,7 +297,7 @@
 
 // decode makes the typed job of what was read.
 func (f *File) decode() (*Job, error) {
-	b, err := json.Marshal(fillJob(f.doc))
+	b, err := json.Marshal(jobWithDefaults(f.doc))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/nomad/jobfile/schema.go
+++ b/internal/nomad/jobfile/schema.go
@@ -21,29 +21,29 @@
 //go:embed job.schema.json
 var Schema []byte
 
-const schemaName = "job.schema.json"
+const schemaFile = "job.schema.json"
 
-var compiled = sync.OnceValue(func() *jsonschema.Schema {
+var compiledSchema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
 		panic(err) // it is part of the program
 	}
 	c := jsonschema.NewCompiler()
-	if err := c.AddResource(schemaName, doc); err != nil {
+	if err := c.AddResource(schemaFile, doc); err != nil {
 		panic(err)
 	}
-	return c.MustCompile(schemaName)
+	return c.MustCompile(schemaFile)
 })
 
 // schema makes the schema of a body.
 func (b *body) schema() map[string]any {
 	props := map[string]any{}
 	for i := range b.items {
-		props[b.items[i].field] = b.items[i].schema()
+		props[b.items[i].jsonName] = b.items[i].schema()
 	}
 	out := map[string]any{"type": "object", "properties": props, "additionalProperties": false}
-	if b.label != "" {
-		out["required"] = []string{b.label}
+	if b.labelField != "" {
+		out["required"] = []string{b.labelField}
 	}
 	return out
 }
@@ -51,35 +51,35 @@
 func (i *item) schema() map[string]any {
 	typed := func(t string) map[string]any { return map[string]any{"type": t} }
 	switch i.kind {
-	case text:
+	case kindString:
 		s := typed("string")
 		s["maxLength"] = 4096
-		if len(i.words) > 0 {
-			s["enum"] = i.words
+		if len(i.allowed) > 0 {
+			s["enum"] = i.allowed
 		}
 		return s
-	case whole:
-		return map[string]any{"type": "integer", "minimum": i.lo, "maximum": i.hi}
-	case flag:
+	case kindInt:
+		return map[string]any{"type": "integer", "minimum": i.min, "maximum": i.max}
+	case kindBool:
 		return typed("boolean")
-	case span:
+	case kindDuration:
 		return map[string]any{"type": "integer", "minimum": 0, "maximum": int64(1) << 62}
-	case texts:
+	case kindStringList:
 		return map[string]any{"type": "array", "items": typed("string")}
-	case table:
+	case kindStringMap:
 		return map[string]any{"type": "object", "additionalProperties": typed("string")}
-	case free:
+	case kindAnyMap:
 		return typed("object")
-	case one:
+	case kindBlock:
 		return i.body.schema()
-	case many:
+	case kindBlockList:
 		return map[string]any{"type": "array", "items": i.body.schema()}
 	}
 	return map[string]any{}
 }
 
 // makeSchema is the whole schema as it is kept.
-func makeSchema() ([]byte, error) {
+func generateSchema() ([]byte, error) {
 	s := jobBody.schema()
 	s["$schema"] = "https://json-schema.org/draft/2020-12/schema"
 	s["title"] = "A job in the JSON form that aspenstall reads; fields that are null count as not given."
@@ -94,7 +94,7 @@
 // validate holds what was read against the schema; what is known to be wrong
 // is not told twice.
 func (f *File) validate(known Problems) Problems {
-	err := compiled().Validate(any(f.doc))
+	err := compiledSchema().Validate(any(f.doc))
 	if err == nil {
 		return nil
 	}
@@ -114,7 +114,7 @@
 		}
 		pointer := ""
 		for _, p := range e.InstanceLocation {
-			pointer += "/" + escape(p)
+			pointer += "/" + escapePointer(p)
 		}
 		name := "job"
 		if n := len(e.InstanceLocation); n > 0 {
@@ -126,11 +126,11 @@
 		if extra, ok := e.ErrorKind.(*errkind.AdditionalProperties); ok {
 			slices.Sort(extra.Properties)
 			for _, p := range extra.Properties {
-				ps = append(ps, problemf(f.At(pointer+"/"+escape(p)), "%s: no such field of %s", p, name))
+				ps = append(ps, problemf(f.Position(pointer+"/"+escapePointer(p)), "%s: no such field of %s", p, name))
 			}
 			return
 		}
-		p := problemf(f.At(pointer), "%s: %s", name, e.ErrorKind.LocalizedString(printer))
+		p := problemf(f.Position(pointer), "%s: %s", name, e.ErrorKind.LocalizedString(printer))
 		if !slices.ContainsFunc(known, func(k Problem) bool { return k.Pos == p.Pos }) {
 			ps = append(ps, p)
 		}
--- a/internal/nomad/translate/table.go
+++ b/internal/nomad/translate/table.go
@@ -23,7 +23,7 @@
 // row is the verdict on one attribute or block, and why or how.
 type row struct {
 	verdict Verdict
-	say     string
+	note    string
 }
 
 func served(say string) row  { return row{Served, say} }
@@ -205,7 +205,7 @@
 	}
 	for _, path := range jobfile.Paths() {
 		r := rows[path]
-		if _, err := fmt.Fprintf(w, "| `%s` | %s | %s |\n", path, r.verdict, r.say); err != nil {
+		if _, err := fmt.Fprintf(w, "| `%s` | %s | %s |\n", path, r.verdict, r.note); err != nil {
 			return err
 		}
 	}
@@ -223,7 +223,7 @@
 }
 
 // Known reports whether there is a verdict on a path of the job file.
-func Known(path string) bool {
+func HasVerdict(path string) bool {
 	_, ok := rows[path]
 	return ok
 }
--- a/internal/nomad/translate/trace_test.go
+++ b/internal/nomad/translate/trace_test.go
@@ -11,24 +11,24 @@
 
 // site is a core with workers that do at once what they are told; every tick
 // adds to its trace who runs what, and what each team uses.
-type site struct {
-	c     *core.Core
-	now   core.Micros
-	hands []*hand
-	specs map[string]core.JobSpec
-	trace []string
-	tasks int // that were started
+type cluster struct {
+	c       *core.Core
+	now     core.Micros
+	workers []*fakeWorker
+	specs   map[string]core.JobSpec
+	trace   []string
+	started int // that were started
 }
 
-type hand struct {
-	r    core.Report
-	ends map[string]core.Micros
+type fakeWorker struct {
+	lastReport core.Report
+	endTimes   map[string]core.Micros
 }
 
-const tick = 250 * core.Millisecond
+const tickInterval = 250 * core.Millisecond
 
-func newSite() *site {
-	s := &site{now: core.Second, specs: map[string]core.JobSpec{}, c: core.New(core.Config{
+func newCluster() *cluster {
+	s := &cluster{now: core.Second, specs: map[string]core.JobSpec{}, c: core.New(core.Config{
 		Teams: []core.Team{
 			{Name: "blue", Min: core.Resources{CPU: 16_000}, Max: core.Resources{CPU: 40_000}},
 			{Name: "green", Min: core.Resources{CPU: 8_000, GPU: 1_000}, Max: core.Resources{CPU: 24_000, GPU: 2_000}},
@@ -42,73 +42,73 @@
 		{Name: "g16", Capacity: core.Resources{CPU: 16_000, GPU: 2_000, Mem: 64_000}, CacheMB: 40_000, FetchMBps: 1000, Price: 0.9, SpotPrice: 0.3, BootTime: 20 * core.Second, Zones: []string{"a", "b"}},
 	})
 	for i := range 12 {
-		h := &hand{ends: map[string]core.Micros{}, r: core.Report{
+		h := &fakeWorker{endTimes: map[string]core.Micros{}, lastReport: core.Report{
 			Machine: fmt.Sprintf("n-%02d", i), Address: fmt.Sprintf("w%02d", i), Type: "s4", Zone: string(rune('a' + i%3)), Spot: i%4 == 1, Session: 1, SpotNotice: -1,
 		}}
 		if i%3 < 2 && i < 6 {
-			h.r.Type = "g16"
+			h.lastReport.Type = "g16"
 		}
-		s.hands = append(s.hands, h)
+		s.workers = append(s.workers, h)
 	}
 	s.c.BeginTerm(s.now, s.now, 1, nil, core.Snapshot{})
 	return s
 }
 
-func (s *site) submit(spec core.JobSpec) {
+func (s *cluster) submit(spec core.JobSpec) {
 	s.specs[spec.ID] = spec
 	s.c.HandleJob(s.now, s.now, core.JobRecord{Spec: spec, SubmittedAt: s.now, Revision: 5})
 }
 
-func (h *hand) report() *core.Report {
-	h.r.Seq++
-	r := h.r
-	r.Tasks = slices.Clone(h.r.Tasks)
+func (h *fakeWorker) nextReport() *core.Report {
+	h.lastReport.Seq++
+	r := h.lastReport
+	r.Tasks = slices.Clone(h.lastReport.Tasks)
 	return &r
 }
 
-func (s *site) do(h *hand, cmds []core.Command) {
+func (s *cluster) execute(h *fakeWorker, cmds []core.Command) {
 	for _, c := range cmds {
-		i := slices.IndexFunc(h.r.Tasks, func(t core.TaskReport) bool { return t.Job == c.Job && t.Index == c.Index && t.Attempt == c.Attempt })
+		i := slices.IndexFunc(h.lastReport.Tasks, func(t core.TaskReport) bool { return t.Job == c.Job && t.Index == c.Index && t.Attempt == c.Attempt })
 		switch {
 		case c.Op == core.Start && i < 0:
-			s.tasks++
-			h.r.Tasks = append(h.r.Tasks, core.TaskReport{Job: c.Job, Index: c.Index, Attempt: c.Attempt, State: core.Running})
+			s.started++
+			h.lastReport.Tasks = append(h.lastReport.Tasks, core.TaskReport{Job: c.Job, Index: c.Index, Attempt: c.Attempt, State: core.Running})
 			if d := s.specs[c.Job].EstimatedRun; d > 0 {
-				h.ends[fmt.Sprint(c.Job, c.Index)] = s.now + d + core.Micros(c.Index%5)*core.Second
+				h.endTimes[fmt.Sprint(c.Job, c.Index)] = s.now + d + core.Micros(c.Index%5)*core.Second
 			}
-		case c.Op == core.Stop && i >= 0 && h.r.Tasks[i].State != core.Exited:
-			h.r.Tasks[i].State, h.r.Tasks[i].Cause = core.Exited, core.CauseStopped
+		case c.Op == core.Stop && i >= 0 && h.lastReport.Tasks[i].State != core.Exited:
+			h.lastReport.Tasks[i].State, h.lastReport.Tasks[i].Cause = core.Exited, core.CauseStopped
 		case c.Op == core.Forget && i >= 0:
-			h.r.Tasks = slices.Delete(h.r.Tasks, i, i+1)
+			h.lastReport.Tasks = slices.Delete(h.lastReport.Tasks, i, i+1)
 		}
 	}
 }
 
-func (s *site) step() {
-	s.now += tick
-	for k, h := range s.hands {
-		changed := s.now/tick%12 == core.Micros(k)
-		for i := range h.r.Tasks {
-			t := &h.r.Tasks[i]
-			if end := h.ends[fmt.Sprint(t.Job, t.Index)]; t.State == core.Running && end > 0 && end <= s.now {
+func (s *cluster) step() {
+	s.now += tickInterval
+	for k, h := range s.workers {
+		changed := s.now/tickInterval%12 == core.Micros(k)
+		for i := range h.lastReport.Tasks {
+			t := &h.lastReport.Tasks[i]
+			if end := h.endTimes[fmt.Sprint(t.Job, t.Index)]; t.State == core.Running && end > 0 && end <= s.now {
 				t.State, t.Cause, changed = core.Exited, core.CauseDone, true
 			}
 		}
 		if changed {
-			cmds, token, ok := s.c.HandleReport(s.now, h.report())
+			cmds, token, ok := s.c.HandleReport(s.now, h.nextReport())
 			if ok {
-				h.r.Token = max(h.r.Token, token)
-				s.do(h, cmds)
+				h.lastReport.Token = max(h.lastReport.Token, token)
+				s.execute(h, cmds)
 			}
 		}
 	}
 	for _, a := range s.c.Step(s.now) {
 		switch a := a.(type) {
 		case core.SendCommands:
-			h := s.hands[slices.IndexFunc(s.hands, func(h *hand) bool { return h.r.Machine == a.Machine })]
-			h.r.Token = max(h.r.Token, a.Token)
-			s.do(h, a.Commands)
-			s.c.HandleCommandResult(s.now, a.Machine, a.Token, core.Executed, h.report())
+			h := s.workers[slices.IndexFunc(s.workers, func(h *fakeWorker) bool { return h.lastReport.Machine == a.Machine })]
+			h.lastReport.Token = max(h.lastReport.Token, a.Token)
+			s.execute(h, a.Commands)
+			s.c.HandleCommandResult(s.now, a.Machine, a.Token, core.Executed, h.nextReport())
 		case core.Write:
 			s.c.HandleWriteResult(s.now, a.ID, core.Stored)
 			for _, p := range a.Puts {
@@ -124,9 +124,9 @@
 	}
 	used := map[string]core.Resources{}
 	var line strings.Builder
-	for _, h := range s.hands {
-		for _, t := range h.r.Tasks {
-			fmt.Fprintf(&line, " %s:%s/%d#%d=%d", h.r.Machine, t.Job, t.Index, t.Attempt, t.State)
+	for _, h := range s.workers {
+		for _, t := range h.lastReport.Tasks {
+			fmt.Fprintf(&line, " %s:%s/%d#%d=%d", h.lastReport.Machine, t.Job, t.Index, t.Attempt, t.State)
 			if spec := s.specs[t.Job]; t.State != core.Exited {
 				used[spec.Team] = used[spec.Team].Add(spec.Resources)
 			}
@@ -137,8 +137,8 @@
 
 // All samples, as job files and natively, beside one another: tick by tick the
 // same tasks on the same machines, and the same use by each team.
-func TestSamplesRunAsTheirNativeEquivalents(t *testing.T) {
-	nomad, native := newSite(), newSite()
+func TestSamplesRunLikeNativeJobs(t *testing.T) {
+	nomad, native := newCluster(), newCluster()
 	all := samples(t)
 	for i := range 1200 {
 		if i%20 == 0 && i/20 < len(all) {
@@ -155,7 +155,7 @@
 			t.Fatalf("tick %d:\n%s\nnatively\n%s", i, a, b)
 		}
 	}
-	if nomad.tasks < 80 {
-		t.Errorf("%d tasks were started: the days are too quiet to show anything", nomad.tasks)
+	if nomad.started < 80 {
+		t.Errorf("%d tasks were started: the days are too quiet to show anything", nomad.started)
 	}
 }
--- a/internal/nomad/translate/translate.go
+++ b/internal/nomad/translate/translate.go
@@ -23,14 +23,14 @@
 const DefaultNamespace = "default"
 
 // Terms are what a deployment and the caller's team allow.
-type Terms struct {
+type Policy struct {
 	Team      string   // whose token was used; "" to take the file's word
 	Zones     []string // empty if not known
 	MHzPerCPU int
 	ScratchMB int
 	GPUs      []string // names of devices that are GPUs
 	// Cap is the highest priority that a team may ask for.
-	Cap func(team string) core.Priority
+	MaxPriority func(team string) core.Priority
 }
 
 // Group is a group of the job file as a native job.
@@ -41,7 +41,7 @@
 }
 
 // Prefix of the meta keys that are read.
-const Prefix = "aspenstall_"
+const MetaPrefix = "aspenstall_"
 
 // metaKeys are the meta keys that are read, and whether they hold a number, a
 // truth or a text.
@@ -64,30 +64,30 @@
 }
 
 // most is the highest number of a native priority.
-var most = map[core.Priority]int{core.Low: 24, core.Normal: 74, core.High: 89, core.Production: 100}
+var maxPriorityNumber = map[core.Priority]int{core.Low: 24, core.Normal: 74, core.High: 89, core.Production: 100}
 
 // translation is one file's.
-type translation struct {
-	f  *jobfile.File
-	t  Terms
-	ps jobfile.Problems
+type translator struct {
+	file     *jobfile.File
+	policy   Policy
+	problems jobfile.Problems
 }
 
-func (x *translation) refuse(pointer, format string, args ...any) {
-	x.ps = append(x.ps, jobfile.Problem{Pos: x.f.At(pointer), Text: fmt.Sprintf(format, args...)})
+func (x *translator) refuse(pointer, format string, args ...any) {
+	x.problems = append(x.problems, jobfile.Problem{Pos: x.file.Position(pointer), Text: fmt.Sprintf(format, args...)})
 }
 
 // Job makes native jobs of a job file. If anything is refused there are none,
 // and the problems say all that is.
-func Job(f *jobfile.File, t Terms) ([]Group, jobfile.Problems) {
-	x := &translation{f: f, t: t}
+func Job(f *jobfile.File, t Policy) ([]Group, jobfile.Problems) {
+	x := &translator{file: f, policy: t}
 	f.Each(func(e jobfile.Entry) {
 		r, ok := rows[e.Path]
-		if !ok || r.verdict == Refused && !empty(e.Value) {
-			x.refuse(e.Pointer, "%s: %s", strings.TrimPrefix(e.Path, "job."), r.say)
+		if !ok || r.verdict == Refused && !isEmpty(e.Value) {
+			x.refuse(e.Pointer, "%s: %s", strings.TrimPrefix(e.Path, "job."), r.note)
 		}
 	})
-	team := x.job()
+	team := x.checkJob()
 	var out []Group
 	names := map[string]bool{}
 	for i := range f.Job.TaskGroups {
@@ -97,12 +97,12 @@
 			x.refuse(at, "group %q: given twice", g.Name)
 		}
 		names[g.Name] = true
-		spec := x.group(g, at)
+		spec := x.translateGroup(g, at)
 		spec.Team = team
-		out = append(out, Group{g.Name, spec, digest(f.Job, g, &spec)})
+		out = append(out, Group{g.Name, spec, groupDigest(f.Job, g, &spec)})
 	}
-	if len(x.ps) > 0 {
-		return nil, x.ps.Sort()
+	if len(x.problems) > 0 {
+		return nil, x.problems.Sort()
 	}
 	return out, nil
 }
@@ -111,15 +111,15 @@
 func Warnings(f *jobfile.File) jobfile.Problems {
 	var ps jobfile.Problems
 	f.Each(func(e jobfile.Entry) {
-		if r := rows[e.Path]; r.verdict == Ignored && r.say != "" && !empty(e.Value) {
-			ps = append(ps, jobfile.Problem{Pos: f.At(e.Pointer), Text: fmt.Sprintf("%s is ignored: %s", strings.TrimPrefix(e.Path, "job."), r.say)})
+		if r := rows[e.Path]; r.verdict == Ignored && r.note != "" && !isEmpty(e.Value) {
+			ps = append(ps, jobfile.Problem{Pos: f.Position(e.Pointer), Text: fmt.Sprintf("%s is ignored: %s", strings.TrimPrefix(e.Path, "job."), r.note)})
 		}
 	})
 	return ps.Sort()
 }
 
 // empty reports whether a value says nothing: clients send every field.
-func empty(v any) bool {
+func isEmpty(v any) bool {
 	switch v := v.(type) {
 	case string:
 		return v == ""
@@ -137,8 +137,8 @@
 }
 
 // job checks what is the whole job's, and gives its team.
-func (x *translation) job() string {
-	j := x.f.Job
+func (x *translator) checkJob() string {
+	j := x.file.Job
 	switch {
 	case j.ID == "":
 		x.refuse("/ID", "the job has no name")
@@ -157,35 +157,35 @@
 		x.refuse("/NodePool", "node_pool %q: there is one pool; choose machine types by a constraint on ${node.class}", j.NodePool)
 	}
 	if j.AllAtOnce {
-		x.refuse("/AllAtOnce", "all_at_once: not served; %sgang = true in meta asks for a gang", Prefix)
+		x.refuse("/AllAtOnce", "all_at_once: not served; %sgang = true in meta asks for a gang", MetaPrefix)
 	}
 	if j.Stop {
 		x.refuse("/Stop", "Stop: a job is stopped by deregistering it")
 	}
-	x.update(j.Update, "/Update")
-	x.reschedule(j.Reschedule, "/Reschedule")
+	x.checkUpdate(j.Update, "/Update")
+	x.checkReschedule(j.Reschedule, "/Reschedule")
 	if len(j.TaskGroups) == 0 {
 		x.refuse("", "the job has no group")
 	}
 	team := j.Namespace
 	switch {
-	case team == DefaultNamespace && x.t.Team != "":
-		team = x.t.Team
+	case team == DefaultNamespace && x.policy.Team != "":
+		team = x.policy.Team
 	case team == DefaultNamespace:
 		x.refuse("/Namespace", "namespace: name the team")
-	case x.t.Team != "" && team != x.t.Team:
+	case x.policy.Team != "" && team != x.policy.Team:
 		x.refuse("/Namespace", "namespace %q: the token is another team's", team)
 	}
-	if p := Priority(j.Priority); x.t.Cap != nil {
-		if limit := x.t.Cap(team); p > limit {
-			x.refuse("/Priority", "priority %d is %v here, and team %s may ask for %v at most, which is up to %d", j.Priority, p, team, limit, most[limit])
+	if p := Priority(j.Priority); x.policy.MaxPriority != nil {
+		if limit := x.policy.MaxPriority(team); p > limit {
+			x.refuse("/Priority", "priority %d is %v here, and team %s may ask for %v at most, which is up to %d", j.Priority, p, team, limit, maxPriorityNumber[limit])
 		}
 	}
 	return team
 }
 
-func (x *translation) update(u *jobfile.Update, at string) {
-	if u == nil || x.f.Job.Type != "service" {
+func (x *translator) checkUpdate(u *jobfile.Update, at string) {
+	if u == nil || x.file.Job.Type != "service" {
 		return // batch jobs are not rolled out, by the published rules
 	}
 	if u.MaxParallel != 0 {
@@ -202,21 +202,21 @@
 	}
 }
 
-func (x *translation) reschedule(r *jobfile.Reschedule, at string) {
+func (x *translator) checkReschedule(r *jobfile.Reschedule, at string) {
 	if r != nil && !r.Unlimited {
 		x.refuse(at+"/Unlimited", "reschedule: a task is tried until it is done; a fixed number of attempts is not served, unlimited = true is")
 	}
 }
 
-func (x *translation) restart(r *jobfile.Restart, at string) {
+func (x *translator) checkRestart(r *jobfile.Restart, at string) {
 	if r != nil && r.Mode != "delay" {
 		x.refuse(at+"/Mode", "restart: a task is tried until it is done; a fixed number of attempts is not served, mode = \"delay\" is")
 	}
 }
 
 // group makes the native job of a group.
-func (x *translation) group(g *jobfile.Group, at string) core.JobSpec {
-	j := x.f.Job
+func (x *translator) translateGroup(g *jobfile.Group, at string) core.JobSpec {
+	j := x.file.Job
 	s := core.JobSpec{Tasks: g.Count, Priority: Priority(j.Priority)}
 	if j.Type == "service" {
 		s.Kind = core.Service
@@ -227,9 +227,9 @@
 	if g.Count < 1 || g.Count > core.MaxTasks {
 		x.refuse(at+"/Count", "count: want 1 to %d", core.MaxTasks)
 	}
-	x.restart(g.RestartPolicy, at+"/RestartPolicy")
-	x.reschedule(g.ReschedulePolicy, at+"/ReschedulePolicy")
-	x.update(g.Update, at+"/Update")
+	x.checkRestart(g.RestartPolicy, at+"/RestartPolicy")
+	x.checkReschedule(g.ReschedulePolicy, at+"/ReschedulePolicy")
+	x.checkUpdate(g.Update, at+"/Update")
 	if g.ShutdownDelay > 0 {
 		x.refuse(at+"/ShutdownDelay", "shutdown_delay: a task is told to stop at once")
 	}
@@ -237,7 +237,7 @@
 		x.refuse(at+"/PreventRescheduleOnLost", "prevent_reschedule_on_lost: a lost machine's work starts elsewhere")
 	}
 	if d := g.EphemeralDisk; d != nil {
-		x.scratch(d.SizeMB, at+"/EphemeralDisk/SizeMB")
+		x.checkScratch(d.SizeMB, at+"/EphemeralDisk/SizeMB")
 		if d.Sticky || d.Migrate {
 			x.refuse(at+"/EphemeralDisk", "ephemeral_disk: nothing outlasts its machine")
 		}
@@ -250,30 +250,30 @@
 		x.refuse(at+"/Tasks/1", "group %q: has %d tasks; one is served, so make a group of each", g.Name, len(g.Tasks))
 	}
 	task, taskAt := &g.Tasks[0], at+"/Tasks/0"
-	x.restart(task.RestartPolicy, taskAt+"/RestartPolicy")
+	x.checkRestart(task.RestartPolicy, taskAt+"/RestartPolicy")
 	if task.ShutdownDelay > 0 {
 		x.refuse(taskAt+"/ShutdownDelay", "shutdown_delay: a task is told to stop at once")
 	}
 	if task.Driver == "" {
 		x.refuse(taskAt, "task %q: names no driver", task.Name)
 	}
-	s.Resources = x.need(&task.Resources, taskAt+"/Resources")
-	x.meta(&s, g, task, at, taskAt)
-	x.where(&s, g, task, at, taskAt)
+	s.Resources = x.translateResources(&task.Resources, taskAt+"/Resources")
+	x.applyMeta(&s, g, task, at, taskAt)
+	x.applyPlacement(&s, g, task, at, taskAt)
 	// The published default is in every job that was read before, and asks for nothing.
 	if task.KillTimeout > max(jobfile.Duration(s.CheckpointCost), jobfile.DefaultKillTimeout) {
-		x.refuse(taskAt+"/KillTimeout", "kill_timeout: a task is given %scheckpoint_cost_s (%v s) to save when it is stopped, and no longer", Prefix, float64(s.CheckpointCost)/1e6)
+		x.refuse(taskAt+"/KillTimeout", "kill_timeout: a task is given %scheckpoint_cost_s (%v s) to save when it is stopped, and no longer", MetaPrefix, float64(s.CheckpointCost)/1e6)
 	}
 	return s
 }
 
-func (x *translation) scratch(mb int, at string) {
-	if mb > x.t.ScratchMB {
-		x.refuse(at, "%d MB of scratch space: machines here promise %d", mb, x.t.ScratchMB)
+func (x *translator) checkScratch(mb int, at string) {
+	if mb > x.policy.ScratchMB {
+		x.refuse(at, "%d MB of scratch space: machines here promise %d", mb, x.policy.ScratchMB)
 	}
 }
 
-func (x *translation) need(r *jobfile.Resources, at string) core.Resources {
+func (x *translator) translateResources(r *jobfile.Resources, at string) core.Resources {
 	var n core.Resources
 	switch {
 	case r.Cores > 0 && r.CPU > 0:
@@ -281,18 +281,18 @@
 	case r.Cores > 0:
 		n.CPU = int64(r.Cores) * 1000
 	default:
-		mhz := int64(max(x.t.MHzPerCPU, 1))
+		mhz := int64(max(x.policy.MHzPerCPU, 1))
 		n.CPU = (int64(r.CPU)*1000 + mhz - 1) / mhz
 	}
 	n.Mem = (int64(r.MemoryMB)*1000 + 1023) / 1024
 	if r.MemoryMaxMB > 0 && r.MemoryMaxMB != r.MemoryMB {
 		x.refuse(at+"/MemoryMaxMB", "memory_max: memory is not lent; ask for it as memory")
 	}
-	x.scratch(r.DiskMB, at+"/DiskMB")
+	x.checkScratch(r.DiskMB, at+"/DiskMB")
 	for i := range r.Devices {
 		d := &r.Devices[i]
-		if !slices.Contains(x.t.GPUs, d.Name) {
-			x.refuse(fmt.Sprintf("%s/Devices/%d", at, i), "device %q: only GPUs are served, as %s", d.Name, strings.Join(x.t.GPUs, ", "))
+		if !slices.Contains(x.policy.GPUs, d.Name) {
+			x.refuse(fmt.Sprintf("%s/Devices/%d", at, i), "device %q: only GPUs are served, as %s", d.Name, strings.Join(x.policy.GPUs, ", "))
 		}
 		n.GPU += int64(d.Count) * 1000
 	}
@@ -305,12 +305,12 @@
 }
 
 // meta reads the keys that stand for what the job file has no word for.
-func (x *translation) meta(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, at, taskAt string) {
+func (x *translator) applyMeta(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, at, taskAt string) {
 	type entry struct{ value, at string }
 	keys := map[string]entry{}
 	take := func(m map[string]string, under string) {
 		for k, v := range m {
-			name, ours := strings.CutPrefix(k, Prefix)
+			name, ours := strings.CutPrefix(k, MetaPrefix)
 			if !ours {
 				continue
 			}
@@ -322,20 +322,20 @@
 			keys[name] = e
 		}
 	}
-	take(x.f.Job.Meta, "")
+	take(x.file.Job.Meta, "")
 	take(g.Meta, at)
 	take(task.Meta, taskAt)
 	text := func(name string) string {
 		e, ok := keys[name]
 		if ok && (e.value == "" || len(e.value) > core.MaxNameBytes) {
-			x.refuse(e.at, "%s%s: want a text of at most %d bytes", Prefix, name, core.MaxNameBytes)
+			x.refuse(e.at, "%s%s: want a text of at most %d bytes", MetaPrefix, name, core.MaxNameBytes)
 		}
 		return e.value
 	}
 	flag := func(name string) bool {
 		e, ok := keys[name]
 		if ok && e.value != "true" && e.value != "false" {
-			x.refuse(e.at, "%s%s: want true or false, not %q", Prefix, name, e.value)
+			x.refuse(e.at, "%s%s: want true or false, not %q", MetaPrefix, name, e.value)
 		}
 		return e.value == "true"
 	}
@@ -346,14 +346,14 @@
 		}
 		n, err := strconv.ParseFloat(e.value, 64)
 		if err != nil || math.IsNaN(n) || n < 0 || n > most {
-			x.refuse(e.at, "%s%s: want a number from 0 to %.0f, not %q", Prefix, name, most, e.value)
+			x.refuse(e.at, "%s%s: want a number from 0 to %.0f, not %q", MetaPrefix, name, most, e.value)
 			return 0, true
 		}
 		return n, true
 	}
 	require := func(name, why string) {
 		if _, ok := keys[name]; !ok {
-			x.refuse(taskAt, "task %q: meta lacks %s%s, %s", task.Name, Prefix, name, why)
+			x.refuse(taskAt, "task %q: meta lacks %s%s, %s", task.Name, MetaPrefix, name, why)
 		}
 	}
 	require("class", "the class of jobs that it belongs to")
@@ -363,14 +363,14 @@
 	if _, named := keys["image"]; !named {
 		s.Image, _ = task.Config["image"].(string)
 		if s.Image == "" || len(s.Image) > core.MaxNameBytes {
-			x.refuse(taskAt+"/Config", "task %q: names no image of at most %d bytes, neither in config nor as %simage in meta", task.Name, core.MaxNameBytes, Prefix)
+			x.refuse(taskAt+"/Config", "task %q: names no image of at most %d bytes, neither in config nor as %simage in meta", task.Name, core.MaxNameBytes, MetaPrefix)
 		}
 	}
 	gb, _ := number("image_gb", core.MaxTaskResource)
 	s.ImageMB = core.MilliUnits(gb)
 	if flag("gang") {
 		if s.Kind == core.Service {
-			x.refuse(keys["gang"].at, "%sgang: a service is no gang", Prefix)
+			x.refuse(keys["gang"].at, "%sgang: a service is no gang", MetaPrefix)
 		}
 		s.Kind = core.Gang
 	}
@@ -387,15 +387,15 @@
 }
 
 // where works out the zone, the machine types and the spread.
-func (x *translation) where(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, at, taskAt string) {
-	j := x.f.Job
-	s.Zone = x.zone(j.Datacenters)
+func (x *translator) applyPlacement(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, at, taskAt string) {
+	j := x.file.Job
+	s.Zone = x.resolveZone(j.Datacenters)
 	for _, l := range []struct {
 		list []jobfile.Constraint
 		at   string
 	}{{j.Constraints, ""}, {g.Constraints, at}, {task.Constraints, taskAt}} {
 		for i, c := range l.list {
-			x.constraint(s, c, fmt.Sprintf("%s/Constraints/%d", l.at, i))
+			x.applyConstraint(s, c, fmt.Sprintf("%s/Constraints/%d", l.at, i))
 		}
 	}
 	for _, l := range []struct {
@@ -412,24 +412,24 @@
 }
 
 // zone is the one zone that datacenters name, "" for any.
-func (x *translation) zone(datacenters []string) string {
+func (x *translator) resolveZone(datacenters []string) string {
 	const at = "/Datacenters"
 	if len(datacenters) == 1 && !strings.ContainsAny(datacenters[0], "*?[\\") {
-		if z := datacenters[0]; len(x.t.Zones) == 0 || slices.Contains(x.t.Zones, z) {
+		if z := datacenters[0]; len(x.policy.Zones) == 0 || slices.Contains(x.policy.Zones, z) {
 			return z
 		}
 	}
 	if slices.Contains(datacenters, "*") {
 		return ""
 	}
-	if len(x.t.Zones) == 0 && len(datacenters) > 0 {
+	if len(x.policy.Zones) == 0 && len(datacenters) > 0 {
 		x.refuse(at, "datacenters: which zones there are is not known here; give the platform's file, or one zone, or \"*\"")
 		return ""
 	}
 	matched := map[string]bool{}
 	for _, d := range datacenters {
 		found := false
-		for _, z := range x.t.Zones {
+		for _, z := range x.policy.Zones {
 			if ok, err := path.Match(d, z); ok && err == nil {
 				matched[z], found = true, true
 			}
@@ -442,18 +442,18 @@
 	switch {
 	case len(datacenters) == 0:
 		x.refuse(at, "datacenters: none is given")
-	case len(matched) == len(x.t.Zones):
+	case len(matched) == len(x.policy.Zones):
 	case len(matched) == 1:
 		for z := range matched {
 			return z
 		}
 	default:
-		x.refuse(at, "datacenters: a job runs in one zone or in any of the %d, not in some of them", len(x.t.Zones))
+		x.refuse(at, "datacenters: a job runs in one zone or in any of the %d, not in some of them", len(x.policy.Zones))
 	}
 	return ""
 }
 
-func (x *translation) constraint(s *core.JobSpec, c jobfile.Constraint, at string) {
+func (x *translator) applyConstraint(s *core.JobSpec, c jobfile.Constraint, at string) {
 	var values []string
 	switch c.Operand {
 	case "=", "==", "is":
@@ -485,7 +485,7 @@
 		z := values[0]
 		if len(values) > 1 {
 			x.refuse(at, "constraint: a job runs in one zone or in any")
-		} else if len(x.t.Zones) > 0 && !slices.Contains(x.t.Zones, z) {
+		} else if len(x.policy.Zones) > 0 && !slices.Contains(x.policy.Zones, z) {
 			x.refuse(at, "constraint: there is no zone %q", z)
 		} else if s.Zone != "" && s.Zone != z {
 			x.refuse(at, "constraint: datacenters name another zone, %q", s.Zone)
@@ -497,7 +497,7 @@
 }
 
 // digest tells apart groups whose tasks would be or get something else.
-func digest(j *jobfile.Job, g *jobfile.Group, s *core.JobSpec) string {
+func groupDigest(j *jobfile.Job, g *jobfile.Group, s *core.JobSpec) string {
 	b, err := json.Marshal([]any{j.ID, j.Meta, g, s})
 	if err != nil {
 		panic(err) // it came from JSON
--- a/internal/nomad/translate/translate_test.go
+++ b/internal/nomad/translate/translate_test.go
@@ -19,10 +19,10 @@
 )
 
 // terms are a deployment's, with a cap on guests.
-func terms() translate.Terms {
-	return translate.Terms{
+func testPolicy() translate.Policy {
+	return translate.Policy{
 		Zones: []string{"a", "b", "c"}, MHzPerCPU: 1000, ScratchMB: 300, GPUs: []string{"gpu"},
-		Cap: func(team string) core.Priority {
+		MaxPriority: func(team string) core.Priority {
 			if team == "guests" {
 				return core.Normal
 			}
@@ -62,7 +62,7 @@
 		}
 		s := sample{name: filepath.Base(path)}
 		var ps jobfile.Problems
-		if s.groups, ps = translate.Job(parse(t, path, src), terms()); ps != nil {
+		if s.groups, ps = translate.Job(parse(t, path, src), testPolicy()); ps != nil {
 			t.Fatal(ps)
 		}
 		base, _, _ := strings.Cut(path, ".nomad.")
@@ -99,7 +99,7 @@
 }
 
 // The same job is the same core.JobSpec in either form.
-func TestSamplesAreTheirNativeEquivalents(t *testing.T) {
+func TestSamplesEqualNativeJobs(t *testing.T) {
 	for _, s := range samples(t) {
 		if len(s.groups) != len(s.native) {
 			t.Errorf("%s: %d groups for %d native jobs", s.name, len(s.groups), len(s.native))
@@ -113,7 +113,7 @@
 }
 
 // file is a job file that is served, with places to change it.
-const file = `job "j" {
+const jobTemplate = `job "j" {
   namespace = "blue"
   type = "batch"
   JOB
@@ -145,8 +145,8 @@
 }
 `
 
-func filled(with map[string]string) []byte {
-	src := file
+func fillTemplate(with map[string]string) []byte {
+	src := jobTemplate
 	for _, k := range []string{"JOB", "GROUP", "META", "TASK", "RES", "SECOND"} {
 		src = strings.Replace(src, k, with[k], 1)
 	}
@@ -156,7 +156,7 @@
 // What is not served is refused with its line, all at once, and then there are
 // no native jobs at all.
 func TestRefusals(t *testing.T) {
-	if _, ps := translate.Job(parse(t, "f", filled(nil)), terms()); ps != nil {
+	if _, ps := translate.Job(parse(t, "f", fillTemplate(nil)), testPolicy()); ps != nil {
 		t.Fatal(ps)
 	}
 	for _, c := range []struct {
@@ -207,7 +207,7 @@
 	} {
 		t.Run(c.in+" "+c.text, func(t *testing.T) {
 			with := map[string]string{c.in: c.text}
-			groups, ps := translate.Job(parse(t, "f", filled(with)), terms())
+			groups, ps := translate.Job(parse(t, "f", fillTemplate(with)), testPolicy())
 			if c.want == "" {
 				if ps != nil || len(groups) != 2 {
 					t.Errorf("got %v", ps)
@@ -223,9 +223,9 @@
 		})
 	}
 	// All at once.
-	_, ps := translate.Job(parse(t, "f", filled(map[string]string{
+	_, ps := translate.Job(parse(t, "f", fillTemplate(map[string]string{
 		"JOB": "all_at_once = true", "GROUP": "count = 0", "TASK": "vault {}", "SECOND": "network {}",
-	})), terms())
+	})), testPolicy())
 	if len(ps) != 4 || !slices.IsSortedFunc(ps, func(a, b jobfile.Problem) int { return a.Line - b.Line }) {
 		t.Errorf("got\n%v", ps)
 	}
@@ -254,9 +254,9 @@
 		{"guests", "default", 100, 0, "priority 100 is production here, and team guests may ask for normal at most, which is up to 74"},
 		{"guests", "blue", 100, 0, "the token is another team's"},
 	} {
-		src := strings.Replace(string(filled(map[string]string{"JOB": fmt.Sprintf("priority = %d", c.priority)})),
+		src := strings.Replace(string(fillTemplate(map[string]string{"JOB": fmt.Sprintf("priority = %d", c.priority)})),
 			`"blue"`, fmt.Sprintf("%q", c.namespace), 1)
-		tm := terms()
+		tm := testPolicy()
 		tm.Team = c.team
 		groups, ps := translate.Job(parse(t, "f", []byte(src)), tm)
 		switch {
@@ -275,7 +275,7 @@
 // A digest changes with what a task is or gets, and with nothing else.
 func TestDigest(t *testing.T) {
 	digests := func(with map[string]string) (string, string) {
-		groups, ps := translate.Job(parse(t, "f", filled(with)), terms())
+		groups, ps := translate.Job(parse(t, "f", fillTemplate(with)), testPolicy())
 		if ps != nil {
 			t.Fatal(ps)
 		}
@@ -307,7 +307,7 @@
 		t.Fatal(err)
 	}
 	for _, path := range jobfile.Paths() {
-		if !translate.Known(path) {
+		if !translate.HasVerdict(path) {
 			t.Errorf("no verdict on %s", path)
 		}
 	}
@@ -319,22 +319,22 @@
 		t.Error("docs/NOMAD.md has another table; `aspenstall nomad table` prints this one")
 	}
 	for _, k := range translate.MetaKeys() {
-		if !strings.Contains(string(page), "`"+translate.Prefix+k+"`") {
-			t.Errorf("docs/NOMAD.md says nothing of %s%s", translate.Prefix, k)
+		if !strings.Contains(string(page), "`"+translate.MetaPrefix+k+"`") {
+			t.Errorf("docs/NOMAD.md says nothing of %s%s", translate.MetaPrefix, k)
 		}
 	}
 }
 
 // FuzzTranslate: whatever is taken is a job that a native user could submit.
 func FuzzTranslate(f *testing.F) {
-	f.Add(string(filled(nil)))
+	f.Add(string(fillTemplate(nil)))
 	f.Add(`{"ID":"a","Type":"batch","TaskGroups":[{"Name":"g","Tasks":[{"Name":"t","Driver":"d","Meta":{"aspenstall_class":"c"}}]}]}`)
 	f.Fuzz(func(t *testing.T, src string) {
 		file, err := jobfile.Parse("f", []byte(src), jobfile.Options{})
 		if err != nil {
 			return
 		}
-		tm := terms()
+		tm := testPolicy()
 		tm.Team = "guests"
 		groups, ps := translate.Job(file, tm)
 		if (len(groups) == 0) == (len(ps) == 0) {
