--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -8,32 +8,33 @@
 	"aspenstall/internal/simulator"
 )
 
-// EventKind says what a worker did.
+// EventKind is the kind of an Event.
 type EventKind string
 
-// The kinds.
+// Kinds of events.
 const (
 	EventStarted EventKind = "started"
 	EventLeft    EventKind = "left"
 	EventDone    EventKind = "done"
-	EventOrdered EventKind = "ordered"
-	EventExpired EventKind = "expired"
-	EventTraffic EventKind = "traffic" // of a process's workers, since it began
+	EventOrdered EventKind = "ordered" // a start command was executed
+	EventExpired EventKind = "expired" // a worker's lease expired
+	EventTraffic EventKind = "traffic" // total traffic of the process's workers
 )
 
-// Event is what a process of workers tells the run.
+// Event is what a worker host process reports to the run.
 type Event struct {
-	AtNS    int64                 `json:"at"` // by the time of day
+	AtNS    int64                 `json:"at"` // wall clock, in nanoseconds since the Unix epoch
 	Kind    EventKind             `json:"kind"`
 	Task    string                `json:"task,omitempty"`
 	Attempt uint64                `json:"attempt,omitempty"`
 	Cause   string                `json:"why,omitempty"`
 	Place   simulator.MachineInfo `json:"place"`
-	Tasks   int                   `json:"tasks,omitempty"` // on the machine, with EventExpired
+	Tasks   int                   `json:"tasks,omitempty"` // number of tasks on the machine, for EventExpired
 	Traffic *WorkerTraffic        `json:"spent,omitempty"`
 }
 
-// Spent is what a process's workers have sent and received.
+// WorkerTraffic is the number of messages and bytes that the workers of a process have sent and
+// received.
 type WorkerTraffic struct {
 	Workers              int   `json:"workers"`
 	Reports              int64 `json:"reports"`
@@ -44,19 +45,19 @@
 	CommandBytesReceived int64 `json:"commands_received_bytes"`
 }
 
-// CommandKind says what a process of workers is to do.
+// CommandKind is the kind of a Command.
 type CommandKind string
 
-// The kinds.
+// Kinds of commands.
 const (
 	CommandStart            CommandKind = "start"
 	CommandKill             CommandKind = "die"
-	CommandLeaderZone       CommandKind = "leader" // the zone that commands come from
+	CommandLeaderZone       CommandKind = "leader" // sets the zone that direct commands come from
 	CommandPartitionZone    CommandKind = "cut-zone"
 	CommandPartitionRegions CommandKind = "apart"
 )
 
-// Command is what the run tells a process of workers.
+// Command is an instruction from the run to a worker host process.
 type Command struct {
 	Kind    CommandKind           `json:"kind"`
 	Place   simulator.MachineInfo `json:"place"`
@@ -65,23 +66,25 @@
 	On      bool                  `json:"on,omitempty"`
 }
 
-// settleFor is how long what happened is held back, so that what several processes tell is
-// judged in the order in which it happened.
+// reorderDelay is how long an event is held back before it is checked, so that events of several
+// processes are checked in the order in which they happened.
 const reorderDelay = 5 * time.Second
 
-// timeline hands on what happened in its order, some time later.
+// timeline orders events by time. It is safe for concurrent use.
 type timeline struct {
 	mu       sync.Mutex
 	events   eventHeap
 	sequence int
 }
 
+// timedEvent is an event in a timeline. Events of the same time keep their order of insertion.
 type timedEvent struct {
 	at       time.Time
 	sequence int
 	apply    func()
 }
 
+// eventHeap is a heap of events, the earliest first.
 type eventHeap []timedEvent
 
 func (h eventHeap) Len() int { return len(h) }
@@ -93,26 +96,27 @@
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds an element.
+// Push appends an element, for container/heap.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(timedEvent)) }
 
-// Pop removes the last element.
+// Pop removes the last element, for container/heap.
 func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// add notes what happened at a time.
-func (t *timeline) add(at time.Time, do func()) {
+// add adds an event at a time. drain calls apply in the order of the times.
+func (t *timeline) add(at time.Time, apply func()) {
 	t.mu.Lock()
 	t.sequence++
-	heap.Push(&t.events, timedEvent{at, t.sequence, do})
+	heap.Push(&t.events, timedEvent{at, t.sequence, apply})
 	t.mu.Unlock()
 }
 
-// drain calls, in order, all that happened before a time; now is told the time of each.
-func (t *timeline) drain(before time.Time, now func(time.Time)) {
+// drain removes all events before a time and applies them in order. It calls setNow with the time
+// of each event first.
+func (t *timeline) drain(before time.Time, setNow func(time.Time)) {
 	for {
 		t.mu.Lock()
 		if len(t.events) == 0 || !t.events[0].at.Before(before) {
@@ -121,7 +125,7 @@
 		}
 		h := heap.Pop(&t.events).(timedEvent)
 		t.mu.Unlock()
-		now(h.at)
+		setNow(h.at)
 		h.apply()
 	}
 }
--- a/internal/scale/trouble.go
+++ b/internal/scale/fault.go
@@ -9,49 +9,52 @@
 	"aspenstall/internal/wait"
 )
 
-// cause brings about the run's troubles in their order and says what was seen of each.
+// injectFaults injects the run's faults in the order of their times, and returns the observed
+// result of each at the end of the measurement.
 func (r *Run) injectFaults(ctx context.Context) []FaultResult {
-	seen := []FaultResult{}
-	begun := time.Now()
+	results := []FaultResult{}
+	startedAt := time.Now()
 	list := slices.Clone(r.settings.Troubles)
 	slices.SortStableFunc(list, func(a, b Fault) int { return int(a.AtS*1e6) - int(b.AtS*1e6) })
 	for _, t := range list {
-		if !wait.For(ctx, time.Until(begun.Add(seconds(t.AtS)))) {
+		if !wait.For(ctx, time.Until(startedAt.Add(seconds(t.AtS)))) {
 			break
 		}
 		r.mu.Lock()
-		lapsed := r.leasesLost
+		leasesLost := r.leasesLost
 		r.mu.Unlock()
-		if n := len(seen); n > 0 {
-			seen[n-1].LeasesLost = lapsed - seen[n-1].LeasesLost
+		if n := len(results); n > 0 {
+			results[n-1].LeasesLost = leasesLost - results[n-1].LeasesLost
 		}
-		fmt.Fprintf(r.progress, "trouble: %s\n", t.Kind)
-		s := FaultResult{Fault: t, LeasesLost: lapsed}
+		fmt.Fprintf(r.progress, "fault: %s\n", t.Kind)
+		// LeasesLost holds the total at the injection until the next fault or the end.
+		result := FaultResult{Fault: t, LeasesLost: leasesLost}
 		if t.Kind == FaultLeaderKilled {
-			r.restartLeader(ctx, t, &s)
+			r.restartLeader(ctx, t, &result)
 		} else {
 			r.injectFault(ctx, t)
 		}
-		seen = append(seen, s)
+		results = append(results, result)
 	}
-	wait.For(ctx, time.Until(begun.Add(seconds(r.settings.MeasureS))))
+	wait.For(ctx, time.Until(startedAt.Add(seconds(r.settings.MeasureS))))
 	r.mu.Lock()
-	if n := len(seen); n > 0 {
-		seen[n-1].LeasesLost = r.leasesLost - seen[n-1].LeasesLost
+	if n := len(results); n > 0 {
+		results[n-1].LeasesLost = r.leasesLost - results[n-1].LeasesLost
 	}
 	r.mu.Unlock()
-	return seen
+	return results
 }
 
-// takeoverWatched is how long the next leader is waited for.
+// takeoverTimeout is the limit on the wait for the next leader and its first task start.
 const takeoverTimeout = 30 * time.Second
 
-// endLeader ends the leader's process, starts it again, and says when another led.
-func (r *Run) restartLeader(ctx context.Context, t Fault, s *FaultResult) {
+// restartLeader kills the leader's process, restarts it after t.ForS, and sets the times until the
+// next leader and its first task start in result.
+func (r *Run) restartLeader(ctx context.Context, t Fault, result *FaultResult) {
 	r.mu.Lock()
 	name := r.leader
 	r.mu.Unlock()
-	ended := time.Now()
+	killedAt := time.Now()
 	for _, c := range r.controllers {
 		if c.name != name {
 			continue
@@ -63,17 +66,19 @@
 			}
 		})
 	}
-	for end := ended.Add(takeoverTimeout); time.Now().Before(end) && wait.For(ctx, leaderPollInterval); {
+	for end := killedAt.Add(takeoverTimeout); time.Now().Before(end) && wait.For(ctx, leaderPollInterval); {
 		r.mu.Lock()
 		leaderAt, firstStart := r.leaderSince, r.firstStartUnderLeader
 		r.mu.Unlock()
-		if leaderAt.After(ended) && !firstStart.IsZero() {
-			s.NextLeaderS, s.FirstStartS = leaderAt.Sub(ended).Seconds(), firstStart.Sub(ended).Seconds()
+		if leaderAt.After(killedAt) && !firstStart.IsZero() {
+			result.NextLeaderS, result.FirstStartS = leaderAt.Sub(killedAt).Seconds(), firstStart.Sub(killedAt).Seconds()
 			return
 		}
 	}
 }
 
+// injectFault injects a fault of any kind but FaultLeaderKilled. Rack failures and zone
+// partitions affect the last zone.
 func (r *Run) injectFault(ctx context.Context, t Fault) {
 	zone := r.settings.Zones[len(r.settings.Zones)-1]
 	switch t.Kind {
@@ -104,7 +109,7 @@
 	}
 }
 
-// during has something on for as long as a trouble lasts.
+// enableFor calls set with true, and with false when the fault is over.
 func (r *Run) enableFor(ctx context.Context, t Fault, set func(on bool)) {
 	set(true)
 	go func() {
@@ -113,7 +118,7 @@
 	}()
 }
 
-// machinesOf lists some machines that are up, of a zone if one is named.
+// pickMachines returns up to count running machines of a zone, or of any zone for "".
 func (r *Run) pickMachines(zone string, count int) []string {
 	var out []string
 	for _, m := range r.cloud.RunningMachines() {
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -17,27 +17,27 @@
 	"aspenstall/internal/simulator"
 )
 
-// HostConfig is what a process of workers is started with.
+// HostConfig is the configuration of a worker host process.
 type HostConfig struct {
 	Settings     Settings
-	Number       int    // of the process
-	Descriptions string // address at which jobs' descriptions are read
+	Number       int    // index of the process
+	Descriptions string // address of the server of job descriptions
 	Controllers  []ControllerInfo
 	Type         simulator.MachineType
 }
 
-// ControllerAt is a controller and where it is.
+// ControllerInfo is a controller with its zone and the address that workers report to.
 type ControllerInfo struct {
 	Name, Zone, Address string
 }
 
-// host is a process of workers: one of a real worker, or many hollow ones.
+// host is a worker host process: it runs one real worker, or many hollow ones.
 type host struct {
 	cfg             HostConfig
 	ctx             context.Context
 	network         *Network
-	leaderZone      atomic.Pointer[string] // zone of the leader
-	controllerZones map[string]string      // of controllers, by address
+	leaderZone      atomic.Pointer[string]
+	controllerZones map[string]string // zones of controllers, by address
 
 	outMu sync.Mutex
 	out   *json.Encoder
@@ -54,8 +54,8 @@
 	descriptionClient *http.Client
 }
 
-// RunHost runs a process of workers: commands come in, events go out, one JSON value a line.
-// It ends as its input does.
+// RunHost runs a worker host process. It reads commands from in and writes events to out, one JSON
+// value per line. It returns nil at the end of the input, and an error for a malformed command.
 func RunHost(ctx context.Context, cfg HostConfig, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -68,8 +68,8 @@
 	for _, c := range cfg.Controllers {
 		h.controllerZones[c.Address] = c.Zone
 	}
-	first := cfg.Controllers[0].Zone
-	h.leaderZone.Store(&first)
+	initialZone := cfg.Controllers[0].Zone
+	h.leaderZone.Store(&initialZone)
 	go h.emitTraffic()
 	dec := json.NewDecoder(bufio.NewReader(in))
 	for {
@@ -84,20 +84,21 @@
 	}
 }
 
+// execute executes a command of the run.
 func (h *host) execute(c Command) {
 	switch c.Kind {
 	case CommandStart:
-		k := simulator.StartWorker(hostSite{h}, c.Address, c.Place, &h.cfg.Type)
+		worker := simulator.StartWorker(hostEnvironment{h}, c.Address, c.Place, &h.cfg.Type)
 		h.mu.Lock()
-		h.workers[c.Place.Machine] = k
+		h.workers[c.Place.Machine] = worker
 		h.mu.Unlock()
 	case CommandKill:
 		h.mu.Lock()
-		k := h.workers[c.Place.Machine]
+		worker := h.workers[c.Place.Machine]
 		delete(h.workers, c.Place.Machine)
 		h.mu.Unlock()
-		if k != nil {
-			k.Terminate()
+		if worker != nil {
+			worker.Terminate()
 		}
 	case CommandLeaderZone:
 		h.leaderZone.Store(&c.Zone)
@@ -108,6 +109,7 @@
 	}
 }
 
+// emit sends an event to the run, with the current time.
 func (h *host) emit(e Event) {
 	e.AtNS = time.Now().UnixNano()
 	h.outMu.Lock()
@@ -115,9 +117,11 @@
 	h.outMu.Unlock()
 }
 
-// trafficEvery is how often a process tells what its workers have sent.
+// trafficInterval is the interval between traffic events of a process.
 const trafficInterval = time.Second
 
+// emitTraffic sends the traffic of the process's workers every trafficInterval until the process
+// ends.
 func (h *host) emitTraffic() {
 	t := time.NewTicker(trafficInterval)
 	defer t.Stop()
@@ -137,7 +141,7 @@
 	}
 }
 
-// description reads a job's description once.
+// description returns a job's description, or nil if it cannot be read. Descriptions are cached.
 func (h *host) description(id string) *simulator.Spec {
 	h.mu.Lock()
 	s := h.descriptions[id]
@@ -160,17 +164,18 @@
 	return &d
 }
 
-// hostSite is what the workers of a process find round them.
-type hostSite struct{ h *host }
+// hostEnvironment is the simulator.Environment and simulator.Observer of the workers of a host
+// process.
+type hostEnvironment struct{ h *host }
 
-func (s hostSite) Context() context.Context           { return s.h.ctx }
-func (s hostSite) Logger() *slog.Logger               { return slog.New(slog.DiscardHandler) }
-func (s hostSite) Freeze(string, bool)                {}
-func (s hostSite) Job(id string) *simulator.Spec      { return s.h.description(id) }
-func (s hostSite) JobFromFile(string) *simulator.Spec { return nil }
-func (s hostSite) ServesJobFiles() bool               { return false }
-func (s hostSite) Observer() simulator.Observer       { return s }
-func (s hostSite) Controllers() []simulator.Controller {
+func (s hostEnvironment) Context() context.Context           { return s.h.ctx }
+func (s hostEnvironment) Logger() *slog.Logger               { return slog.New(slog.DiscardHandler) }
+func (s hostEnvironment) Freeze(string, bool)                {}
+func (s hostEnvironment) Job(id string) *simulator.Spec      { return s.h.description(id) }
+func (s hostEnvironment) JobFromFile(string) *simulator.Spec { return nil }
+func (s hostEnvironment) ServesJobFiles() bool               { return false }
+func (s hostEnvironment) Observer() simulator.Observer       { return s }
+func (s hostEnvironment) Controllers() []simulator.Controller {
 	out := make([]simulator.Controller, len(s.h.cfg.Controllers))
 	for i, c := range s.h.cfg.Controllers {
 		out[i] = simulator.Controller{Name: c.Name, Address: c.Address}
@@ -178,35 +183,38 @@
 	return out
 }
 
-// Serve listens at the worker's address. A connection to it is the leader's.
-func (s hostSite) Serve(k *simulator.Worker) (stop func()) {
+// Serve serves a worker's direct commands at its address until stop is called. Connections are
+// delayed and blocked as if they came from the leader's zone, since only the leader sends commands.
+func (s hostEnvironment) Serve(worker *simulator.Worker) (stop func()) {
 	leader := func() string { return *s.h.leaderZone.Load() }
-	l, err := s.h.network.Listen(k.Address(), k.Zone(), leader, &s.h.commandTraffic)
+	l, err := s.h.network.Listen(worker.Address(), worker.Zone(), leader, &s.h.commandTraffic)
 	if err != nil {
 		return func() {}
 	}
 	counted := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.h.commandCount.Add(1)
-		k.ServeHTTP(w, r)
+		worker.ServeHTTP(w, r)
 	})
 	srv := &http.Server{Handler: counted, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	go func() { _ = srv.Serve(l) }()
 	return func() { _ = srv.Close() }
 }
 
-// Client reports from the worker's own address over one connection at a time.
-func (s hostSite) Client(address string) *http.Client {
-	from, _, _ := net.SplitHostPort(address)
+// Client returns a client that reports from the worker's own IP address and keeps one idle
+// connection per controller.
+func (s hostEnvironment) Client(address string) *http.Client {
+	localIP, _, _ := net.SplitHostPort(address)
 	zone := s.zoneOf(address)
 	dial := func(ctx context.Context, _, to string) (net.Conn, error) {
-		return s.h.network.Dial(ctx, from, zone, to, func() string { return s.h.controllerZones[to] }, &s.h.reportTraffic)
+		return s.h.network.Dial(ctx, localIP, zone, to, func() string { return s.h.controllerZones[to] }, &s.h.reportTraffic)
 	}
 	t := &http.Transport{DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}
 	return &http.Client{Transport: countingTransport{t, &s.h.reportCount}}
 }
 
-// zoneOf is the zone of a worker's address: the address says which one.
-func (s hostSite) zoneOf(address string) string {
+// zoneOf returns the zone of a worker's address, which its second octet encodes, or "" for an
+// address of no zone.
+func (s hostEnvironment) zoneOf(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host).To4()
 	if i := int(ip[1]) - firstZoneOctet; i >= 0 && i < len(s.h.cfg.Settings.Zones) {
@@ -215,49 +223,51 @@
 	return ""
 }
 
-// counting counts requests.
+// countingTransport counts requests.
 type countingTransport struct {
 	next     http.RoundTripper
 	requests *atomic.Int64
 }
 
-// RoundTrip carries out a request.
+// RoundTrip counts a request and passes it on.
 func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.requests.Add(1)
 	return c.next.RoundTrip(r)
 }
 
-// Timing has reports come up to a quarter sooner or later, as the protocol has it.
-func (s hostSite) Timing() simulator.Timing {
-	set := &s.h.cfg.Settings
-	return simulator.Timing{Lease: seconds(set.LeaseS), GangWait: time.Minute, ReportInterval: func() time.Duration {
+// Timing returns the workers' timing. The interval between reports varies randomly by a quarter
+// either way, as the protocol specifies.
+func (s hostEnvironment) Timing() simulator.Timing {
+	settings := &s.h.cfg.Settings
+	return simulator.Timing{Lease: seconds(settings.LeaseS), GangWait: time.Minute, ReportInterval: func() time.Duration {
 		s.h.mu.Lock()
 		defer s.h.mu.Unlock()
-		return seconds(set.ReportS * (0.75 + 0.5*s.h.random.Float64()))
+		return seconds(settings.ReportS * (0.75 + 0.5*s.h.random.Float64()))
 	}}
 }
 
-func (s hostSite) Gangs() simulator.GangCoordinator { return nil }
+// Gangs returns nil: the load has no gangs.
+func (s hostEnvironment) Gangs() simulator.GangCoordinator { return nil }
 
-// Started tells that a task is on its machine.
-func (s hostSite) TaskStarted(t simulator.TaskOnMachine) {
+// TaskStarted emits an event for a task that started on its machine.
+func (s hostEnvironment) TaskStarted(t simulator.TaskOnMachine) {
 	s.h.emit(Event{Kind: EventStarted, Task: t.Task, Attempt: t.Attempt, Place: t.Host})
 }
 
-// Left tells that a task is not on its machine any more.
-func (s hostSite) TaskLeft(t simulator.TaskOnMachine) {
+// TaskLeft emits an event for a task that is no longer on its machine.
+func (s hostEnvironment) TaskLeft(t simulator.TaskOnMachine) {
 	s.h.emit(Event{Kind: EventLeft, Task: t.Task, Attempt: t.Attempt, Cause: t.Cause, Place: t.Host})
 }
 
-// Done tells that a task is done.
-func (s hostSite) TaskDone(task string, _ *simulator.Spec) {
+// TaskDone emits an event for a completed task.
+func (s hostEnvironment) TaskDone(task string, _ *simulator.Spec) {
 	s.h.emit(Event{Kind: EventDone, Task: task})
 }
 
-// Ordered tells that a command to start a task is executed.
-func (s hostSite) StartExecuted(task string) { s.h.emit(Event{Kind: EventOrdered, Task: task}) }
+// StartExecuted emits an event for an executed command to start a task.
+func (s hostEnvironment) StartExecuted(task string) { s.h.emit(Event{Kind: EventOrdered, Task: task}) }
 
-// Expired tells that a worker's lease runs out.
-func (s hostSite) LeaseExpired(m simulator.MachineInfo, _ uint64, tasks []simulator.TaskOnMachine) {
+// LeaseExpired emits an event for a worker whose lease expired.
+func (s hostEnvironment) LeaseExpired(m simulator.MachineInfo, _ uint64, tasks []simulator.TaskOnMachine) {
 	s.h.emit(Event{Kind: EventExpired, Place: m, Tasks: len(tasks)})
 }
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -23,22 +23,23 @@
 	classUrgent  = "urgent"
 )
 
-// Team is a team with its quota.
+// Team is a team with its quota. Its guarantee is CPUs, its limit CPUsMax.
 type Team struct {
 	Name          string
 	CPUs, CPUsMax float64
-	weight        float64
+	weight        float64 // share of the jobs
 }
 
 const (
-	teamSizeExponent = 0.7  // the nth team's share falls with n to this power
-	guaranteedShare  = 0.85 // of the fleet
+	teamSizeExponent = 0.7  // the share of the nth team is proportional to 1/n^teamSizeExponent
+	guaranteedShare  = 0.85 // of the fleet's CPUs, all teams together
 	urgentTeam       = "team-urgent"
-	urgentHeadroom   = 3 // times what runs on the average
-	maxQuotaFactor   = 3 // a team's max by its min
+	urgentHeadroom   = 3 // guarantee of the urgent team, as a multiple of the CPUs it uses on average
+	maxQuotaFactor   = 3 // limit of a team, as a multiple of its guarantee
 )
 
-// makeTeams divides the fleet among teams of very different size.
+// makeTeams divides the fleet's guaranteed CPUs among teams whose sizes follow a power law. The
+// last team is urgentTeam.
 func makeTeams(s *Settings) []Team {
 	perMachine := math.Floor(s.MachineCPUs/s.TaskCPUs) * s.TaskCPUs
 	fleet := perMachine * float64(s.Workers)
@@ -56,17 +57,18 @@
 		t.CPUs = max(math.Floor(guaranteedShare*fleet*t.weight), s.TaskCPUs)
 		t.CPUsMax = max(maxQuotaFactor*t.CPUs, 20*s.TaskCPUs)
 	}
-	// Urgent work has a team whose guarantee covers it: beyond a guarantee it waits for room
-	// as all work does.
+	// The guarantee of the urgent team covers all urgent work: tasks beyond a guarantee wait for
+	// capacity, whatever their priority.
 	guarantee := math.Ceil(urgentHeadroom*s.UrgentPerS*urgentRunS) * s.TaskCPUs
 	teams[last] = Team{Name: urgentTeam, CPUs: max(guarantee, s.TaskCPUs), CPUsMax: max(2*guarantee, s.TaskCPUs)}
 	return teams
 }
 
+// Parameters of the load.
 const (
 	tasksPerService     = 20
-	firstServiceAfter   = 12 * time.Second // until the controllers know the fleet
-	serviceSubmitPeriod = 40 * time.Second // they are all submitted
+	firstServiceAfter   = 12 * time.Second // the controllers know the fleet by then
+	serviceSubmitPeriod = 40 * time.Second // all services are submitted within it
 	firstArrivalAfter   = 20 * time.Second
 	urgentRunS          = 10
 	imageCount          = 8
@@ -77,26 +79,27 @@
 	submitTimeout       = 60 * time.Second
 )
 
-// users submit jobs and ask about them.
+// users simulates users, who submit jobs and poll their states.
 type users struct {
 	run               *Run
 	http              *http.Client
 	wg                sync.WaitGroup
 	mu                sync.Mutex
-	random            *simulator.Streams // by class, so that the load of a seed is the same in each run
+	random            *simulator.Streams // one stream per class, so that a seed gives the same load in each run
 	lastJob           int
 	jobs              map[string]*simulator.Spec
-	urgentSubmittedAt map[string]time.Time // urgent jobs, first attempt to submit
+	urgentSubmittedAt map[string]time.Time // by task: first attempt to submit its job
 
-	submissionLatency *latencyHistogram // until it was accepted
-	urgentLatency     *latencyHistogram // of urgent work
-	urgentLate        int               // urgent work that began after what is wanted
+	submissionLatency *latencyHistogram // from the first attempt until the job was accepted
+	urgentLatency     *latencyHistogram // of urgent jobs, from the first attempt to submit until the task started
+	urgentLate        int               // urgent tasks that started later than Settings.UrgentWithinS
 	submittedByClass  map[string]int
-	submissionsFailed int // submissions that were given up
+	submissionsFailed int // refused, or not accepted within submitTimeout
 	queries           int
 	queriesUnanswered int
 }
 
+// newUsers returns users that have not submitted any jobs.
 func newUsers(r *Run) *users {
 	return &users{
 		run: r, random: simulator.NewStreams(uint64(r.settings.Seed)), jobs: map[string]*simulator.Spec{}, urgentSubmittedAt: map[string]time.Time{},
@@ -105,15 +108,16 @@
 	}
 }
 
-// drawn is what chance says of a job.
+// randomJob is the random part of a job's description.
 type randomJob struct {
 	id            string
 	team          string
 	image         string
-	runTimeFactor float64 // its run time by the mean
+	runTimeFactor float64 // run time, as a multiple of the mean
 	tasks         int
 }
 
+// drawJob draws a job of a class: its team by weight, its image, size and run time.
 func (u *users) drawJob(class string) randomJob {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -132,6 +136,7 @@
 	return d
 }
 
+// spec returns the description of a job of a class.
 func (u *users) spec(d randomJob, class string) *simulator.Spec {
 	s := &u.run.settings
 	j := &simulator.Spec{
@@ -147,7 +152,7 @@
 	return j
 }
 
-// load submits the run's load until ctx ends.
+// startLoad starts to submit the run's load, which goes on until ctx ends.
 func (u *users) startLoad(ctx context.Context) {
 	s := &u.run.settings
 	services := int(float64(s.RunningTasks) * s.ServiceShare / tasksPerService)
@@ -164,16 +169,16 @@
 	u.wg.Go(func() { u.submitArrivals(ctx, classUrgent, s.UrgentPerS) })
 }
 
-// arrive has jobs of a class come by a Poisson process.
-func (u *users) submitArrivals(ctx context.Context, class string, perS float64) {
-	if perS <= 0 || !wait.For(ctx, firstArrivalAfter) {
+// submitArrivals submits jobs of a class as a Poisson process of ratePerS jobs per second.
+func (u *users) submitArrivals(ctx context.Context, class string, ratePerS float64) {
+	if ratePerS <= 0 || !wait.For(ctx, firstArrivalAfter) {
 		return
 	}
 	for {
 		u.mu.Lock()
-		gap := u.random.Stream(class).ExpFloat64() / perS
+		delay := u.random.Stream(class).ExpFloat64() / ratePerS
 		u.mu.Unlock()
-		if !wait.For(ctx, seconds(gap)) {
+		if !wait.For(ctx, seconds(delay)) {
 			return
 		}
 		j := u.spec(u.drawJob(class), class)
@@ -181,7 +186,7 @@
 	}
 }
 
-// live submits a job and asks about it until it is over.
+// runJob submits a job and polls its state until it has finished.
 func (u *users) runJob(ctx context.Context, j *simulator.Spec) {
 	u.mu.Lock()
 	u.jobs[j.ID] = j
@@ -200,21 +205,23 @@
 	}
 }
 
+// submit submits a job until it is accepted or refused, for at most submitTimeout. It reports
+// whether the job was accepted.
 func (u *users) submit(ctx context.Context, j *simulator.Spec) bool {
 	body, err := wire.Marshal(j)
 	if err != nil {
 		return false
 	}
-	begun := time.Now()
-	for time.Since(begun) < submitTimeout {
+	submittedAt := time.Now()
+	for time.Since(submittedAt) < submitTimeout {
 		status, _ := u.request(ctx, http.MethodPost, wire.JobsPath, body, 5*time.Second)
 		switch status {
 		case http.StatusOK, http.StatusCreated:
-			u.submissionLatency.add(time.Since(begun))
-			u.run.recordNow(func() { u.run.rules.JobAccepted(j.ID) })
+			u.submissionLatency.add(time.Since(submittedAt))
+			u.run.recordNow(func() { u.run.checker.JobAccepted(j.ID) })
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.run.recordNow(func() { u.run.rules.JobRefused(j.ID, status) })
+			u.run.recordNow(func() { u.run.checker.JobRefused(j.ID, status) })
 			u.countFailedSubmission()
 			return false
 		}
@@ -226,16 +233,17 @@
 	return false
 }
 
+// countFailedSubmission counts a submission that was refused or timed out.
 func (u *users) countFailedSubmission() {
 	u.mu.Lock()
 	u.submissionsFailed++
 	u.mu.Unlock()
 }
 
-// ask asks about a job and reports whether it is over.
-func (u *users) pollJob(ctx context.Context, id string) (over bool) {
+// pollJob requests a job's state and reports whether the job has finished.
+func (u *users) pollJob(ctx context.Context, id string) (finished bool) {
 	var before simulator.ObservedState
-	u.run.recordNow(func() { before = u.run.rules.LastObserved(id) })
+	u.run.recordNow(func() { before = u.run.checker.LastObserved(id) })
 	status, body := u.request(ctx, http.MethodGet, path.Join(wire.JobsPath, id), nil, 2*time.Second)
 	u.mu.Lock()
 	u.queries++
@@ -250,11 +258,11 @@
 	case status != http.StatusOK || wire.Unmarshal(body, &s) != nil:
 		return false
 	}
-	u.run.recordNow(func() { u.run.rules.ObserveState(id, s.State, before) })
+	u.run.recordNow(func() { u.run.checker.ObserveState(id, s.State, before) })
 	return s.State == wire.StateDone || s.State == wire.StateCancelled
 }
 
-// request sends a request to a healthy controller.
+// request sends a request to a healthy controller. It returns status 0 without an answer.
 func (u *users) request(ctx context.Context, method, at string, body []byte, timeout time.Duration) (int, []byte) {
 	address := u.run.healthyController()
 	if address == "" {
@@ -273,31 +281,31 @@
 	return status, b
 }
 
-// began notes that a task is on a machine.
+// taskStarted records the start of a task. Only urgent tasks count.
 func (u *users) taskStarted(task string, at time.Time) {
 	u.mu.Lock()
-	begun, ok := u.urgentSubmittedAt[task]
+	submittedAt, ok := u.urgentSubmittedAt[task]
 	delete(u.urgentSubmittedAt, task)
 	u.mu.Unlock()
 	if !ok {
 		return
 	}
-	u.urgentLatency.add(at.Sub(begun))
-	if at.Sub(begun) > seconds(u.run.settings.UrgentWithinS) {
+	u.urgentLatency.add(at.Sub(submittedAt))
+	if at.Sub(submittedAt) > seconds(u.run.settings.UrgentWithinS) {
 		u.mu.Lock()
 		u.urgentLate++
 		u.mu.Unlock()
 	}
 }
 
-// job is a job's description.
+// job returns the description of a submitted job, or nil.
 func (u *users) job(id string) *simulator.Spec {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.jobs[id]
 }
 
-// ServeHTTP serves jobs' descriptions to workers.
+// ServeHTTP serves job descriptions to workers.
 func (u *users) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	j := u.job(path.Base(r.URL.Path))
 	if j == nil {
--- a/internal/scale/window.go
+++ b/internal/scale/measurement.go
@@ -9,7 +9,7 @@
 	"aspenstall/internal/wait"
 )
 
-// spent adds up what all workers have sent and received so far.
+// workerTraffic returns the total traffic of all workers so far.
 func (r *Run) workerTraffic() WorkerTraffic {
 	var sum WorkerTraffic
 	for _, h := range r.hosts {
@@ -27,15 +27,17 @@
 	return sum
 }
 
+// load returns the current counts.
 func (t *TrafficCounter) load() TrafficBytes {
 	return TrafficBytes{Sent: t.Sent.Load(), Received: t.Received.Load()}
 }
 
+// minus returns the difference of two counts.
 func (b TrafficBytes) minus(o TrafficBytes) TrafficBytes {
 	return TrafficBytes{b.Sent - o.Sent, b.Received - o.Received}
 }
 
-// snapshot is how the counters stand.
+// snapshot is the state of the run's counters at a time.
 type snapshot struct {
 	at                                      time.Time
 	traffic                                 WorkerTraffic
@@ -46,18 +48,21 @@
 	leasesLost                              int
 }
 
+// snapshot returns the current state of the counters.
 func (r *Run) snapshot() snapshot {
-	n := snapshot{at: time.Now(), traffic: r.workerTraffic(), peerTraffic: r.traffic.peers.load(), stateTraffic: r.traffic.state.load(), cloudTraffic: r.traffic.cloud.load()}
-	n.messageCounts, n.stateWrites = r.messages.snapshot()
+	snap := snapshot{at: time.Now(), traffic: r.workerTraffic(), peerTraffic: r.traffic.peers.load(), stateTraffic: r.traffic.state.load(), cloudTraffic: r.traffic.cloud.load()}
+	snap.messageCounts, snap.stateWrites = r.messages.snapshot()
 	r.mu.Lock()
-	n.starts, n.stopped, n.leasesLost = r.taskStarts, r.tasksStopped, r.leasesLost
+	snap.starts, snap.stopped, snap.leasesLost = r.taskStarts, r.tasksStopped, r.leasesLost
 	r.mu.Unlock()
-	return n
+	return snap
 }
 
+// sampleInterval is the interval between samples of the processes.
 const sampleInterval = 2 * time.Second
 
-// measure measures the processes while the load goes on and troubles come.
+// measure samples the processes and counts messages for the measurement period, under load and
+// while faults are injected.
 func (r *Run) measure(ctx context.Context) (*Result, error) {
 	s := &r.settings
 	res := &Result{Settings: *s, Date: time.Now().UTC().Format(time.RFC3339), Cores: runtime.NumCPU(), Processes: s.processes() + 1}
@@ -72,35 +77,36 @@
 	r.mu.Unlock()
 	before := r.snapshot()
 	samples := newSampler()
-	troubles := make(chan []FaultResult, 1)
-	go func() { troubles <- r.injectFaults(ctx) }()
-	running, n := 0, 0
-	said := time.Now()
+	faults := make(chan []FaultResult, 1)
+	go func() { faults <- r.injectFaults(ctx) }()
+	runningSum, sampleCount := 0, 0
+	lastProgress := time.Now()
 	for end := time.Now().Add(seconds(s.MeasureS)); time.Now().Before(end); {
 		r.sampleProcesses(samples)
 		r.mu.Lock()
-		running, n = running+r.runningTasks, n+1
+		runningSum, sampleCount = runningSum+r.runningTasks, sampleCount+1
 		r.mu.Unlock()
 		if !wait.For(ctx, sampleInterval) {
 			return nil, fmt.Errorf("ended early: %w", context.Cause(ctx))
 		}
-		if time.Since(said) >= 10*time.Second {
-			said = time.Now()
+		if time.Since(lastProgress) >= 10*time.Second {
+			lastProgress = time.Now()
 			if !r.waitWithProgress(ctx, "measuring", time.Millisecond) {
 				return nil, errMemoryLimit
 			}
 		}
 	}
 	after := r.snapshot()
-	res.Faults = <-troubles
+	res.Faults = <-faults
 	r.addDifference(res, before, after)
-	res.RunningTasks = float64(running) / float64(n)
-	for _, k := range samples.processes {
-		res.Usage = append(res.Usage, k.usage)
+	res.RunningTasks = float64(runningSum) / float64(sampleCount)
+	for _, processSamples := range samples.processes {
+		res.Usage = append(res.Usage, processSamples.usage)
 	}
 	return res, nil
 }
 
+// sampleProcesses samples the controllers, the worker hosts and this process.
 func (r *Run) sampleProcesses(samples *sampler) {
 	r.mu.Lock()
 	leader := r.leader
@@ -127,7 +133,7 @@
 	samples.sample(ownPID, RoleRun, "run", 0)
 }
 
-// difference is what was counted between two moments.
+// addDifference sets the counts of the result to the difference between snapshots a and b.
 func (r *Run) addDifference(res *Result, a, b snapshot) {
 	res.MeasuredS = b.at.Sub(a.at).Seconds()
 	res.Workers = b.traffic.Workers
@@ -151,7 +157,8 @@
 	}
 }
 
-// finish adds what is known once all is over.
+// addTotals sets what is known only at the end of the run: counts of the whole run, latencies and
+// violations.
 func (r *Run) addTotals(res *Result) {
 	u := r.users
 	u.mu.Lock()
@@ -162,7 +169,7 @@
 	}
 	res.SubmissionsFailed, res.Queries, res.QueriesUnanswered, res.UrgentLate = u.submissionsFailed, u.queries, u.queriesUnanswered, u.urgentLate
 	res.SubmissionLatency, res.UrgentLatency = u.submissionLatency.summary(), u.urgentLatency.summary()
-	res.Violations = r.rules.Violations()
+	res.Violations = r.checker.Violations()
 	for _, c := range r.controllers {
 		c.mu.Lock()
 		res.UnexpectedExits += c.unexpectedExits
@@ -170,8 +177,8 @@
 	}
 	res.Records, res.RecordBytes = r.state.Size()
 	r.mu.Lock()
-	o := r.operator
-	res.ConfigLatency, res.ConfigApplied, res.ConfigFailed, res.ConfigUnconfirmed = o.inForceLatency.summary(), o.applied, o.failed, o.unconfirmed
+	operator := r.operator
+	res.ConfigLatency, res.ConfigApplied, res.ConfigFailed, res.ConfigUnconfirmed = operator.inForceLatency.summary(), operator.applied, operator.failed, operator.unconfirmed
 	res.PeakTotalMB = r.peakMB
 	r.mu.Unlock()
 }
--- a/internal/scale/counts.go
+++ b/internal/scale/messages.go
@@ -10,14 +10,15 @@
 	"aspenstall/internal/wire"
 )
 
-// Count is how many messages of a kind there were, and their bodies' bytes both ways.
+// MessageCount is the number of requests of one kind and the bytes of their request and response
+// bodies.
 type MessageCount struct {
 	Requests int64 `json:"requests"`
 	BytesIn  int64 `json:"in_bytes"`
 	BytesOut int64 `json:"out_bytes"`
 }
 
-// counts counts messages by kind, and changes of the state service by kind of record. It is
+// messageCounter counts messages by kind, and writes to the state service by kind of record. It is
 // safe for concurrent use.
 type messageCounter struct {
 	mu          sync.Mutex
@@ -25,20 +26,24 @@
 	stateWrites map[string]int64
 }
 
+// newMessageCounter returns a counter with all counts zero.
 func newMessageCounter() *messageCounter {
 	return &messageCounter{byKind: map[string]MessageCount{}, stateWrites: map[string]int64{}}
 }
 
+// add counts one request of a kind with the sizes of its bodies in bytes.
 func (c *messageCounter) add(kind string, in, out int) {
 	c.mu.Lock()
-	k := c.byKind[kind]
-	k.Requests++
-	k.BytesIn += int64(in)
-	k.BytesOut += int64(out)
-	c.byKind[kind] = k
+	count := c.byKind[kind]
+	count.Requests++
+	count.BytesIn += int64(in)
+	count.BytesOut += int64(out)
+	c.byKind[kind] = count
 	c.mu.Unlock()
 }
 
+// addTransaction counts the writes in the body of a commit request. It ignores a body that cannot
+// be decoded.
 func (c *messageCounter) addTransaction(body []byte) {
 	var t wire.Txn
 	if wire.Unmarshal(body, &t) != nil {
@@ -51,34 +56,35 @@
 	}
 }
 
-// recordKind is the key's prefix, with what is done to it.
+// writeKind returns the operation and the key's prefix: at most two components, without the last.
 func writeKind(w wire.Write) string {
-	key, how := w.Put, "write "
+	key, op := w.Put, "write "
 	if key == "" {
-		key, how = w.Delete, "drop "
+		key, op = w.Delete, "drop "
 	}
 	parts := strings.SplitN(key, "/", 3)
 	if len(parts) > 2 {
-		return how + parts[0] + "/" + parts[1]
+		return op + parts[0] + "/" + parts[1]
 	}
-	return how + key
+	return op + key
 }
 
-// copy gives the counts so far.
-func (c *messageCounter) snapshot() (byKind map[string]MessageCount, changes map[string]int64) {
+// snapshot returns copies of the counts so far.
+func (c *messageCounter) snapshot() (byKind map[string]MessageCount, stateWrites map[string]int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	byKind, changes = map[string]MessageCount{}, map[string]int64{}
+	byKind, stateWrites = map[string]MessageCount{}, map[string]int64{}
 	for k, v := range c.byKind {
 		byKind[k] = v
 	}
 	for k, v := range c.stateWrites {
-		changes[k] = v
+		stateWrites[k] = v
 	}
-	return byKind, changes
+	return byKind, stateWrites
 }
 
-// count has a handler's messages counted.
+// middleware returns a handler that counts the messages of h, with service as the first word of
+// their kind.
 func (c *messageCounter) middleware(service string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -92,7 +98,8 @@
 	})
 }
 
-// requestKind is the method and the path's first part.
+// requestKind returns the request's method and the first component of its path. Long polls for
+// changes are a kind of their own.
 func requestKind(r *http.Request) string {
 	path := strings.SplitN(strings.TrimPrefix(r.URL.Path, "/"), "/", 2)
 	kind := r.Method + " " + path[0]
@@ -102,12 +109,13 @@
 	return kind
 }
 
+// countingWriter counts the bytes of a response body.
 type countingWriter struct {
 	http.ResponseWriter
 	written int
 }
 
-// Write writes a part of the body.
+// Write writes part of the body and counts its bytes.
 func (w *countingWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.written += n
--- a/internal/scale/names_test.go
+++ b/internal/scale/names_test.go
@@ -11,7 +11,7 @@
 	"olympos.io/encoding/edn"
 )
 
-// allSet checks that every field has a value.
+// assertAllFieldsSet reports every field in v, at any depth, that has its zero value.
 func assertAllFieldsSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -45,6 +45,7 @@
 	}
 }
 
+// settingsWithAllFields returns the settings of testdata/settings.sexp: no field is zero.
 func settingsWithAllFields() Settings {
 	return Settings{
 		Seed: 2, Workers: 300, RealWorkers: 3, PerProcess: 40, Controllers: 5, Zones: []string{"z1", "z2"}, Regions: []string{"r1", "r2"}, Teams: 6,
@@ -61,7 +62,7 @@
 	}
 }
 
-// A settings file with every key is read in full.
+// TestSettingsNames guards the names of settings: a file with every key is read in full.
 func TestSettingsNames(t *testing.T) {
 	const path = "testdata/settings.sexp"
 	s, err := LoadSettings(path)
@@ -83,11 +84,12 @@
 		}
 	}
 	if want := []string{"leader-ends", "rack", "zone-cut", "regions-apart", "replacements"}; !slices.Equal(faultKinds, want) {
-		t.Errorf("kinds of troubles %q, want %q", faultKinds, want)
+		t.Errorf("kinds of faults %q, want %q", faultKinds, want)
 	}
 }
 
-// A result with every field is written and read as earlier ones were.
+// TestResultNames guards the format of result files: a result with every field set is written and
+// read as committed results were.
 func TestResultNames(t *testing.T) {
 	r := &Result{
 		Settings: settingsWithAllFields(), Version: "v", Date: "d", Cores: 1,
@@ -119,20 +121,22 @@
 	}
 	want, err := os.ReadFile(golden)
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("written %s, want %s, %v", got, want, err)
+		t.Errorf("result file %s, want %s, %v", got, want, err)
 	}
-	if back, err := ReadResult(golden); err != nil || !reflect.DeepEqual(back, r) {
-		t.Errorf("golden is read as %+v, %v", back, err)
+	if reread, err := ReadResult(golden); err != nil || !reflect.DeepEqual(reread, r) {
+		t.Errorf("golden file is read as %+v, %v", reread, err)
 	}
 }
 
+// TestEnumValues guards the strings of roles, faults, events and commands, which occur in settings,
+// in results and in the protocol with worker hosts.
 func TestEnumValues(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		got, want any
 	}{
 		{"roles", []Role{RoleLeader, RoleFollower, RoleWorker, RoleHollow, RoleRun}, []Role{"leader", "follower", "worker", "hollow", "run"}},
-		{"troubles", []string{FaultLeaderKilled, FaultRack, FaultZonePartition, FaultRegionPartition, FaultRollingReplacement},
+		{"fault kinds", []string{FaultLeaderKilled, FaultRack, FaultZonePartition, FaultRegionPartition, FaultRollingReplacement},
 			[]string{"leader-ends", "rack", "zone-cut", "regions-apart", "replacements"}},
 		{"events", []EventKind{EventStarted, EventLeft, EventDone, EventOrdered, EventExpired, EventTraffic},
 			[]EventKind{"started", "left", "done", "ordered", "expired", "traffic"}},
--- a/internal/scale/change.go
+++ b/internal/scale/operator.go
@@ -13,20 +13,23 @@
 	"aspenstall/internal/wait"
 )
 
-// operatorNumber is where the operator reaches the state service, beside the controllers.
+// operatorIndex is the index of the state service's address that the operator uses, outside the
+// range of the controllers' indexes.
 const operatorIndex = 150
 
-// operator changes teams' quotas all the time, by the operators' own client.
+// operator simulates an operator who changes teams' quotas throughout the run, with the client that
+// operators use.
 type operator struct {
 	run            *Run
 	client         *configclient.Client
 	random         *rand.Rand
-	inForceLatency *latencyHistogram // from the beginning of a change until it is in force everywhere
+	inForceLatency *latencyHistogram // from the start of a change until it is in force on every controller
 	applied        int
 	failed         int
-	unconfirmed    int // of those made: in force by time, as a controller said nothing
+	unconfirmed    int // applied changes in force by timeout: a controller did not confirm them
 }
 
+// newOperator returns an operator of the cluster whose platform configuration is p.
 func newOperator(r *Run, p *config.Platform) *operator {
 	const connections = 2
 	c := &configclient.Client{
@@ -39,14 +42,15 @@
 	return &operator{run: r, client: c, random: rand.New(rand.NewPCG(uint64(r.settings.Seed), 5)), inForceLatency: newLatencyHistogram()}
 }
 
-// changeTimeout is how long one change is waited for.
+// changeTimeout is the limit on one change, including the wait until it is in force.
 const changeTimeout = 30 * time.Second
 
-// change makes changes at a rate until ctx ends.
-func (o *operator) applyChanges(ctx context.Context, perS float64) {
-	for n := 0; wait.For(ctx, seconds(o.random.ExpFloat64()/perS)); n++ {
-		begun := time.Now()
-		forced, err := o.changeQuota(ctx, fmt.Sprint("change-", n))
+// applyChanges applies quota changes one after the other until ctx ends. The pauses between them
+// are exponentially distributed with a mean of 1/ratePerS seconds.
+func (o *operator) applyChanges(ctx context.Context, ratePerS float64) {
+	for n := 0; wait.For(ctx, seconds(o.random.ExpFloat64()/ratePerS)); n++ {
+		startedAt := time.Now()
+		rollout, err := o.changeQuota(ctx, fmt.Sprint("change-", n))
 		if ctx.Err() != nil {
 			return
 		}
@@ -56,8 +60,8 @@
 			fmt.Fprintf(o.run.progress, "change %d: %v\n", n, err)
 		} else {
 			o.applied++
-			o.inForceLatency.add(time.Since(begun))
-			if len(forced.Unconfirmed) > 0 {
+			o.inForceLatency.add(time.Since(startedAt))
+			if len(rollout.Unconfirmed) > 0 {
 				o.unconfirmed++
 			}
 		}
@@ -65,25 +69,25 @@
 	}
 }
 
-// one changes one team's quota, within what the platform's file allows, and waits until that
-// is in force.
+// changeQuota changes the quota of one random team, within the limits of the platform
+// configuration, and waits until the change is in force.
 func (o *operator) changeQuota(ctx context.Context, id string) (*configclient.Rollout, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	begun := time.Now()
-	v, err := o.client.EnsureReady(ctx)
+	startedAt := time.Now()
+	view, err := o.client.EnsureReady(ctx)
 	if err != nil {
 		return nil, err
 	}
-	to := v.Config.Clone()
-	name := o.run.teams[o.random.IntN(len(o.run.teams)-1)].Name // not the urgent work's
+	next := view.Config.Clone()
+	name := o.run.teams[o.random.IntN(len(o.run.teams)-1)].Name // not urgentTeam, which is the last
 	t := o.client.Base.Teams[name]
 	t.Max.CPU = int64(float64(t.Max.CPU) * (0.7 + 0.3*o.random.Float64()))
 	t.Min.CPU = int64(float64(t.Min.CPU) * (0.7 + 0.3*o.random.Float64()))
-	to.Teams[name] = t
-	m, err := o.client.Apply(ctx, v, to, id)
+	next.Teams[name] = t
+	applied, err := o.client.Apply(ctx, view, next, id)
 	if err != nil {
 		return nil, err
 	}
-	return o.client.AwaitInForce(ctx, v, m, begun)
+	return o.client.AwaitInForce(ctx, view, applied, startedAt)
 }
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -19,26 +19,30 @@
 	"aspenstall/internal/wait"
 )
 
-// Addresses on loopback, all of them 127.0.0.0/8.
+// Loopback addresses, in 127.0.0.0/8.
 const (
-	firstZoneOctet   = 10 // workers of the nth zone are in 127.(10+n).0.0/16
+	firstZoneOctet   = 10 // workers of the nth zone have addresses in 127.(10+n).0.0/16
 	workerPort       = 9000
-	workersPerSubnet = 250
+	workersPerSubnet = 250 // of 256 addresses in a /24
 )
 
+// workerAddress returns the address of the nth worker, in the zone with an index.
 func workerAddress(zone, n int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", firstZoneOctet+zone, n/workersPerSubnet, n%workersPerSubnet+1, workerPort)
 }
 
+// controllerAddress returns the address at which controller i serves users and workers. The functions
+// below return its address for other controllers, and those at which it reaches the state service and
+// the cloud.
 func controllerAddress(i int) string { return fmt.Sprintf("127.0.1.%d:8080", i+1) }
 func clusterAddress(i int) string    { return fmt.Sprintf("127.0.1.%d:8081", i+1) }
 func stateAddress(i int) string      { return fmt.Sprintf("127.0.2.%d:2379", i+1) }
 func cloudAddress(i int) string      { return fmt.Sprintf("127.0.2.%d:8443", i+1) }
 
-// peerAddress is where controller i reaches j: a link's near end.
+// peerAddress returns the address at which controller i reaches controller j over the network.
 func peerAddress(i, j int) string { return fmt.Sprintf("127.0.3.%d:8081", 16*i+j+1) }
 
-// command starts a process that ends with this one.
+// childCommand returns a command whose process is killed when ctx ends or this process ends.
 func childCommand(ctx context.Context, log io.Writer, name string, args ...string) *exec.Cmd {
 	c := exec.CommandContext(ctx, name, args...)
 	c.Stderr = log
@@ -46,31 +50,32 @@
 	return c
 }
 
-// controller is a process of the real program.
+// controller is a controller process.
 type controller struct {
 	index        int
 	name         string
 	zone         string
 	binary       string
-	platformPath string // file
-	settingsPath string // file
+	platformPath string
+	settingsPath string
 	logFile      *os.File
-	processes    *sync.WaitGroup // of all processes
+	processes    *sync.WaitGroup // all processes of the run
 
 	mu              sync.Mutex
 	cancel          context.CancelFunc
-	pid             int // 0: it does not run
-	unexpectedExits int // by itself
+	pid             int // 0 if it is not running
+	unexpectedExits int // exits that kill did not cause
 }
 
-// start starts the process unless it runs.
+// start starts the process unless it is running. A process that exits unexpectedly is restarted
+// after restartDelay.
 func (c *controller) start(ctx context.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pid != 0 {
 		return nil
 	}
-	outer := ctx
+	parent := ctx
 	ctx, cancel := context.WithCancel(ctx)
 	cmd := childCommand(ctx, c.logFile, c.binary, "--settings", c.settingsPath, "--config", c.platformPath)
 	if err := cmd.Start(); err != nil {
@@ -81,23 +86,23 @@
 	c.processes.Go(func() {
 		_ = cmd.Wait()
 		c.mu.Lock()
-		alone := ctx.Err() == nil
-		if alone {
+		unexpected := ctx.Err() == nil
+		if unexpected {
 			c.unexpectedExits++
 		}
 		c.pid = 0
 		c.mu.Unlock()
-		if alone && wait.For(ctx, restartDelay) {
-			_ = c.start(outer)
+		if unexpected && wait.For(ctx, restartDelay) {
+			_ = c.start(parent)
 		}
 	})
 	return nil
 }
 
-// restartAfter is until a controller that ended by itself is started again.
+// restartDelay is the delay until a controller that exited unexpectedly is restarted.
 const restartDelay = time.Second
 
-// kill ends the process without a word.
+// kill kills the process without a graceful shutdown. It is not restarted.
 func (c *controller) kill() {
 	c.mu.Lock()
 	cancel := c.cancel
@@ -107,13 +112,14 @@
 	}
 }
 
+// runningPID returns the process ID, or 0 if the process is not running.
 func (c *controller) runningPID() (pid int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pid
 }
 
-// platformFile is what the platform's file says to a controller.
+// platformConfig returns the platform's configuration of a controller.
 func (c *controller) platformConfig(s *Settings, all []*controller, teams []Team) *config.Platform {
 	p := &config.Platform{}
 	p.Member, p.Zone = c.name, c.zone
@@ -138,7 +144,7 @@
 	return p
 }
 
-// writeFiles writes the platform's file and the operators' settings of a controller.
+// writeFiles writes a controller's platform configuration and operator settings to files in dir.
 func (c *controller) writeFiles(dir string, p *config.Platform) error {
 	b, err := json.MarshalIndent(p, "", " ")
 	if err != nil {
@@ -148,16 +154,16 @@
 	if err := os.WriteFile(c.platformPath, b, 0o600); err != nil {
 		return err
 	}
-	// Machines stay: what is measured is the fleet at its size.
+	// Idle machines are not released for a day, so that the fleet keeps its size while measured.
 	return os.WriteFile(c.settingsPath, []byte("{:idle-return-s 86400}\n"), 0o600)
 }
 
-// hostProcess is a process of workers, seen from the run.
+// hostProcess is a worker host process, as the run sees it.
 type hostProcess struct {
 	index      int
 	realWorker bool
 	pid        int
-	capacity   int // workers
+	capacity   int // maximum number of workers
 
 	mu       sync.Mutex
 	commands *json.Encoder
@@ -165,8 +171,8 @@
 	traffic  WorkerTraffic
 }
 
-// startHost starts a process of workers, whose events go to tell.
-func startHost(ctx context.Context, group *sync.WaitGroup, log io.Writer, cfg HostConfig, real bool, most int, tell func(*hostProcess, Event)) (*hostProcess, error) {
+// startHost starts a worker host process and calls handle with each of its events.
+func startHost(ctx context.Context, group *sync.WaitGroup, log io.Writer, cfg HostConfig, realWorker bool, capacity int, handle func(*hostProcess, Event)) (*hostProcess, error) {
 	binary, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -185,12 +191,12 @@
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("workers' process %d: %w", cfg.Number, err)
+		return nil, fmt.Errorf("worker host %d: %w", cfg.Number, err)
 	}
 	if _, err := stdin.Write(append(bytes.TrimSpace(b), '\n')); err != nil {
 		return nil, err
 	}
-	h := &hostProcess{index: cfg.Number, realWorker: real, pid: cmd.Process.Pid, capacity: most, commands: json.NewEncoder(stdin)}
+	h := &hostProcess{index: cfg.Number, realWorker: realWorker, pid: cmd.Process.Pid, capacity: capacity, commands: json.NewEncoder(stdin)}
 	group.Go(func() {
 		dec := json.NewDecoder(bufio.NewReader(stdout))
 		for {
@@ -198,21 +204,21 @@
 			if dec.Decode(&e) != nil {
 				break
 			}
-			tell(h, e)
+			handle(h, e)
 		}
 		_ = cmd.Wait()
 	})
 	return h, nil
 }
 
-// do has the process carry out a command.
+// send sends a command to the process.
 func (h *hostProcess) send(c Command) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.commands.Encode(&c)
 }
 
-// takes reserves a place for one more worker, if there is one.
+// reserve reserves a slot for one more worker. It reports whether there was a free one.
 func (h *hostProcess) reserve() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -223,13 +229,13 @@
 	return true
 }
 
-// remoteWorker is a worker in another process.
+// remoteWorker is a worker in a worker host process.
 type remoteWorker struct {
 	host    *hostProcess
 	machine simulator.MachineInfo
 }
 
-// Die ends the machine.
+// Terminate ends the worker, as when its machine fails, and frees its slot.
 func (r *remoteWorker) Terminate() {
 	r.host.send(Command{Kind: CommandKill, Place: r.machine})
 	r.host.mu.Lock()
@@ -237,8 +243,8 @@
 	r.host.mu.Unlock()
 }
 
-// ReadHostConfig reads what a process of workers is started with: the first line of its
-// input. What follows are commands.
+// ReadHostConfig reads the configuration of a worker host process from the first line of its input.
+// Commands follow.
 func ReadHostConfig(in *bufio.Reader) (HostConfig, error) {
 	var cfg HostConfig
 	line, err := in.ReadBytes('\n')
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -15,9 +15,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// WriteSummary prints one result.
+// WriteSummary writes a summary of one result.
 func WriteSummary(w io.Writer, r *Result) {
-	fmt.Fprintf(w, "%d workers (%d alone in a process), %.0f tasks running, %.1f starts a second, %.0f s measured on %d cores; %d processes, %.0f MB at the most\n",
+	fmt.Fprintf(w, "%d workers (%d with a process each), %.0f tasks running, %.1f starts/s, measured for %.0f s on %d cores; %d processes, peak %.0f MB\n",
 		r.Workers, r.Settings.RealWorkers, r.RunningTasks, r.StartsPerS, r.MeasuredS, r.Cores, r.Processes, r.PeakTotalMB)
 	for _, role := range []Role{RoleLeader, RoleFollower, RoleWorker, RoleHollow, RoleRun} {
 		if u, n := r.usageOf(role); n > 0 {
@@ -27,7 +27,7 @@
 	}
 	per := float64(r.Workers) * r.MeasuredS
 	s := r.WorkerTraffic
-	fmt.Fprintf(w, "  a worker and second: %.3f reports, %.0f B sent, %.0f B received; %.3f direct commands, %.0f B received, %.0f B sent\n",
+	fmt.Fprintf(w, "  per worker and second: %.3f reports, %.0f B sent, %.0f B received; %.3f direct commands, %.0f B received, %.0f B sent\n",
 		float64(s.Reports)/per, float64(s.ReportBytesSent)/per, float64(s.ReportBytesReceived)/per,
 		float64(s.Commands)/per, float64(s.CommandBytesReceived)/per, float64(s.CommandBytesSent)/per)
 	for _, kind := range slices.Sorted(maps.Keys(r.MessageCounts)) {
@@ -39,14 +39,14 @@
 		fmt.Fprintf(w, "  change: %-20s %8.2f/s\n", kind, float64(r.StateWrites[kind])/r.MeasuredS)
 	}
 	fmt.Fprintf(w, "  peers %.0f B/s, state %.0f B/s, cloud %.0f B/s; %d records of %d bytes\n", r.PeerTraffic.perSecond(r.MeasuredS), r.StateTraffic.perSecond(r.MeasuredS), r.CloudTraffic.perSecond(r.MeasuredS), r.Records, r.RecordBytes)
-	fmt.Fprintf(w, "  submission %s\n  urgent work %s, %d after %v s\n", r.SubmissionLatency, r.UrgentLatency, r.UrgentLate, r.Settings.UrgentWithinS)
+	fmt.Fprintf(w, "  submission %s\n  urgent tasks %s, %d later than %v s\n", r.SubmissionLatency, r.UrgentLatency, r.UrgentLate, r.Settings.UrgentWithinS)
 	if r.ConfigApplied+r.ConfigFailed > 0 {
-		fmt.Fprintf(w, "  configuration in force %s, %d failed, %d in force by time\n", r.ConfigLatency, r.ConfigFailed, r.ConfigUnconfirmed)
+		fmt.Fprintf(w, "  configuration in force %s, %d failed, %d in force by timeout\n", r.ConfigLatency, r.ConfigFailed, r.ConfigUnconfirmed)
 	}
-	fmt.Fprintf(w, "  tasks stopped %d, leases lost %d, submissions failed %d, questions %d (unanswered %d), controllers ended by themselves %d\n",
+	fmt.Fprintf(w, "  tasks stopped %d, leases lost %d, submissions failed %d, queries %d (unanswered %d), unexpected controller exits %d\n",
 		r.Stopped, r.LeasesLost, r.SubmissionsFailed, r.Queries, r.QueriesUnanswered, r.UnexpectedExits)
 	for _, t := range r.Faults {
-		fmt.Fprintf(w, "  trouble %s at %v s for %v s: next leader after %.2f s, next start after %.2f s, leases lost %d\n",
+		fmt.Fprintf(w, "  fault %s at %v s for %v s: next leader after %.2f s, next start after %.2f s, leases lost %d\n",
 			t.Fault.Kind, t.Fault.AtS, t.Fault.ForS, t.NextLeaderS, t.FirstStartS, t.LeasesLost)
 	}
 	fmt.Fprintf(w, "  rules broken: %d\n", len(r.Violations))
@@ -55,23 +55,26 @@
 	}
 }
 
+// mean returns sum/n, or sum if n is 0.
 func mean(sum, n int64) float64 { return float64(sum) / float64(max(n, 1)) }
 
+// perSecond returns the bytes per second in both directions.
 func (b TrafficBytes) perSecond(seconds float64) float64 { return float64(b.Sent+b.Received) / seconds }
 
-// String is for people.
+// String returns the latencies in a readable form.
 func (l Latency) String() string {
 	return fmt.Sprintf("p50 %.0f ms, p99 %.0f ms, max %.0f ms of %d", l.P50, l.P99, l.Max, l.Count)
 }
 
-// quantity is something that grows with the number of workers.
+// metric is a measured quantity that depends on the number of workers.
 type metric struct {
-	name  string // of the table's row
+	name  string // label of the table's row, and the plot's title
 	unit  string
-	file  string // of the plot
+	file  string // name of the plot's file, without extension
 	value func(r *Result) float64
 }
 
+// usageMetric returns a function that applies value to the usage of a role.
 func usageMetric(role Role, of func(Usage) float64) func(*Result) float64 {
 	return func(r *Result) float64 {
 		u, _ := r.usageOf(role)
@@ -79,11 +82,13 @@
 	}
 }
 
+// Values of usage.
 func meanCores(u Usage) float64   { return u.Cores }
 func peakMemory(u Usage) float64  { return u.PeakMemMB }
 func openSockets(u Usage) float64 { return float64(u.Sockets) }
 
-// requestsOf counts the requests whose kind begins so.
+// requestRate returns a function that computes the rate per second of the requests whose kinds have
+// a prefix.
 func requestRate(prefix string) func(*Result) float64 {
 	return func(r *Result) float64 {
 		n := int64(0)
@@ -96,6 +101,7 @@
 	}
 }
 
+// stateWriteRate returns the rate per second of writes to the state service.
 func stateWriteRate(r *Result) float64 {
 	n := int64(0)
 	for _, c := range r.StateWrites {
@@ -104,6 +110,7 @@
 	return float64(n) / r.MeasuredS
 }
 
+// metrics lists the rows of the report's table.
 var metrics = []metric{
 	{"leader, processor", "cores", "leader-cores", usageMetric(RoleLeader, meanCores)},
 	{"leader, memory at its peak", "MB", "leader-memory", usageMetric(RoleLeader, peakMemory)},
@@ -123,12 +130,13 @@
 	{"users' requests", "a second", "user-requests", requestRate("users ")},
 }
 
-// fit is a straight line through measurements.
+// linearFit is a straight line fitted to measurements.
 type linearFit struct {
 	intercept, slope float64
-	maxResidual      float64 // the largest, as a share of the largest value
+	maxResidual      float64 // as a share of the largest value
 }
 
+// fitLine fits a line by least squares.
 func fitLine(x, y []float64) linearFit {
 	var f linearFit
 	f.intercept, f.slope = stat.LinearRegression(x, y, nil, false)
@@ -142,11 +150,11 @@
 	return f
 }
 
-// fewest is how many sizes a slope needs.
+// minSizesForFit is the number of sizes from which a line is fitted: any line fits two.
 const minSizesForFit = 3
 
-// WriteReport prints what results at several sizes show, with a line fitted to each
-// quantity; plots go into a folder, if one is given.
+// WriteReport writes a table of results at several sizes, in Markdown, with a line fitted to each
+// metric. It saves plots to the directory plots unless that is empty.
 func WriteReport(w io.Writer, all []*Result, plots string) error {
 	slices.SortStableFunc(all, func(a, b *Result) int { return a.Workers - b.Workers })
 	x := make([]float64, len(all))
@@ -177,13 +185,13 @@
 		}
 	}
 	for _, r := range all {
-		fmt.Fprintf(w, "\n%d workers, sources %s, %s: %.0f tasks running, %.1f starts a second; urgent work %s; submission %s; rules broken %d\n",
+		fmt.Fprintf(w, "\n%d workers, sources %s, %s: %.0f tasks running, %.1f starts/s; urgent tasks %s; submission %s; rules broken %d\n",
 			r.Workers, r.Version, r.Date, r.RunningTasks, r.StartsPerS, r.UrgentLatency, r.SubmissionLatency, len(r.Violations))
 	}
 	return nil
 }
 
-// short is a number with three digits that count.
+// formatNumber formats a number with three significant digits, or as an integer from 100 up.
 func formatNumber(v float64) string {
 	if math.Abs(v) >= 100 {
 		return fmt.Sprintf("%.0f", v)
@@ -191,6 +199,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
+// savePlot saves a plot of a metric against the number of workers as a PNG file.
 func savePlot(path string, q metric, x, y []float64, f linearFit) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = q.name, "workers", q.unit
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -5,17 +5,17 @@
 	"os"
 )
 
-// Result is what a run measured: counts and usage of the time that was measured, but for
-// what says otherwise.
+// Result is the result of a run. Counts and usage cover the measurement period unless a field says
+// otherwise.
 type Result struct {
 	Settings Settings `json:"settings"`
-	Version  string   `json:"version"` // of the controllers
+	Version  string   `json:"version"` // source revision of the controllers
 	Date     string   `json:"date"`
-	Cores    int      `json:"cores"` // of the machine
+	Cores    int      `json:"cores"` // of the machine that the run is on
 
 	MeasuredS         float64        `json:"measured_s"`
-	Workers           int            `json:"workers"`       // up, at the end
-	RunningTasks      float64        `json:"running_tasks"` // mean
+	Workers           int            `json:"workers"`       // running at the end
+	RunningTasks      float64        `json:"running_tasks"` // mean over samples
 	Starts            int            `json:"starts"`
 	StartsPerS        float64        `json:"starts_per_s"`
 	Stopped           int            `json:"stopped"` // tasks stopped by command
@@ -27,48 +27,49 @@
 	QueriesUnanswered int            `json:"unanswered"`         // in the whole run
 
 	Usage         []Usage                 `json:"usage"`
-	MessageCounts map[string]MessageCount `json:"counts"`  // of messages, by kind
-	StateWrites   map[string]int64        `json:"changes"` // of the state service, by kind of record
+	MessageCounts map[string]MessageCount `json:"counts"`  // by kind of message
+	StateWrites   map[string]int64        `json:"changes"` // by kind of record
 	WorkerTraffic WorkerTraffic           `json:"workers_spent"`
 	PeerTraffic   TrafficBytes            `json:"peers"`
-	StateTraffic  TrafficBytes            `json:"state"` // with headers
+	StateTraffic  TrafficBytes            `json:"state"` // including HTTP headers
 	CloudTraffic  TrafficBytes            `json:"cloud"`
-	Records       int                     `json:"records"` // of the state service, at the end
+	Records       int                     `json:"records"` // in the state service, at the end
 	RecordBytes   int                     `json:"record_bytes"`
 
 	SubmissionLatency Latency `json:"submission"` // in the whole run after warm-up
 	UrgentLatency     Latency `json:"urgent"`
 	UrgentLate        int     `json:"urgent_late"`
 
-	ConfigLatency     Latency `json:"config"` // until a change was in force
+	ConfigLatency     Latency `json:"config"` // from the start of a change until it was in force
 	ConfigApplied     int     `json:"config_made"`
 	ConfigFailed      int     `json:"config_failed"`
-	ConfigUnconfirmed int     `json:"config_by_time"` // in force by time, as a controller said nothing
+	ConfigUnconfirmed int     `json:"config_by_time"` // in force by timeout because a controller did not confirm
 
 	Faults          []FaultResult `json:"troubles"`
 	Violations      []string      `json:"rules_broken"`
-	UnexpectedExits int           `json:"ended_alone"` // controllers that ended by themselves
+	UnexpectedExits int           `json:"ended_alone"` // controllers that exited without being killed, in the whole run
 	PeakTotalMB     float64       `json:"peak_total_mb"`
 	Processes       int           `json:"processes"`
 }
 
-// Bytes are those of connections, both ways.
+// TrafficBytes is the number of bytes on connections, in both directions.
 type TrafficBytes struct {
 	Sent     int64 `json:"sent"`
 	Received int64 `json:"received"`
 }
 
-// TroubleSeen is a trouble and what was seen of it.
+// FaultResult is an injected fault and its observed effects.
 type FaultResult struct {
 	Fault Fault `json:"trouble"`
-	// NextLeaderS is until there was another leader's key, FirstStartS until the next task
-	// began after that; 0: not seen.
+	// NextLeaderS is the time until the next leader's key was written, FirstStartS the time until
+	// the first task start after that, both from the fault. 0 means not observed.
 	NextLeaderS float64 `json:"next_leader_s,omitempty"`
 	FirstStartS float64 `json:"first_start_s,omitempty"`
-	LeasesLost  int     `json:"leases_lost"` // until the next trouble or the end
+	LeasesLost  int     `json:"leases_lost"` // until the next fault or the end
 }
 
-// Usage of a role: the mean of the processes of that role.
+// usageOf returns the usage of the processes of a role and the number of processes: the means of
+// Cores and MemMB, the total of Workers, and the maxima of the other values.
 func (r *Result) usageOf(role Role) (u Usage, n int) {
 	for _, o := range r.Usage {
 		if o.Role != role {
@@ -91,7 +92,7 @@
 	return u, n
 }
 
-// Write writes the result to a file.
+// Write writes the result to a file as JSON.
 func (r *Result) Write(path string) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -100,7 +101,7 @@
 	return os.WriteFile(path, append(b, '\n'), 0o644)
 }
 
-// ReadResult reads a result's file.
+// ReadResult reads a result from a file.
 func ReadResult(path string) (*Result, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -17,21 +17,21 @@
 	"aspenstall/internal/wait"
 )
 
-// Run is one run: the stand-ins of the state service, of the cloud and of users, and the
-// processes round them.
+// Run is one run: the simulated state service, cloud and users in this process, and the processes
+// of controllers and workers.
 type Run struct {
 	settings   Settings
 	teams      []Team
 	network    *Network
 	state      *simulator.State
 	cloud      *simulator.Cloud
-	rules      *simulator.Checker
+	checker    *simulator.Checker
 	users      *users
 	operator   *operator
 	messages   *messageCounter
 	timeline   timeline
-	progress   io.Writer // progress
-	processLog *os.File  // of the processes
+	progress   io.Writer // progress log
+	processLog *os.File  // standard error of the processes
 
 	controllers []*controller
 	hosts       []*hostProcess
@@ -40,20 +40,20 @@
 	traffic     struct{ peers, state, cloud TrafficCounter }
 
 	mu                    sync.Mutex
-	healthyAddresses      []string // addresses of healthy controllers
+	healthyAddresses      []string // of controllers
 	random                *rand.Rand
 	leader                string
-	leaderSince           time.Time // since when
+	leaderSince           time.Time // when its leader record was first seen
 	runningTasks          int
 	taskStarts            int
-	firstStartUnderLeader time.Time // after the last change of the leader
+	firstStartUnderLeader time.Time // first task start after leaderSince, or zero
 	tasksStopped          int
 	leasesLost            int
 	peakMB                float64
 }
 
-// The run's cloud has one type of machine, which takes so long to boot; those that are there
-// at the beginning come up one after the other.
+// The cloud has one machine type, whose machines boot in bootS seconds. The machines of the initial
+// fleet come up after initialBootS seconds, one after the other, initialBootsPerS per second.
 const (
 	machineType      = "scale"
 	bootS            = 20.0
@@ -61,26 +61,27 @@
 	initialBootsPerS = 300.0
 )
 
-// New returns a run that is not started.
+// New returns a run with the given settings, which Execute starts. It writes its log to progress.
 func New(s Settings, progress io.Writer) *Run {
 	r := &Run{settings: s, teams: makeTeams(&s), progress: progress, messages: newMessageCounter(), random: rand.New(rand.NewPCG(uint64(s.Seed), 4))}
 	r.network = NewNetwork(&r.settings)
 	r.state = simulator.NewState(s.StateTxnOps)
 	r.users = newUsers(r)
-	r.rules = simulator.NewChecker()
-	r.rules.Log = func() *slog.Logger {
+	r.checker = simulator.NewChecker()
+	r.checker.Log = func() *slog.Logger {
 		return slog.New(slog.NewTextHandler(progress, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	}
-	r.rules.Job = r.users.job
-	r.rules.CancelTimeout = seconds(s.CancelS)
+	r.checker.Job = r.users.job
+	r.checker.CancelTimeout = seconds(s.CancelS)
 	limits := map[string]simulator.Limit{}
 	for _, t := range r.teams {
 		limits[t.Name] = simulator.Limit{CPUs: t.CPUsMax}
 	}
-	r.rules.Limit = func(team string) simulator.Limit { return limits[team] }
+	r.checker.Limit = func(team string) simulator.Limit { return limits[team] }
 	return r
 }
 
+// newMachineType returns the machine type of the run's cloud.
 func (r *Run) newMachineType() simulator.MachineType {
 	return simulator.MachineType{
 		Name: machineType, CPUs: r.settings.MachineCPUs, MemGB: 16 * r.settings.MachineCPUs, CacheGB: 100, FetchGBps: 1,
@@ -88,13 +89,13 @@
 	}
 }
 
-// Programs are the controllers' programs.
+// Programs are the paths of the controllers' executables.
 type Programs struct {
 	Binary     string
-	LastBinary string // of the last controller, another version; "" for the same
+	LastBinary string // of the last controller, to test two versions together; "" for Binary
 }
 
-// of is the program of a controller.
+// forController returns the executable of the ith controller.
 func (p Programs) forController(i, controllers int) string {
 	if p.LastBinary != "" && i == controllers-1 {
 		return p.LastBinary
@@ -102,12 +103,14 @@
 	return p.Binary
 }
 
-// Do runs it: dir takes the processes' files.
+// Execute executes the run: warm-up, measurement and shutdown. The files of the processes are
+// written to dir. It fails if ctx ends, a process cannot be started, or the memory limit is
+// exceeded.
 func (r *Run) Execute(ctx context.Context, programs Programs, dir string) (*Result, error) {
 	s := &r.settings
 	limit := seconds(s.WarmUpS + s.MeasureS + 120)
 	ctx, cancel := context.WithTimeout(ctx, limit)
-	defer r.processes.Wait() // they end with ctx
+	defer r.processes.Wait() // the processes end with ctx
 	defer cancel()
 	var err error
 	if r.processLog, err = os.Create(filepath.Join(dir, "processes.log")); err != nil {
@@ -122,9 +125,9 @@
 		return nil, err
 	}
 	go r.watchControllers(ctx)
-	judged := make(chan struct{})
+	checked := make(chan struct{})
 	go func() {
-		defer close(judged)
+		defer close(checked)
 		r.checkEvents(ctx)
 	}()
 	for n := range s.Workers {
@@ -143,13 +146,14 @@
 	if err != nil {
 		return nil, err
 	}
-	<-judged
+	<-checked
 	r.checkEventsBefore(time.Now().Add(time.Hour))
 	r.addTotals(res)
 	return res, nil
 }
 
-// serve listens for controllers and workers.
+// startServices writes the controllers' files and serves the state service, the cloud, the
+// connections between controllers and the job descriptions.
 func (r *Run) startServices(programs Programs, dir string) error {
 	s := &r.settings
 	for i := range s.Controllers {
@@ -195,12 +199,12 @@
 	return r.listen(descriptionsAddress, regional, r.users, &TrafficCounter{})
 }
 
-// descriptionsAddress is where workers read jobs' descriptions.
+// descriptionsAddress is the address of the server of job descriptions.
 const descriptionsAddress = "127.0.2.100:8000"
 
-// listen serves a regional service.
-func (r *Run) listen(address string, far func() string, h http.Handler, t *TrafficCounter) error {
-	l, err := r.network.Listen(address, "", far, t)
+// listen serves a handler that has no zone, to clients in remoteZone.
+func (r *Run) listen(address string, remoteZone func() string, h http.Handler, t *TrafficCounter) error {
+	l, err := r.network.Listen(address, "", remoteZone, t)
 	if err != nil {
 		return err
 	}
@@ -210,12 +214,14 @@
 	return nil
 }
 
+// closeListeners closes the listeners of all services.
 func (r *Run) closeListeners() {
 	for _, l := range r.listeners {
 		_ = l.Close()
 	}
 }
 
+// workerAddress returns the address of the nth worker, which is in a zone.
 func (r *Run) workerAddress(n int, zone string) string {
 	for i, z := range r.settings.Zones {
 		if z == zone {
@@ -225,7 +231,7 @@
 	return workerAddress(0, n)
 }
 
-// startProcesses starts the controllers and the processes of workers.
+// startProcesses starts the controllers and the worker hosts.
 func (r *Run) startProcesses(ctx context.Context) error {
 	s := &r.settings
 	cfg := HostConfig{Settings: *s, Descriptions: descriptionsAddress, Type: r.newMachineType()}
@@ -237,11 +243,11 @@
 	}
 	for i := range s.RealWorkers + s.hollowProcesses() {
 		cfg.Number = i
-		real, most := i < s.RealWorkers, s.PerProcess
-		if real {
-			most = 1
+		realWorker, capacity := i < s.RealWorkers, s.PerProcess
+		if realWorker {
+			capacity = 1
 		}
-		h, err := startHost(ctx, &r.processes, r.processLog, cfg, real, most, r.handleEvent)
+		h, err := startHost(ctx, &r.processes, r.processLog, cfg, realWorker, capacity, r.handleEvent)
 		if err != nil {
 			return err
 		}
@@ -250,7 +256,8 @@
 	return nil
 }
 
-// startWorker starts a worker in the first process that takes it: real ones first.
+// startWorker starts a worker in the first host process with a free slot. The hosts of real workers
+// come first. It returns nil if there is no slot.
 func (r *Run) startWorker(m simulator.MachineInfo, at string, _ *simulator.MachineType) simulator.MachineProcess {
 	for _, h := range r.hosts {
 		if h.reserve() {
@@ -261,16 +268,16 @@
 	return nil
 }
 
-// happens notes that something happens now, which the rules are told in its turn.
-func (r *Run) recordNow(do func()) { r.timeline.add(time.Now(), do) }
+// recordNow adds an event at the current time to the timeline of checked events.
+func (r *Run) recordNow(apply func()) { r.timeline.add(time.Now(), apply) }
 
-// told takes what a process of workers tells.
+// handleEvent handles an event of a worker host process.
 func (r *Run) handleEvent(h *hostProcess, e Event) {
 	at := time.Unix(0, e.AtNS)
-	on := simulator.TaskOnMachine{Task: e.Task, Attempt: e.Attempt, Cause: e.Cause, Host: e.Place}
+	task := simulator.TaskOnMachine{Task: e.Task, Attempt: e.Attempt, Cause: e.Cause, Host: e.Place}
 	if e.Task != "" {
 		job, _, _ := strings.Cut(e.Task, "/")
-		on.Spec = r.users.job(job)
+		task.Spec = r.users.job(job)
 	}
 	switch e.Kind {
 	case EventTraffic:
@@ -286,7 +293,7 @@
 			r.firstStartUnderLeader = at
 		}
 		r.mu.Unlock()
-		r.timeline.add(at, func() { r.rules.TaskStarted(on) })
+		r.timeline.add(at, func() { r.checker.TaskStarted(task) })
 	case EventLeft:
 		r.mu.Lock()
 		r.runningTasks--
@@ -294,11 +301,11 @@
 			r.tasksStopped++
 		}
 		r.mu.Unlock()
-		r.timeline.add(at, func() { r.rules.TaskLeft(on) })
+		r.timeline.add(at, func() { r.checker.TaskLeft(task) })
 	case EventDone:
-		r.timeline.add(at, func() { r.rules.TaskDone(e.Task, on.Spec) })
+		r.timeline.add(at, func() { r.checker.TaskDone(e.Task, task.Spec) })
 	case EventOrdered:
-		r.timeline.add(at, func() { r.rules.StartExecuted(e.Task) })
+		r.timeline.add(at, func() { r.checker.StartExecuted(e.Task) })
 	case EventExpired:
 		if e.Tasks > 0 {
 			r.mu.Lock()
@@ -308,13 +315,15 @@
 	}
 }
 
-// judge has the rules told what happened, in its order.
+// checkEvents passes events to the checker in the order of their times, reorderDelay after they
+// happened, until ctx ends.
 func (r *Run) checkEvents(ctx context.Context) {
 	for wait.For(ctx, 100*time.Millisecond) {
 		r.checkEventsBefore(time.Now().Add(-reorderDelay))
 	}
 }
 
+// checkEventsBefore passes all remaining events before a time to the checker.
 func (r *Run) checkEventsBefore(before time.Time) {
-	r.timeline.drain(before, func(t time.Time) { r.rules.Now = func() time.Time { return t } })
+	r.timeline.drain(before, func(t time.Time) { r.checker.Now = func() time.Time { return t } })
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// TestMain lets the test's binary be a process of workers, as cmd/scalerun is.
+// TestMain lets the test binary act as a worker host process, as cmd/scalerun does.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "host" {
 		in := bufio.NewReader(os.Stdin)
@@ -33,8 +33,8 @@
 	os.Exit(m.Run())
 }
 
-// TestSmoke runs the built program with a few workers for some seconds: what it asserts does
-// not go by how fast the machine is.
+// TestSmoke runs built controllers with a few workers for some seconds. Its assertions do not
+// depend on the speed of the machine.
 func TestSmoke(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "aspenstall")
@@ -53,7 +53,7 @@
 		t.Fatalf("%v\n%s", err, log)
 	}
 	if len(res.Violations) > 0 || res.UnexpectedExits > 0 {
-		t.Errorf("rules broken %q, controllers ended by themselves %d", res.Violations, res.UnexpectedExits)
+		t.Errorf("violations %q, unexpected controller exits %d", res.Violations, res.UnexpectedExits)
 	}
 	if res.Workers != s.Workers || res.WorkerTraffic.Reports == 0 || len(res.Usage) == 0 {
 		t.Errorf("%d workers, %d reports, usage of %d processes", res.Workers, res.WorkerTraffic.Reports, len(res.Usage))
@@ -62,24 +62,25 @@
 	if err := res.Write(path); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := ReadResult(path); err != nil || again.Workers != res.Workers {
-		t.Errorf("read again: %v, %v", again, err)
+	if reread, err := ReadResult(path); err != nil || reread.Workers != res.Workers {
+		t.Errorf("result read back: %v, %v", reread, err)
 	}
 	if l, err := net.Listen("tcp", controllerAddress(0)); err != nil {
-		t.Errorf("a process is left: %v", err)
+		t.Errorf("a controller is still running: %v", err)
 	} else {
 		_ = l.Close()
 	}
 }
 
+// TestSettings checks the validation of settings, and loads the settings files under deploy/.
 func TestSettings(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"the plan's", `{:workers 2900}`, ""},
-		{"a trouble", `{:troubles [{:kind "rack" :at-s 5 :count 40}]}`, ""},
-		{"an unknown trouble", `{:troubles [{:kind "flood"}]}`, `:troubles: trouble 1: :kind: want one of`},
-		{"more tasks than room", `{:running-tasks 20301}`, ":running-tasks: there is room for 20300"},
+		{"default settings", `{:workers 2900}`, ""},
+		{"one fault", `{:troubles [{:kind "rack" :at-s 5 :count 40}]}`, ""},
+		{"unknown kind of fault", `{:troubles [{:kind "flood"}]}`, `:troubles: trouble 1: :kind: want one of`},
+		{"more tasks than capacity", `{:running-tasks 20301}`, ":running-tasks: more than the 20300 that the fleet has capacity for"},
 		{"too many processes", `{:per-process 10}`, ":per-process: 315 processes in all, more than 200"},
-		{"a zone without a region", `{:zones ["a" "b"]}`, ":regions: want one for each of 2 zones, not 6"},
+		{"zone without a region", `{:zones ["a" "b"]}`, ":regions: want one for each of 2 zones, not 6"},
 		{"misspelt", `{:worker 1}`, ":worker: no such setting"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,7 +101,8 @@
 	}
 }
 
-// TestTimeline: what several processes tell is judged in the order in which it happened.
+// TestTimeline checks that events of several processes are applied in the order in which they
+// happened.
 func TestTimeline(t *testing.T) {
 	var line timeline
 	begin := time.Unix(1000, 0)
@@ -110,11 +112,11 @@
 	}
 	line.drain(begin.Add(6*time.Second), func(time.Time) {})
 	if !slices.Equal(got, []int{1, 2, 3, 4, 5}) {
-		t.Errorf("in the order %v", got)
+		t.Errorf("events were applied in the order %v", got)
 	}
 }
 
-// TestLinks: bytes are counted, and held while a zone is cut off.
+// TestNetwork checks that a connection counts its bytes, and delivers none during a partition.
 func TestNetwork(t *testing.T) {
 	s := DefaultSettings()
 	s.RegionDelayMS, s.ZoneDelayMS = 0, 0
@@ -155,7 +157,7 @@
 	answer := echo()
 	select {
 	case err := <-answer:
-		t.Errorf("something came through a cut: %v", err)
+		t.Errorf("data crossed a partition: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	l.SetRegionsPartitioned(false)
@@ -167,6 +169,7 @@
 	}
 }
 
+// TestReport checks the table's rows with their fitted lines.
 func TestReport(t *testing.T) {
 	var all []*Result
 	for _, n := range []int{725, 1450, 2900} {
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,5 +1,6 @@
-// Package scale runs real controllers on loopback, in real time, against thousands of
-// hollow workers, and measures what each process spends from outside.
+// Package scale runs real controllers on loopback, in real time, against thousands of hollow
+// workers (simulated workers, many of them in one process), and measures the resource usage of each
+// process through /proc.
 package scale
 
 import (
@@ -14,28 +15,28 @@
 	"aspenstall/internal/ednmap"
 )
 
-// Settings are those of one run. Durations are in seconds, rates per second.
+// Settings are the settings of one run. Durations are in seconds, rates per second.
 type Settings struct {
 	Seed        int
-	Workers     int // all together
-	RealWorkers int // of them, each in a process of its own
-	PerProcess  int // hollow workers in one process, at most
-	Controllers int // one zone after the other
+	Workers     int // in total, real and hollow
+	RealWorkers int // workers that each have a process of their own
+	PerProcess  int // maximum number of hollow workers in one process
+	Controllers int // spread over the zones in turn
 	Zones       []string
-	Regions     []string // of the zones, in their order
+	Regions     []string // region of each zone, in the order of Zones
 	Teams       int
 
-	RunningTasks  int     // at the load's peak
-	StartsPerS    float64 // of arrays' tasks, at the peak
-	ServiceShare  float64 // of the running tasks that belong to services
-	ArrayTasks    int     // of an array, on the average
-	UrgentPerS    float64 // single tasks of high priority
-	UrgentWithinS float64 // that one is to start within
-	ChangesPerS   float64 // of configuration
+	RunningTasks  int     // at peak load
+	StartsPerS    float64 // of tasks of arrays, at peak load
+	ServiceShare  float64 // share of the running tasks that belong to services
+	ArrayTasks    int     // mean number of tasks of an array
+	UrgentPerS    float64 // jobs of one task of high priority
+	UrgentWithinS float64 // start objective of urgent tasks
+	ChangesPerS   float64 // of the cluster configuration
 
 	MachineCPUs float64
 	TaskCPUs    float64
-	WarmUpS     float64 // until measuring begins
+	WarmUpS     float64 // before the measurement
 	MeasureS    float64
 
 	ReportS, LeaseS, CancelS float64
@@ -48,13 +49,13 @@
 
 	RegionDelayMS float64 // one way
 	ZoneDelayMS   float64 // one way
-	Loss          float64 // of the writes between regions, each of which is sent again
-	ResendMS      float64 // after a loss
+	Loss          float64 // share of the writes between regions that are lost and sent again
+	ResendMS      float64 // added delay of a lost write
 
 	Troubles []Fault
 }
 
-// Trouble is something that goes wrong at a time, counted from when measuring begins.
+// Fault is a fault to inject at a time, in seconds from the start of the measurement.
 type Fault struct {
 	Kind  string
 	AtS   float64
@@ -62,24 +63,25 @@
 	Count int
 }
 
-// Kinds of troubles.
+// Kinds of faults.
 const (
-	FaultLeaderKilled       = "leader-ends"   // and is back after ForS
-	FaultRack               = "rack"          // Count machines of one zone stop
-	FaultZonePartition      = "zone-cut"      // a zone is cut off from the others for ForS
-	FaultRegionPartition    = "regions-apart" // nothing crosses between regions for ForS
-	FaultRollingReplacement = "replacements"  // Count machines stop, one after the other during ForS
+	FaultLeaderKilled       = "leader-ends"   // the leader's process is killed and restarted after ForS
+	FaultRack               = "rack"          // Count machines of one zone fail at once
+	FaultZonePartition      = "zone-cut"      // a zone is partitioned from the others for ForS
+	FaultRegionPartition    = "regions-apart" // the regions are partitioned from each other for ForS
+	FaultRollingReplacement = "replacements"  // Count machines fail one after the other, spread over ForS
 )
 
+// faultKinds lists all kinds of faults.
 var faultKinds = []string{FaultLeaderKilled, FaultRack, FaultZonePartition, FaultRegionPartition, FaultRollingReplacement}
 
-// Limits of a run on one machine.
+// Limits of a run, which has one machine for all its processes.
 const (
 	maxWorkers   = 20_000
 	maxProcesses = 200
 )
 
-// DefaultSettings is a run of the plan's fleet without troubles.
+// DefaultSettings returns the settings of a run of the planned fleet without faults.
 func DefaultSettings() Settings {
 	return Settings{
 		Seed: 1, Workers: 2900, RealWorkers: 24, PerProcess: 300, Controllers: 3,
@@ -93,8 +95,8 @@
 	}
 }
 
-// LoadSettings reads and checks a run's settings: one S-expression. What it does not name
-// keeps its default.
+// LoadSettings reads a run's settings, an S-expression, from a file and checks them. Settings that
+// the file does not contain keep their defaults.
 func LoadSettings(path string) (Settings, error) {
 	s := DefaultSettings()
 	b, err := os.ReadFile(path)
@@ -110,6 +112,7 @@
 	return s, nil
 }
 
+// parsers returns the parser of each setting by its key.
 func (s *Settings) parsers() map[string]ednmap.Parser {
 	return map[string]ednmap.Parser{
 		"seed":                   ednmap.Integer(0, 1e9, &s.Seed),
@@ -150,14 +153,15 @@
 	}
 }
 
-func parseFaults(to *[]Fault) ednmap.Parser {
+// parseFaults returns the parser of the list of faults. Count is 1 by default.
+func parseFaults(faults *[]Fault) ednmap.Parser {
 	return func(b edn.RawMessage) error {
-		var list []edn.RawMessage
-		if err := edn.Unmarshal(b, &list); err != nil {
+		var items []edn.RawMessage
+		if err := edn.Unmarshal(b, &items); err != nil {
 			return errors.New("want a list of troubles")
 		}
-		*to = nil
-		for i, raw := range list {
+		*faults = nil
+		for i, raw := range items {
 			t := Fault{Count: 1}
 			err := ednmap.ParseMap(raw, map[string]ednmap.Parser{
 				"kind": ednmap.String(&t.Kind), "at-s": ednmap.Number(0, 3600, &t.AtS),
@@ -169,12 +173,13 @@
 			if err != nil {
 				return fmt.Errorf("trouble %d: %w", i+1, err)
 			}
-			*to = append(*to, t)
+			*faults = append(*faults, t)
 		}
 		return nil
 	}
 }
 
+// check returns an error for settings that contradict each other or exceed the limits of a run.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Regions) != len(s.Zones):
@@ -182,31 +187,31 @@
 	case len(s.Zones) == 0 || len(s.Zones) > 12:
 		return errors.New(":zones: want 1 to 12")
 	case s.Teams < 2:
-		return errors.New(":teams: want two at least: one is for urgent work")
+		return errors.New(":teams: want at least 2: one is for urgent jobs")
 	case s.RealWorkers > s.Workers:
 		return errors.New(":real-workers: more than :workers")
 	case s.processes() > maxProcesses:
 		return fmt.Errorf(":per-process: %d processes in all, more than %d", s.processes(), maxProcesses)
 	case s.LeaseS < 2*s.ReportS:
-		return errors.New(":lease-s: less than two of :report-s")
+		return errors.New(":lease-s: less than twice :report-s")
 	case s.TaskCPUs > s.MachineCPUs:
 		return errors.New(":task-cpus: more than :machine-cpus")
 	}
-	if room := int(s.MachineCPUs/s.TaskCPUs) * s.Workers; s.RunningTasks > room {
-		return fmt.Errorf(":running-tasks: there is room for %d", room)
+	if capacity := int(s.MachineCPUs/s.TaskCPUs) * s.Workers; s.RunningTasks > capacity {
+		return fmt.Errorf(":running-tasks: more than the %d that the fleet has capacity for", capacity)
 	}
 	return nil
 }
 
-// hollowProcesses is how many processes the hollow workers share.
+// hollowProcesses returns the number of processes for the hollow workers.
 func (s *Settings) hollowProcesses() int {
 	return (s.Workers - s.RealWorkers + s.PerProcess - 1) / s.PerProcess
 }
 
-// processes counts all but the run's own.
+// processes returns the number of processes of a run, without the run's own.
 func (s *Settings) processes() int { return s.Controllers + s.RealWorkers + s.hollowProcesses() }
 
-// region is that of a zone.
+// region returns the region of a zone, or "" for an unknown one.
 func (s *Settings) region(zone string) string {
 	if i := slices.Index(s.Zones, zone); i >= 0 {
 		return s.Regions[i]
@@ -214,24 +219,25 @@
 	return ""
 }
 
-// arrayRunS is for how long an array's task runs on the average, so that the running tasks
-// are as many as wanted at the starts that are wanted.
+// arrayRunS returns the mean run time of an array's task in seconds that gives RunningTasks at the
+// rate StartsPerS.
 func (s *Settings) arrayRunS() float64 {
 	return float64(s.RunningTasks) * (1 - s.ServiceShare) / s.StartsPerS
 }
 
+// seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ForWorkers is the same run with another number of workers: running tasks, starts, and the
-// rates and sizes that a deployment grants its controllers go with it.
+// ForWorkers returns the settings scaled to another number of workers. Running tasks, starts, and
+// the rates and connections that a deployment grants its controllers scale with it.
 func (s Settings) ForWorkers(workers int) (Settings, error) {
-	times := float64(workers) / float64(s.Workers)
+	factor := float64(workers) / float64(s.Workers)
 	s.Workers = workers
 	s.RealWorkers = min(s.RealWorkers, workers)
-	s.RunningTasks = max(1, int(float64(s.RunningTasks)*times))
-	s.StartsPerS *= times
-	s.StateRPS *= times
-	s.StateWriteRPS *= times
-	s.ControllerConnections = max(int(float64(s.ControllerConnections)*times), 300)
+	s.RunningTasks = max(1, int(float64(s.RunningTasks)*factor))
+	s.StartsPerS *= factor
+	s.StateRPS *= factor
+	s.StateWriteRPS *= factor
+	s.ControllerConnections = max(int(float64(s.ControllerConnections)*factor), 300)
 	return s, s.check()
 }
--- a/internal/scale/follow.go
+++ b/internal/scale/watch.go
@@ -11,7 +11,7 @@
 	"aspenstall/internal/wire"
 )
 
-// healthy is the address of a controller that users are sent to, "" if there is none.
+// healthyController returns the address of a random healthy controller, or "" if there is none.
 func (r *Run) healthyController() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -22,26 +22,29 @@
 }
 
 const (
+	// healthProbeInterval is the timeout of a health probe. Probes are sent twice per interval.
 	healthProbeInterval = time.Second
-	leaderPollInterval  = 20 * time.Millisecond
+	// leaderPollInterval is the interval between reads of the leader record.
+	leaderPollInterval = 20 * time.Millisecond
 )
 
-// follow probes the controllers' health, as a load balancer does, and looks who leads.
+// watchControllers probes the controllers' health, as a load balancer does, and polls the leader
+// record until ctx ends.
 func (r *Run) watchControllers(ctx context.Context) {
 	client := &http.Client{Timeout: healthProbeInterval}
 	go func() {
 		for wait.For(ctx, healthProbeInterval/2) {
-			var up []string
+			var healthy []string
 			for _, c := range r.controllers {
 				if resp, err := client.Get("http://" + controllerAddress(c.index) + wire.HealthPath); err == nil {
 					_ = resp.Body.Close()
 					if resp.StatusCode == http.StatusOK {
-						up = append(up, controllerAddress(c.index))
+						healthy = append(healthy, controllerAddress(c.index))
 					}
 				}
 			}
 			r.mu.Lock()
-			r.healthyAddresses = up
+			r.healthyAddresses = healthy
 			r.mu.Unlock()
 		}
 	}()
@@ -50,6 +53,8 @@
 	}
 }
 
+// pollLeader reads the leader record. If the leader has changed, it records the time and sends the
+// leader's zone to the worker hosts.
 func (r *Run) pollLeader() {
 	var l wire.LeaderRecord
 	if e, ok := r.state.Get(wire.LeaderKey); !ok || wire.Unmarshal(e.Value, &l) != nil {
@@ -74,17 +79,19 @@
 	}
 }
 
+// sendToHosts sends a command to every worker host process.
 func (r *Run) sendToHosts(c Command) {
 	for _, h := range r.hosts {
 		h.send(c)
 	}
 }
 
-// progress waits and says how the run stands; false if it ends early.
-func (r *Run) waitWithProgress(ctx context.Context, what string, d time.Duration) bool {
-	const every = 10 * time.Second
+// waitWithProgress waits for d, logs the state of the run every 10 s, and checks the memory limit.
+// It returns false if ctx ends or the limit is exceeded.
+func (r *Run) waitWithProgress(ctx context.Context, phase string, d time.Duration) bool {
+	const interval = 10 * time.Second
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		if !wait.For(ctx, min(every, time.Until(end))) {
+		if !wait.For(ctx, min(interval, time.Until(end))) {
 			return false
 		}
 		r.mu.Lock()
@@ -93,7 +100,7 @@
 			workers += h.traffic.Workers
 		}
 		fmt.Fprintf(r.progress, "%s: %d workers, %d tasks running, %d started, leader %q, healthy %d, %.0f MB\n",
-			what, workers, r.runningTasks, r.taskStarts, r.leader, len(r.healthyAddresses), r.peakMB)
+			phase, workers, r.runningTasks, r.taskStarts, r.leader, len(r.healthyAddresses), r.peakMB)
 		r.mu.Unlock()
 		if err := r.checkMemory(); err != nil {
 			fmt.Fprintln(r.progress, err)
@@ -103,9 +110,11 @@
 	return true
 }
 
-var errMemoryLimit = errors.New("all processes together hold more than half of the machine's memory")
+// errMemoryLimit reports that the run's processes use too much memory.
+var errMemoryLimit = errors.New("all processes together use more than half of the machine's memory")
 
-// checkMemory fails if all processes together hold too much.
+// checkMemory updates the peak of the resident memory of all processes, and returns errMemoryLimit
+// if they use more than half of the machine's memory.
 func (r *Run) checkMemory() error {
 	total := residentMB(ownPID)
 	for _, h := range r.hosts {
