--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,5 @@
-// Command scalerun runs real controllers against thousands of hollow workers on this
-// machine's loopback, and says what each process spends.
+// Command scalerun runs real controllers against thousands of hollow workers over this machine's
+// loopback interface, and reports the resource usage of each process.
 package main
 
 import (
@@ -16,6 +16,7 @@
 	"aspenstall/internal/scale"
 )
 
+// cli is the command line. Field names give the names of commands and flags.
 type cli struct {
 	Run    runCmd    `cmd:"" help:"Run once and write a result file."`
 	Report reportCmd `cmd:"" help:"Print tables of result files, with the slopes that they show, and draw them."`
@@ -35,6 +36,7 @@
 	}
 }
 
+// runCmd is the command that executes a run.
 type runCmd struct {
 	Settings string `arg:"" help:"The run's settings (an S-expression)." type:"existingfile"`
 	Binary   string `help:"The controllers' program." default:"target/aspenstall" type:"existingfile"`
@@ -44,7 +46,7 @@
 	Workers  int    `help:"Another number of workers: tasks and rates go with it."`
 }
 
-// Run runs once.
+// Run executes a run and writes its result and summary. It fails if the checker found violations.
 func (c *runCmd) Run(ctx context.Context) error {
 	s, err := scale.LoadSettings(c.Settings)
 	if err != nil {
@@ -74,12 +76,13 @@
 	}
 	scale.WriteSummary(os.Stdout, res)
 	if len(res.Violations) > 0 {
-		return fmt.Errorf("%d rules were broken", len(res.Violations))
+		return fmt.Errorf("the run violated %d invariants", len(res.Violations))
 	}
 	return nil
 }
 
-// revision names the sources that a program was built from, "" if it does not say.
+// revision returns the source revision that an executable was built from, with ", changed" if the
+// working tree was modified, or "" if the executable contains none.
 func revision(binary string) string {
 	info, err := buildinfo.ReadFile(binary)
 	if err != nil {
@@ -97,12 +100,13 @@
 	return name + changed
 }
 
+// reportCmd is the command that prints a report of results.
 type reportCmd struct {
 	Results []string `arg:"" help:"Result files." type:"existingfile"`
 	Plots   string   `help:"Folder for plots (PNG)." type:"path"`
 }
 
-// Run prints the tables.
+// Run reads the results, prints the report and saves its plots.
 func (c *reportCmd) Run() error {
 	var all []*scale.Result
 	for _, f := range c.Results {
@@ -115,9 +119,10 @@
 	return scale.WriteReport(os.Stdout, all, c.Plots)
 }
 
+// hostCmd is the command by which a run starts a worker host process.
 type hostCmd struct{}
 
-// Run runs a process of workers.
+// Run runs a worker host process until its input ends.
 func (hostCmd) Run(ctx context.Context) error {
 	in := bufio.NewReader(os.Stdin)
 	cfg, err := scale.ReadHostConfig(in)
--- a/cmd/scalerun/names_test.go
+++ b/cmd/scalerun/names_test.go
@@ -9,7 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands lists commands, arguments and flags with what scripts go by.
+// describeCommands lists the commands, arguments and flags below n with the properties that scripts
+// depend on.
 func describeCommands(n *kong.Node, path string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", path)
@@ -33,6 +34,7 @@
 	return b.String()
 }
 
+// TestCommandNames guards the names of commands and flags, which scripts use.
 func TestCommandNames(t *testing.T) {
 	k, err := kong.New(&cli{}, kong.Name("scalerun"))
 	if err != nil {
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,10 +1,11 @@
-// Command knownred runs the module's tests and passes over failures of just those that a
-// file lists, which it prints. A line of the file is
+// Command knownred runs the module's tests and ignores the failures of the tests that a file of
+// known failures lists. It prints the entries of the file, which are lines of the form
 //
 //	Test/sub: cause; issue N
 //
-// at most three of them. It fails on a line beyond that, on a malformed one, on a test that
-// there is not, on every other failure, and on a package that does not build or panics.
+// The file has at most three entries. The command fails if the file has more or malformed entries,
+// or lists a test that did not run, if any other test fails, and if a package does not build or
+// panics.
 package main
 
 import (
@@ -22,15 +23,16 @@
 	"strings"
 )
 
-// most is how many tests may be passed over.
+// maxEntries is the maximum number of known failures.
 const maxEntries = 3
 
-// known is a line of the file.
+// knownFailure is an entry of the file of known failures.
 type knownFailure struct{ test, line string }
 
+// entryPattern matches an entry; its first group is the test.
 var entryPattern = regexp.MustCompile(`^(Test[A-Za-z0-9_]*(?:/[^:\s]+)*): (\S.*); issue [0-9]+$`)
 
-// parse reads the file's lines; an empty one names nothing.
+// parseEntries parses a file of known failures. Empty lines are ignored.
 func parseEntries(r io.Reader) ([]knownFailure, error) {
 	var out []knownFailure
 	s := bufio.NewScanner(r)
@@ -41,80 +43,82 @@
 		}
 		m := entryPattern.FindStringSubmatch(line)
 		if m == nil {
-			return nil, fmt.Errorf("malformed line: %q; want \"Test/sub: cause; issue N\"", line)
+			return nil, fmt.Errorf("malformed entry: %q; want \"Test/sub: cause; issue N\"", line)
 		}
 		if len(out) == maxEntries {
-			return nil, fmt.Errorf("more than %d lines", maxEntries)
+			return nil, fmt.Errorf("more than %d entries", maxEntries)
 		}
 		out = append(out, knownFailure{m[1], line})
 	}
 	return out, s.Err()
 }
 
-// event is a line of what go test -json prints.
+// testEvent is an event in the output of go test -json.
 type testEvent struct {
 	Action, Package, Test, Output string
 }
 
-// verdict is what came of a run of all tests.
+// testResults are the results of a run of all tests.
 type testResults struct {
-	ran      map[string]bool     // tests, of any package
-	failed   map[string]bool     // "package test"; a package that failed without one: "package "
-	output   map[string][]string // by the same
-	panicked []string            // packages that a test ended with a panic: the rest of it did not run
+	ran      map[string]bool     // by test, in any package
+	failed   map[string]bool     // by "package test"; "package " for the package itself
+	output   map[string][]string // by the same keys
+	panicked []string            // keys as above whose output has a panic, which ends the package's other tests
 }
 
-// judge reads the events of a run; it copies to out what go test would print without -v.
+// readEvents reads the events of a run, and copies to out what go test prints without -v. It
+// returns an error for malformed output.
 func readEvents(events io.Reader, out io.Writer) (testResults, error) {
-	v := testResults{ran: map[string]bool{}, failed: map[string]bool{}, output: map[string][]string{}}
+	results := testResults{ran: map[string]bool{}, failed: map[string]bool{}, output: map[string][]string{}}
 	dec := json.NewDecoder(events)
 	for {
 		var e testEvent
 		if err := dec.Decode(&e); errors.Is(err, io.EOF) {
-			return v, nil
+			return results, nil
 		} else if err != nil {
-			return v, fmt.Errorf("what go test printed: %w", err)
+			return results, fmt.Errorf("output of go test: %w", err)
 		}
 		key := e.Package + " " + e.Test
 		switch e.Action {
 		case "run":
-			v.ran[e.Test] = true
+			results.ran[e.Test] = true
 		case "output", "build-output":
 			if e.Test == "" && !strings.HasPrefix(e.Output, "FAIL") {
 				fmt.Fprint(out, e.Output)
 			}
-			v.output[key] = append(v.output[key], e.Output)
+			results.output[key] = append(results.output[key], e.Output)
 			if strings.HasPrefix(e.Output, "panic: ") {
-				v.panicked = append(v.panicked, key)
+				results.panicked = append(results.panicked, key)
 			}
 		case "fail", "build-fail":
-			v.failed[key] = true
+			results.failed[key] = true
 		}
 	}
 }
 
-// unknown lists the failures that are not known, the innermost tests only: a test fails with
-// its subtests, and a package with its tests.
-func (v testResults) unexpectedFailures(list []knownFailure) (out []string, err error) {
-	excused := map[string]bool{}
-	for _, k := range list {
-		if !v.ran[k.test] {
+// unexpectedFailures returns the keys of the failures that are not in knownFailures, and of all
+// panics. A test fails with its subtests, and a package with its tests, so only the innermost
+// failures count. It returns an error if a test of knownFailures did not run.
+func (results testResults) unexpectedFailures(knownFailures []knownFailure) (out []string, err error) {
+	listed := map[string]bool{}
+	for _, k := range knownFailures {
+		if !results.ran[k.test] {
 			return nil, fmt.Errorf("no such test: %s", k.test)
 		}
-		excused[k.test] = true
+		listed[k.test] = true
 	}
-	for key := range v.failed {
+	for key := range results.failed {
 		pkg, test, _ := strings.Cut(key, " ")
-		inner := false
-		for other := range v.failed {
+		hasInnerFailure := false
+		for other := range results.failed {
 			p, o, _ := strings.Cut(other, " ")
-			inner = inner || p == pkg && o != test && (test == "" || strings.HasPrefix(o, test+"/"))
+			hasInnerFailure = hasInnerFailure || p == pkg && o != test && (test == "" || strings.HasPrefix(o, test+"/"))
 		}
-		if !inner && !excused[test] {
+		if !hasInnerFailure && !listed[test] {
 			out = append(out, key)
 		}
 	}
-	for _, key := range v.panicked {
+	for _, key := range results.panicked {
 		if !slices.Contains(out, key) {
 			out = append(out, key)
 		}
@@ -122,11 +126,13 @@
 	return out, nil
 }
 
+// run runs all tests and compares their failures with the file of known failures at path. A missing
+// file lists none.
 func run(path string) error {
-	var list []knownFailure
+	var knownFailures []knownFailure
 	f, err := os.Open(path)
 	if err == nil {
-		list, err = parseEntries(f)
+		knownFailures, err = parseEntries(f)
 		_ = f.Close()
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -137,24 +143,24 @@
 	var events bytes.Buffer
 	cmd.Stdout = &events
 	status := cmd.Run()
-	v, err := readEvents(&events, os.Stdout)
+	results, err := readEvents(&events, os.Stdout)
 	if err != nil {
 		return err
 	}
-	bad, err := v.unexpectedFailures(list)
+	failures, err := results.unexpectedFailures(knownFailures)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	for _, key := range bad {
-		fmt.Printf("--- FAIL: %s\n%s", key, strings.Join(v.output[key], ""))
+	for _, key := range failures {
+		fmt.Printf("--- FAIL: %s\n%s", key, strings.Join(results.output[key], ""))
 	}
-	for _, k := range list {
-		fmt.Println("known red:", k.line)
+	for _, k := range knownFailures {
+		fmt.Println("known failure:", k.line)
 	}
 	switch {
-	case len(bad) > 0:
-		return fmt.Errorf("%d failures", len(bad))
-	case status != nil && len(v.failed) == 0:
+	case len(failures) > 0:
+		return fmt.Errorf("%d failures", len(failures))
+	case status != nil && len(results.failed) == 0:
 		return fmt.Errorf("go test: %w", status)
 	}
 	return nil
