--- a/internal/nomad/registry/change.go
+++ b/internal/nomad/registry/change.go
@@ -56,7 +56,7 @@
 	return wire.Write{Put: key, Value: b}, err
 }
 
-func (h *jobRecord) encodePut(key string) (wire.Write, error) { return encodePut(jobPrefix+key, h) }
+func (rec *jobRecord) encodePut(key string) (wire.Write, error) { return encodePut(jobPrefix+key, rec) }
 
 // Register works out the change that a registration makes. The same content as
 // the current version changes nothing, which is also what a retry finds whose
@@ -74,60 +74,60 @@
 	if err := reg.checkIndex(old, same); err != nil {
 		return nil, err
 	}
-	ch := &Change{}
+	change := &Change{}
 	if same {
 		for _, g := range old.Groups {
-			ch.Keep = append(ch.Keep, g.Native)
+			change.Keep = append(change.Keep, g.Native)
 		}
-		return ch, nil
+		return change, nil
 	}
 	key := jobKey(reg.Name)
-	h := &jobRecord{Stub: reg.Stub, Team: reg.Team, ID: reg.ID, At: int64(now)}
+	rec := &jobRecord{Stub: reg.Stub, Team: reg.Team, ID: reg.ID, At: int64(now)}
 	cond := wire.Cond{Key: jobPrefix + key}
 	if old != nil {
-		h.Version, h.Create, h.Before = old.Version+1, old.CreateIndex, old.JobModifyIndex
+		rec.Version, rec.Create, rec.Before = old.Version+1, old.CreateIndex, old.JobModifyIndex
 		cond.ModRevision = old.JobModifyIndex
 	}
-	ch.Conditions = append(ch.Conditions, cond)
+	change.Conditions = append(change.Conditions, cond)
 	kept := map[string]bool{}
 	for _, g := range reg.Groups {
 		native := r.reusableNative(old, g)
 		if native != "" {
 			kept[native] = true
-			ch.Keep = append(ch.Keep, native)
+			change.Keep = append(change.Keep, native)
 		} else {
 			spec := g.Spec
 			spec.ID = newID()
 			native = spec.ID
-			ch.Start = append(ch.Start, spec)
+			change.Start = append(change.Start, spec)
 		}
-		h.Groups = append(h.Groups, Group{Name: g.Name, Native: native, Digest: g.Digest})
+		rec.Groups = append(rec.Groups, Group{Name: g.Name, Native: native, Digest: g.Digest})
 	}
-	r.cancelNatives(ch, old, kept)
-	src, err := encodePut(sourceKey(key, h.Version), &sourceRecord{Packed: packed, At: int64(now)})
+	r.cancelNatives(change, old, kept)
+	sourceWrite, err := encodePut(sourceKey(key, rec.Version), &sourceRecord{Packed: packed, At: int64(now)})
 	if err != nil {
 		return nil, err
 	}
-	hd, err := h.encodePut(key)
+	jobWrite, err := rec.encodePut(key)
 	if err != nil {
 		return nil, err
 	}
-	for _, w := range []wire.Write{src, hd} {
+	for _, w := range []wire.Write{sourceWrite, jobWrite} {
 		if n := len(w.Value) + 100; n > r.limits.MaxValueBytes {
 			return nil, &TooLargeError{fmt.Sprintf("the job takes %d bytes when packed; this deployment's state service holds %d", n, r.limits.MaxValueBytes)}
 		}
 	}
-	ch.Writes = append(ch.Writes, hd, src)
+	change.Writes = append(change.Writes, jobWrite, sourceWrite)
 	if old != nil && len(old.versions) >= r.limits.maxVersions() {
-		ch.Writes = append(ch.Writes, wire.Write{Delete: sourceKey(key, old.versions[0].number)})
+		change.Writes = append(change.Writes, wire.Write{Delete: sourceKey(key, old.versions[0].number)})
 	}
-	return ch, r.checkLimits(ch)
+	return change, r.checkLimits(change)
 }
 
 // fits reports whether a change is within the limits. Jobs are held to them
 // when they are registered, so only lowered limits can be in its way.
-func (r *Registry) checkLimits(ch *Change) error {
-	if n := len(ch.Writes) + len(ch.Start) + len(ch.Cancel); n > r.limits.MaxOps {
+func (r *Registry) checkLimits(change *Change) error {
+	if n := len(change.Writes) + len(change.Start) + len(change.Cancel); n > r.limits.MaxOps {
 		return &TooLargeError{fmt.Sprintf("the change has %d parts; this deployment's state service takes %d at once", n, r.limits.MaxOps)}
 	}
 	return nil
@@ -164,13 +164,13 @@
 }
 
 // end adds that the old job's native jobs end, but for those that are kept.
-func (r *Registry) cancelNatives(ch *Change, old *Job, kept map[string]bool) {
+func (r *Registry) cancelNatives(change *Change, old *Job, kept map[string]bool) {
 	if old == nil {
 		return
 	}
 	for _, g := range old.Groups {
 		if rec, ok := r.natives.Record(g.Native); ok && rec.Phase == core.Pending && !kept[g.Native] {
-			ch.Cancel = append(ch.Cancel, rec)
+			change.Cancel = append(change.Cancel, rec)
 		}
 	}
 }
@@ -182,35 +182,35 @@
 	if old == nil {
 		return nil, nil
 	}
-	ch := &Change{}
+	change := &Change{}
 	if old.Stopped && !purge {
-		return ch, nil
+		return change, nil
 	}
 	key := jobKey(n)
-	ch.Conditions = append(ch.Conditions, wire.Cond{Key: jobPrefix + key, ModRevision: old.JobModifyIndex})
-	r.cancelNatives(ch, old, nil)
+	change.Conditions = append(change.Conditions, wire.Cond{Key: jobPrefix + key, ModRevision: old.JobModifyIndex})
+	r.cancelNatives(change, old, nil)
 	if purge {
-		ch.Writes = append(ch.Writes, wire.Write{Delete: jobPrefix + key})
+		change.Writes = append(change.Writes, wire.Write{Delete: jobPrefix + key})
 		for _, v := range old.versions {
-			ch.Writes = append(ch.Writes, wire.Write{Delete: sourceKey(key, v.number)})
+			change.Writes = append(change.Writes, wire.Write{Delete: sourceKey(key, v.number)})
 		}
 		g, err := encodePut(purgeKey(n.Team), &purgeRecord{n.Team})
 		if err != nil {
 			return nil, err
 		}
-		ch.Writes = append(ch.Writes, g)
-		return ch, r.checkLimits(ch)
+		change.Writes = append(change.Writes, g)
+		return change, r.checkLimits(change)
 	}
-	h := &jobRecord{
+	rec := &jobRecord{
 		Stub: old.Stub, Team: n.Team, ID: n.ID, Version: old.Version, Stopped: true, At: int64(old.Submitted),
 		Groups: old.Groups, Create: old.CreateIndex, Before: old.JobModifyIndex,
 	}
-	hd, err := h.encodePut(key)
+	jobWrite, err := rec.encodePut(key)
 	if err != nil {
 		return nil, err
 	}
-	ch.Writes = append(ch.Writes, hd)
-	return ch, r.checkLimits(ch)
+	change.Writes = append(change.Writes, jobWrite)
+	return change, r.checkLimits(change)
 }
 
 // current is the packed source of the current version, "" if it is not kept.
--- a/internal/nomad/registry/record.go
+++ b/internal/nomad/registry/record.go
@@ -34,8 +34,8 @@
 }
 
 func purgeKey(team string) string {
-	h := sha256.Sum256([]byte(team))
-	return purgePrefix + hex.EncodeToString(h[:])
+	rec := sha256.Sum256([]byte(team))
+	return purgePrefix + hex.EncodeToString(rec[:])
 }
 
 // head is a job's record.
@@ -59,8 +59,8 @@
 
 // jobKey is a job's part of its keys: names may hold anything, keys may not.
 func jobKey(n Name) string {
-	h := sha256.Sum256([]byte(n.Team + "\x00" + n.ID))
-	return hex.EncodeToString(h[:])
+	rec := sha256.Sum256([]byte(n.Team + "\x00" + n.ID))
+	return hex.EncodeToString(rec[:])
 }
 
 func sourceKey(key string, number uint64) string {
@@ -98,7 +98,7 @@
 // Put takes over a record that was written, and tells whose it is, a job's or
 // with an empty ID a team's; a record that is older than what is known is
 // passed over.
-func (r *Registry) HandlePut(key string, value []byte, stamp uint64) (Name, bool, error) {
+func (r *Registry) HandlePut(key string, value []byte, revision uint64) (Name, bool, error) {
 	if rest, ok := strings.CutPrefix(key, sourcePrefix); ok {
 		id, number, _ := strings.Cut(rest, "/")
 		v, err := strconv.ParseUint(number, 10, 64)
@@ -109,7 +109,7 @@
 		if err := wire.Unmarshal(value, &s); err != nil {
 			return Name{}, false, fmt.Errorf("record %s: %w", key, err)
 		}
-		r.addVersion(id, version{v, s.Packed, stamp, core.Micros(s.At)})
+		r.addVersion(id, version{v, s.Packed, revision, core.Micros(s.At)})
 		return Name{}, false, nil
 	}
 	if strings.HasPrefix(key, purgePrefix) {
@@ -117,26 +117,26 @@
 		if err := wire.Unmarshal(value, &g); err != nil {
 			return Name{}, false, fmt.Errorf("record %s: %w", key, err)
 		}
-		changed := stamp > r.teamIndex[g.Team]
-		r.teamIndex[g.Team] = max(r.teamIndex[g.Team], stamp)
+		changed := revision > r.teamIndex[g.Team]
+		r.teamIndex[g.Team] = max(r.teamIndex[g.Team], revision)
 		return Name{Team: g.Team}, changed, nil
 	}
 	id, ok := strings.CutPrefix(key, jobPrefix)
 	if !ok {
 		return Name{}, false, nil
 	}
-	var h jobRecord
-	if err := wire.Unmarshal(value, &h); err != nil {
+	var rec jobRecord
+	if err := wire.Unmarshal(value, &rec); err != nil {
 		return Name{}, false, fmt.Errorf("record %s: %w", key, err)
 	}
-	n := Name{h.Team, h.ID}
+	n := Name{rec.Team, rec.ID}
 	old := r.jobs[n]
-	if old != nil && old.JobModifyIndex >= stamp {
+	if old != nil && old.JobModifyIndex >= revision {
 		return n, false, nil
 	}
 	j := &Job{
-		Name: n, Stub: h.Stub, Version: h.Version, Groups: h.Groups, Stopped: h.Stopped, Submitted: core.Micros(h.At),
-		JobModifyIndex: stamp, CreateIndex: cmp.Or(h.Create, stamp), previousModifyIndex: h.Before,
+		Name: n, Stub: rec.Stub, Version: rec.Version, Groups: rec.Groups, Stopped: rec.Stopped, Submitted: core.Micros(rec.At),
+		JobModifyIndex: revision, CreateIndex: cmp.Or(rec.Create, revision), previousModifyIndex: rec.Before,
 	}
 	if old != nil {
 		j.versions = old.versions
@@ -182,7 +182,7 @@
 }
 
 // Drop takes over that a record was deleted, and tells whose it was.
-func (r *Registry) HandleDelete(key string, stamp uint64) (Name, bool) {
+func (r *Registry) HandleDelete(key string, revision uint64) (Name, bool) {
 	if rest, ok := strings.CutPrefix(key, sourcePrefix); ok {
 		id, number, _ := strings.Cut(rest, "/")
 		v, err := strconv.ParseUint(number, 10, 64)
@@ -190,7 +190,7 @@
 			return Name{}, false
 		}
 		drop := func(list []version) []version {
-			return slices.DeleteFunc(slices.Clone(list), func(o version) bool { return o.number == v && o.revision < stamp })
+			return slices.DeleteFunc(slices.Clone(list), func(o version) bool { return o.number == v && o.revision < revision })
 		}
 		if n, ok := r.namesByKey[id]; ok {
 			r.jobs[n].versions = drop(r.jobs[n].versions)
@@ -207,13 +207,13 @@
 		return Name{}, false
 	}
 	j := r.jobs[n]
-	if j.JobModifyIndex >= stamp {
+	if j.JobModifyIndex >= revision {
 		return n, false
 	}
 	r.unindexNatives(j)
 	delete(r.jobs, n)
 	delete(r.namesByKey, id)
-	r.purged = append(r.purged, PurgedJob{n, stamp})
+	r.purged = append(r.purged, PurgedJob{n, revision})
 	if len(r.purged) > maxPurged {
 		r.purged = slices.Delete(r.purged, 0, len(r.purged)-maxPurged)
 	}
@@ -222,15 +222,15 @@
 
 // Missing takes over a whole list of keys as of a revision: what is known and
 // not in it was deleted. It tells whose records those were.
-func (r *Registry) HandleKeyList(have map[string]bool, revision uint64) []Name {
+func (r *Registry) HandleKeyList(listed map[string]bool, revision uint64) []Name {
 	var out []Name
 	for id, n := range r.namesByKey {
 		for _, v := range r.jobs[n].versions {
-			if k := sourceKey(id, v.number); !have[k] && v.revision <= revision {
+			if k := sourceKey(id, v.number); !listed[k] && v.revision <= revision {
 				r.HandleDelete(k, v.revision+1)
 			}
 		}
-		if !have[jobPrefix+id] && r.jobs[n].JobModifyIndex <= revision {
+		if !listed[jobPrefix+id] && r.jobs[n].JobModifyIndex <= revision {
 			// When is not known; the team's record of purges, which is in the
 			// list, says by when at the latest.
 			if _, ok := r.HandleDelete(jobPrefix+id, r.teamIndex[n.Team]); ok {
--- a/internal/nomad/registry/registry.go
+++ b/internal/nomad/registry/registry.go
@@ -210,15 +210,15 @@
 
 // Status is a job's state: dead once all its native jobs are over.
 func (r *Registry) Status(j *Job) Status {
-	open, running := false, false
+	unfinished, running := false, false
 	for _, g := range j.Groups {
 		if rec, ok := r.natives.Record(g.Native); ok && rec.Phase == core.Pending {
 			_, n := r.natives.TaskCounts(g.Native)
-			open, running = true, running || n > 0
+			unfinished, running = true, running || n > 0
 		}
 	}
 	switch {
-	case !open:
+	case !unfinished:
 		return Dead
 	case running:
 		return Running
@@ -227,11 +227,11 @@
 }
 
 // NativeChanged notes that a native job's record changed, and tells whose it is.
-func (r *Registry) HandleNativeChange(id string, stamp uint64) (Name, bool) {
+func (r *Registry) HandleNativeChange(id string, revision uint64) (Name, bool) {
 	j := r.byNative[id]
 	if j == nil {
 		return Name{}, false
 	}
-	r.teamIndex[j.Team] = max(r.teamIndex[j.Team], stamp)
+	r.teamIndex[j.Team] = max(r.teamIndex[j.Team], revision)
 	return j.Name, true
 }
--- a/internal/nomad/registry/registry_test.go
+++ b/internal/nomad/registry/registry_test.go
@@ -42,26 +42,26 @@
 }
 
 // execute executes a change as the state service does; false for a conflict.
-func (s *fakeStore) commit(ch *Change) bool {
-	for _, c := range ch.Conditions {
+func (s *fakeStore) commit(change *Change) bool {
+	for _, c := range change.Conditions {
 		if s.revisions[c.Key] != c.ModRevision {
 			return false
 		}
 	}
-	for _, r := range ch.Cancel {
+	for _, r := range change.Cancel {
 		if s.jobs[r.Spec.ID].Revision != r.Revision {
 			return false
 		}
 	}
 	s.revision++
-	for _, spec := range ch.Start {
+	for _, spec := range change.Start {
 		s.jobs[spec.ID] = core.JobRecord{Spec: spec, Revision: s.revision}
 	}
-	for _, r := range ch.Cancel {
+	for _, r := range change.Cancel {
 		r.Phase, r.Revision = core.Cancelled, s.revision
 		s.jobs[r.Spec.ID] = r
 	}
-	for _, w := range ch.Writes {
+	for _, w := range change.Writes {
 		s.writes, s.writeRevisions = append(s.writes, w), append(s.writeRevisions, s.revision)
 		if w.Put != "" {
 			s.keys[w.Put], s.revisions[w.Put] = w, s.revision
@@ -112,46 +112,46 @@
 func TestRegister(t *testing.T) {
 	s := newFakeStore()
 	r := New(testLimits, s)
-	do := func(reg Registration, start, end, keep int) {
+	register := func(reg Registration, start, end, keep int) {
 		t.Helper()
 		from := len(s.writes)
-		ch, err := r.Register(reg, s.newID, 7)
+		change, err := r.Register(reg, s.newID, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(ch.Start) != start || len(ch.Cancel) != end || len(ch.Keep) != keep {
-			t.Fatalf("starts %d, ends %d, keeps %d; want %d, %d, %d", len(ch.Start), len(ch.Cancel), len(ch.Keep), start, end, keep)
+		if len(change.Start) != start || len(change.Cancel) != end || len(change.Keep) != keep {
+			t.Fatalf("starts %d, ends %d, keeps %d; want %d, %d, %d", len(change.Start), len(change.Cancel), len(change.Keep), start, end, keep)
 		}
-		if n := len(ch.Writes) + start + end; n > testLimits.MaxOps {
+		if n := len(change.Writes) + start + end; n > testLimits.MaxOps {
 			t.Errorf("%d parts", n)
 		}
-		if !ch.Empty() && !s.commit(ch) {
+		if !change.Empty() && !s.commit(change) {
 			t.Fatal("conflict")
 		}
 		s.replay(t, r, from)
 	}
-	do(newRegistration("1", "a=1", "b=1"), 2, 0, 0)
-	do(newRegistration("1", "a=1", "b=1"), 0, 0, 2)
-	do(newRegistration("2", "a=2", "b=1"), 1, 1, 1)
+	register(newRegistration("1", "a=1", "b=1"), 2, 0, 0)
+	register(newRegistration("1", "a=1", "b=1"), 0, 0, 2)
+	register(newRegistration("2", "a=2", "b=1"), 1, 1, 1)
 	j := r.Get(Name{"blue", "j"})
 	s.finish(j.Groups[1].Native, core.Done)
-	do(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2) // what is done stays done
+	register(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2) // what is done stays done
 	s.finish(r.Get(j.Name).Groups[0].Native, core.Cancelled)
-	do(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1) // what was cancelled from outside begins again
-	ch, err := r.Deregister(j.Name, false)
-	if err != nil || len(ch.Cancel) != 2 || !s.commit(ch) {
-		t.Fatalf("%+v %v", ch, err)
+	register(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1) // what was cancelled from outside begins again
+	change, err := r.Deregister(j.Name, false)
+	if err != nil || len(change.Cancel) != 2 || !s.commit(change) {
+		t.Fatalf("%+v %v", change, err)
 	}
 	s.replay(t, r, len(s.writes)-1)
-	if ch, _ := r.Deregister(j.Name, false); !ch.Empty() {
+	if change, _ := r.Deregister(j.Name, false); !change.Empty() {
 		t.Error("stopped twice")
 	}
 	if st := r.Status(r.Get(j.Name)); st != Dead {
 		t.Errorf("stopped, it is %s", st)
 	}
-	do(newRegistration("4", "a=2", "b=1", "c=2"), 3, 0, 0)
+	register(newRegistration("4", "a=2", "b=1", "c=2"), 3, 0, 0)
 	for i := range 8 {
-		do(newRegistration(fmt.Sprint(5+i), "a=2", "b=1", "c=2"), 0, 0, 3)
+		register(newRegistration(fmt.Sprint(5+i), "a=2", "b=1", "c=2"), 0, 0, 3)
 	}
 	j = r.Get(j.Name)
 	if v := j.Versions(); len(v) != testLimits.maxVersions() || v[0] != j.Version || j.Version != 12 || j.CreateIndex != 11 {
@@ -161,7 +161,7 @@
 	if err != nil || string(b) != "12" {
 		t.Errorf("source %q %v", b, err)
 	}
-	if ch, err = r.Deregister(j.Name, true); err != nil || !s.commit(ch) {
+	if change, err = r.Deregister(j.Name, true); err != nil || !s.commit(change) {
 		t.Fatal(err)
 	}
 	s.replay(t, r, 0)
@@ -192,13 +192,13 @@
 		g := newRegistration(source, "a="+source)
 		g.EnforceIndex, g.ExpectedIndex = true, index
 		from := len(s.writes)
-		ch, err := r.Register(g, s.newID, 0)
+		change, err := r.Register(g, s.newID, 0)
 		var ce *ConflictError
 		if errors.As(err, &ce) != conflict || err != nil && !conflict {
 			t.Fatalf("%s at %d: %v", source, index, err)
 		}
-		if err == nil && !ch.Empty() {
-			s.commit(ch)
+		if err == nil && !change.Empty() {
+			s.commit(change)
 			s.replay(t, r, from)
 		}
 		return s.revision
@@ -243,9 +243,9 @@
 	s := newFakeStore()
 	r := New(testLimits, s)
 	noise := make([]byte, 4000)
-	dice := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range noise {
-		noise[i] = byte(dice.Uint32())
+		noise[i] = byte(rng.Uint32())
 	}
 	for _, c := range []struct {
 		reg  Registration
@@ -282,30 +282,30 @@
 // twice, and by a whole list after a gap: they come to know the same.
 func TestRecordOrder(t *testing.T) {
 	for seed := range uint64(50) {
-		dice := rand.New(rand.NewPCG(seed, 3))
+		rng := rand.New(rand.NewPCG(seed, 3))
 		s := newFakeStore()
 		writer := New(testLimits, s)
 		var changes []loggedChange
 		for range 30 {
-			n := Name{"blue", string(rune('a' + dice.IntN(3)))}
-			g := newRegistration(fmt.Sprint(dice.IntN(3)), fmt.Sprintf("x=%d", dice.IntN(2)), fmt.Sprintf("y=%d", dice.IntN(2)))
+			n := Name{"blue", string(rune('a' + rng.IntN(3)))}
+			g := newRegistration(fmt.Sprint(rng.IntN(3)), fmt.Sprintf("x=%d", rng.IntN(2)), fmt.Sprintf("y=%d", rng.IntN(2)))
 			g.Name = n
-			ch, err := writer.Register(g, s.newID, 0)
-			if dice.IntN(4) == 0 {
-				ch, err = writer.Deregister(n, dice.IntN(2) == 0)
+			change, err := writer.Register(g, s.newID, 0)
+			if rng.IntN(4) == 0 {
+				change, err = writer.Deregister(n, rng.IntN(2) == 0)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 			from := len(s.writes)
-			if ch == nil || ch.Empty() {
+			if change == nil || change.Empty() {
 				continue
 			}
-			s.commit(ch)
+			s.commit(change)
 			s.replay(t, writer, from)
 			changes = append(changes, loggedChange{n, from, len(s.writes)})
 		}
-		other, inOrder := New(testLimits, s), New(testLimits, s)
+		shuffled, inOrder := New(testLimits, s), New(testLimits, s)
 		same := func(a, b *Registry) {
 			t.Helper()
 			x, y := a.List("blue", ""), b.List("blue", "")
@@ -321,36 +321,36 @@
 				t.Errorf("seed %d: index %d and %d, %d natives and %d", seed, a.TeamIndex("blue"), b.TeamIndex("blue"), len(a.byNative), len(b.byNative))
 			}
 		}
-		cut := dice.IntN(len(changes) + 1)
-		for i := range cut {
+		delivered := rng.IntN(len(changes) + 1)
+		for i := range delivered {
 			// Its own write may come early, unless another change to the job is
 			// not known yet: it would not have been written then.
-			if k := i + 1 + dice.IntN(3); k < cut && dice.IntN(2) == 0 {
+			if k := i + 1 + rng.IntN(3); k < delivered && rng.IntN(2) == 0 {
 				if !slices.ContainsFunc(changes[i:k], func(c loggedChange) bool { return c.job == changes[k].job }) {
-					changes[k].apply(t, s, other)
+					changes[k].apply(t, s, shuffled)
 				}
 			}
-			changes[i].apply(t, s, other)
-			if dice.IntN(3) == 0 {
-				changes[i].apply(t, s, other)
+			changes[i].apply(t, s, shuffled)
+			if rng.IntN(3) == 0 {
+				changes[i].apply(t, s, shuffled)
 			}
 			changes[i].apply(t, s, inOrder)
 		}
-		same(inOrder, other)
-		have := map[string]bool{}
+		same(inOrder, shuffled)
+		listed := map[string]bool{}
 		keys := make([]string, 0, len(s.keys))
 		for k := range s.keys {
-			have[k] = true
+			listed[k] = true
 			keys = append(keys, k)
 		}
 		slices.Sort(keys)
-		dice.Shuffle(len(keys), func(i, k int) { keys[i], keys[k] = keys[k], keys[i] })
+		rng.Shuffle(len(keys), func(i, k int) { keys[i], keys[k] = keys[k], keys[i] })
 		for _, k := range keys {
-			if err := other.handleWrite(s.keys[k], s.revisions[k]); err != nil {
+			if err := shuffled.handleWrite(s.keys[k], s.revisions[k]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		other.HandleKeyList(have, s.revision+100)
-		same(writer, other)
+		shuffled.HandleKeyList(listed, s.revision+100)
+		same(writer, shuffled)
 	}
 }
--- a/internal/notify/control/control.go
+++ b/internal/notify/control/control.go
@@ -67,50 +67,50 @@
 var ErrNoLeader = errors.New("no controller delivers now; try again")
 
 // Do carries out a request on a leader's outbox.
-func Execute(box *notify.Outbox, subs []notify.Subscription, now core.Micros, a *Request) (*Response, error) {
-	out := &Response{}
-	known := a.Subscription == ""
-	for _, s := range subs {
-		if a.Subscription != "" && s.Name != a.Subscription {
+func Execute(outbox *notify.Outbox, subscriptions []notify.Subscription, now core.Micros, req *Request) (*Response, error) {
+	resp := &Response{}
+	known := req.Subscription == ""
+	for _, s := range subscriptions {
+		if req.Subscription != "" && s.Name != req.Subscription {
 			continue
 		}
 		known = true
-		dead := box.DeadLetters(s.Name)
-		waiting, more := box.Undelivered(s.Name)
-		out.Subscriptions = append(out.Subscriptions, SubscriptionStatus{s.Name, s.Receiver, waiting, more, len(dead)})
-		if a.Op == List {
+		deadLetters := outbox.DeadLetters(s.Name)
+		waiting, more := outbox.Undelivered(s.Name)
+		resp.Subscriptions = append(resp.Subscriptions, SubscriptionStatus{s.Name, s.Receiver, waiting, more, len(deadLetters)})
+		if req.Op == List {
 			continue
 		}
-		for _, d := range dead {
-			out.DeadLetters = append(out.DeadLetters, DeadLetter{d.Subscription, d.Event.Job, d.Event.Kind.String(), time.UnixMicro(int64(d.Event.At)).UTC(), notify.IdempotencyKey(d.Subscription, &d.Event), d.Reason})
+		for _, d := range deadLetters {
+			resp.DeadLetters = append(resp.DeadLetters, DeadLetter{d.Subscription, d.Event.Job, d.Event.Kind.String(), time.UnixMicro(int64(d.Event.At)).UTC(), notify.IdempotencyKey(d.Subscription, &d.Event), d.Reason})
 		}
 	}
 	if !known {
-		return nil, fmt.Errorf("there is no subscription %q", a.Subscription)
+		return nil, fmt.Errorf("there is no subscription %q", req.Subscription)
 	}
-	kind, ok := notify.ParseKind(a.Kind)
-	switch a.Op {
+	kind, ok := notify.ParseKind(req.Kind)
+	switch req.Op {
 	case List, Show:
-		return out, nil
+		return resp, nil
 	case Retry, Drop:
-		if !ok || a.Subscription == "" || a.Job == "" {
+		if !ok || req.Subscription == "" || req.Job == "" {
 			return nil, errors.New("name a subscription, a job and an event")
 		}
 	default:
-		return nil, fmt.Errorf("there is no operation %q", a.Op)
+		return nil, fmt.Errorf("there is no operation %q", req.Op)
 	}
-	out = &Response{}
-	if a.Op == Drop {
-		out.Succeeded = box.DeleteDeadLetter(a.Subscription, a.Job, kind)
+	resp = &Response{}
+	if req.Op == Drop {
+		resp.Succeeded = outbox.DeleteDeadLetter(req.Subscription, req.Job, kind)
 	} else {
-		out.Succeeded = box.RetryDeadLetter(now, a.Subscription, a.Job, kind)
+		resp.Succeeded = outbox.RetryDeadLetter(now, req.Subscription, req.Job, kind)
 	}
-	return out, nil
+	return resp, nil
 }
 
 // Backend asks the leader.
 type Backend interface {
-	Notifications(ctx context.Context, a *Request) (*Response, error)
+	Notifications(ctx context.Context, req *Request) (*Response, error)
 }
 
 const (
@@ -124,14 +124,14 @@
 func Handler(b Backend) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, r *http.Request) {
-		var a Request
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&a); err != nil {
+		var req Request
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
-		out, err := b.Notifications(ctx, &a)
+		resp, err := b.Notifications(ctx, &req)
 		switch {
 		case errors.Is(err, ErrNoLeader):
 			w.Header().Set("Retry-After", "1")
@@ -140,15 +140,15 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		default:
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(out)
+			_ = json.NewEncoder(w).Encode(resp)
 		}
 	})
 	return mux
 }
 
 // Call sends a request to a controller at an address.
-func Call(ctx context.Context, c *http.Client, address string, a *Request) (*Response, error) {
-	b, err := json.Marshal(a)
+func Call(ctx context.Context, c *http.Client, address string, request *Request) (*Response, error) {
+	b, err := json.Marshal(request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/notify/deliver/deliver.go
+++ b/internal/notify/deliver/deliver.go
@@ -119,19 +119,19 @@
 // Send makes one attempt, under the leader's token, and says what became of it
 // and when the receiver wants to be asked again, 0 if it does not say. It
 // returns before ctx ends or soon after.
-func (s *Sender) Send(ctx context.Context, a notify.Send, token uint64) (notify.Outcome, core.Micros) {
+func (s *Sender) Send(ctx context.Context, send notify.Send, token uint64) (notify.Outcome, core.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, s.receiver.Timeout)
 	defer cancel()
 	res, err := s.breaker.Execute(func() (result, error) {
-		if s.receiver.LookupURL != "" && a.PossiblyDelivered {
-			switch seen, res := s.lookUpKey(ctx, a.Key); {
+		if s.receiver.LookupURL != "" && send.PossiblyDelivered {
+			switch seen, res := s.lookUpKey(ctx, send.Key); {
 			case res != nil:
 				return *res, errAttemptFailed
 			case seen:
 				return result{outcome: notify.Delivered}, nil
 			}
 		}
-		res := s.post(ctx, a, token)
+		res := s.post(ctx, send, token)
 		if res.outcome == notify.Delivered || res.outcome == notify.Rejected {
 			return res, nil // the receiver is well
 		}
@@ -171,8 +171,8 @@
 	return false, &result{notify.NotDelivered, parseRetryAfter(resp)}
 }
 
-func (s *Sender) post(ctx context.Context, a notify.Send, token uint64) result {
-	body, contentType, err := s.body(a)
+func (s *Sender) post(ctx context.Context, send notify.Send, token uint64) result {
+	body, contentType, err := s.body(send)
 	if err != nil {
 		return result{outcome: notify.Rejected} // it is the same each time
 	}
@@ -180,15 +180,15 @@
 	if err != nil {
 		return result{outcome: notify.NotDelivered}
 	}
-	stamp := strconv.FormatInt(time.Now().Unix(), 10)
+	timestamp := strconv.FormatInt(time.Now().Unix(), 10)
 	req.Header.Set("Content-Type", contentType)
-	req.Header.Set(HeaderIdempotencyKey, a.Key)
+	req.Header.Set(HeaderIdempotencyKey, send.Key)
 	req.Header.Set(HeaderToken, strconv.FormatUint(token, 10))
-	req.Header.Set(HeaderTimestamp, stamp)
+	req.Header.Set(HeaderTimestamp, timestamp)
 	if len(s.receiver.Secrets) > 0 {
 		var macs []string
 		for _, secret := range s.receiver.Secrets {
-			macs = append(macs, "v1="+Sign(secret, stamp, req.Header.Get(HeaderToken), a.Key, body))
+			macs = append(macs, "v1="+Sign(secret, timestamp, req.Header.Get(HeaderToken), send.Key, body))
 		}
 		req.Header.Set(HeaderSignature, strings.Join(macs, ","))
 	}
@@ -232,10 +232,10 @@
 }
 
 // body is what is sent; it does not differ between attempts.
-func (s *Sender) body(a notify.Send) ([]byte, string, error) {
+func (s *Sender) body(send notify.Send) ([]byte, string, error) {
 	m := &Message{
-		Key: a.Key, Kind: a.Event.Kind.String(), Job: a.Event.Job, Team: a.Event.Team, Class: a.Event.Class,
-		Time: time.UnixMicro(int64(a.Event.At)).UTC(),
+		Key: send.Key, Kind: send.Event.Kind.String(), Job: send.Event.Job, Team: send.Event.Team, Class: send.Event.Class,
+		Time: time.UnixMicro(int64(send.Event.At)).UTC(),
 	}
 	if s.receiver.BodyTemplate == nil {
 		b, err := json.Marshal(cloudEvent(m))
@@ -271,16 +271,16 @@
 // Verify is the receiver's side: it reports whether a delivery is signed with
 // the secret and was sent within maxAge of now.
 func Verify(secret []byte, h http.Header, body []byte, now time.Time, maxAge time.Duration) bool {
-	stamp := h.Get(HeaderTimestamp)
-	sec, err := strconv.ParseInt(stamp, 10, 64)
+	timestamp := h.Get(HeaderTimestamp)
+	sec, err := strconv.ParseInt(timestamp, 10, 64)
 	if age := now.Sub(time.Unix(sec, 0)); err != nil || age > maxAge || age < -maxAge {
 		return false
 	}
-	want := []byte(Sign(secret, stamp, h.Get(HeaderToken), h.Get(HeaderIdempotencyKey), body))
-	good := false
+	want := []byte(Sign(secret, timestamp, h.Get(HeaderToken), h.Get(HeaderIdempotencyKey), body))
+	valid := false
 	for _, s := range strings.Split(h.Get(HeaderSignature), ",") {
 		mac, ok := strings.CutPrefix(strings.TrimSpace(s), "v1=")
-		good = ok && hmac.Equal([]byte(mac), want) || good
+		valid = ok && hmac.Equal([]byte(mac), want) || valid
 	}
-	return good
+	return valid
 }
--- a/internal/notify/deliver/deliver_test.go
+++ b/internal/notify/deliver/deliver_test.go
@@ -66,16 +66,16 @@
 		}, notify.Delivered, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var hits atomic.Int32
+			var requests atomic.Int32
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				hits.Add(1)
+				requests.Add(1)
 				_, _ = io.Copy(io.Discard, r.Body)
 				c.serve(w, r)
 			}))
 			defer srv.Close()
 			out, after := newTestSender(t, Receiver{URL: srv.URL, Timeout: 1500 * time.Millisecond}).Send(t.Context(), testSend, 9)
-			if out != c.out || after != core.Micros(c.after/time.Microsecond) || hits.Load() != 1 {
-				t.Errorf("outcome %d, again after %d us, %d requests", out, after, hits.Load())
+			if out != c.out || after != core.Micros(c.after/time.Microsecond) || requests.Load() != 1 {
+				t.Errorf("outcome %d, again after %d us, %d requests", out, after, requests.Load())
 			}
 		})
 	}
@@ -174,18 +174,18 @@
 
 // A receiver that fails again and again is left alone for a while.
 func TestBreaker(t *testing.T) {
-	hits := 0
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { hits++; w.WriteHeader(500) }))
+	requests := 0
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { requests++; w.WriteHeader(500) }))
 	defer srv.Close()
 	s := newTestSender(t, Receiver{URL: srv.URL})
 	for range 20 {
 		out, after := s.Send(context.Background(), testSend, 1)
-		if hits == breakerThreshold && out == notify.NotDelivered && after == 0 {
+		if requests == breakerThreshold && out == notify.NotDelivered && after == 0 {
 			t.Error("no word of when to come back")
 		}
 	}
-	if hits != breakerThreshold {
-		t.Errorf("%d attempts got through", hits)
+	if requests != breakerThreshold {
+		t.Errorf("%d attempts got through", requests)
 	}
 }
 
--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -109,8 +109,8 @@
 
 // Key is what a receiver knows a notification by. It follows from the event and
 // the subscription, so that every node and every retry has the same one.
-func IdempotencyKey(sub string, e *Event) string {
-	h := sha256.Sum256(fmt.Appendf(nil, "%d:%s%d:%s%d", len(sub), sub, len(e.Job), e.Job, e.Kind))
+func IdempotencyKey(subscription string, e *Event) string {
+	h := sha256.Sum256(fmt.Appendf(nil, "%d:%s%d:%s%d", len(subscription), subscription, len(e.Job), e.Job, e.Kind))
 	return hex.EncodeToString(h[:16])
 }
 
--- a/internal/notify/outbox.go
+++ b/internal/notify/outbox.go
@@ -120,13 +120,13 @@
 		o.receivers[r.Name] = &receiverState{Receiver: r, tokens: max(r.PerSecond, 1), sendingStartsAt: cfg.TermStart + r.MaxMessageAge}
 	}
 	for _, s := range cfg.Subscriptions {
-		k := &subscriptionState{
+		state := &subscriptionState{
 			Subscription: s, receiver: o.receivers[s.Receiver], settled: map[uint64]*roaring.Bitmap{}, unsettled: map[uint64]int{}, buffered: map[string]bool{},
 			queues: map[string]*jobQueue{}, dirtyChunks: map[uint64]bool{}, storedChunks: map[uint64]bool{},
 			deadLetters: map[string]DeadLetter{}, sendAfterSave: map[string]*jobQueue{},
 		}
-		o.subscriptions[s.Name] = k
-		o.subscriptionsInOrder = append(o.subscriptionsInOrder, k)
+		o.subscriptions[s.Name] = state
+		o.subscriptionsInOrder = append(o.subscriptionsInOrder, state)
 	}
 	return o
 }
@@ -141,11 +141,11 @@
 // From is the revision up to which all is settled of every subscription: what
 // is older need not be told.
 func (o *Outbox) MinWatermark() uint64 {
-	from := uint64(math.MaxUint64)
+	lowest := uint64(math.MaxUint64)
 	for _, s := range o.subscriptionsInOrder {
-		from = min(from, s.watermark)
+		lowest = min(lowest, s.watermark)
 	}
-	return from
+	return lowest
 }
 
 // LoadChunk takes over a part of a subscription's bitmap, as it was written.
@@ -292,8 +292,8 @@
 
 // take holds an event unless it is settled or held.
 func (s *subscriptionState) buffer(now core.Micros, e Event) {
-	_, aside := s.deadLetters[eventID(&e)]
-	if s.isSettled(e.Revision) || s.buffered[eventID(&e)] || aside {
+	_, isDeadLetter := s.deadLetters[eventID(&e)]
+	if s.isSettled(e.Revision) || s.buffered[eventID(&e)] || isDeadLetter {
 		return
 	}
 	s.buffered[eventID(&e)] = true
@@ -307,37 +307,37 @@
 // lane puts an event into its job's lane, in the order of revisions and kinds,
 // but behind one that is on its way.
 func (s *subscriptionState) enqueue(now core.Micros, e queuedEvent) {
-	l := s.queues[e.Job]
-	if l == nil {
-		l = &jobQueue{sub: s, job: e.Job, heapIndex: -1, nextAttemptAt: now}
-		s.queues[e.Job] = l
+	q := s.queues[e.Job]
+	if q == nil {
+		q = &jobQueue{sub: s, job: e.Job, heapIndex: -1, nextAttemptAt: now}
+		s.queues[e.Job] = q
 	}
-	l.events = append(l.events, e)
+	q.events = append(q.events, e)
 	first := 0
-	if l.busy || l.attempts > 0 {
+	if q.busy || q.attempts > 0 {
 		first = 1
 	}
-	slices.SortStableFunc(l.events[first:], func(a, b queuedEvent) int {
+	slices.SortStableFunc(q.events[first:], func(a, b queuedEvent) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Kind, b.Kind))
 	})
-	if l.heapIndex < 0 && !l.busy {
-		heap.Push(&s.ready, l)
+	if q.heapIndex < 0 && !q.busy {
+		heap.Push(&s.ready, q)
 	}
 }
 
 // settle ends the lane's first event.
-func (o *Outbox) removeFirst(now core.Micros, l *jobQueue) {
-	s, e := l.sub, l.events[0]
+func (o *Outbox) removeFirst(now core.Micros, q *jobQueue) {
+	s, e := q.sub, q.events[0]
 	if !e.settled {
 		s.settleEvent(&e.Event)
 	}
-	l.events = l.events[1:]
-	l.attempts, l.possiblyDelivered, l.busy, l.nextAttemptAt = 0, false, false, now
+	q.events = q.events[1:]
+	q.attempts, q.possiblyDelivered, q.busy, q.nextAttemptAt = 0, false, false, now
 	delete(s.buffered, eventID(&e.Event))
-	if len(l.events) == 0 {
-		delete(s.queues, l.job)
+	if len(q.events) == 0 {
+		delete(s.queues, q.job)
 	} else {
-		heap.Push(&s.ready, l)
+		heap.Push(&s.ready, q)
 	}
 }
 
@@ -408,16 +408,16 @@
 // send sends what is due of a subscription, as far as its receiver's limits go.
 func (o *Outbox) sendDue(now, wall core.Micros, s *subscriptionState) {
 	for len(s.ready) > 0 && s.ready[0].nextAttemptAt <= now {
-		l := s.ready[0]
-		e := &l.events[0]
+		q := s.ready[0]
+		e := &q.events[0]
 		if s.Deadline > 0 && !e.settled && wall > e.At+s.Deadline {
 			heap.Pop(&s.ready)
-			o.deadLetterFirst(now, l, "its deadline is over")
+			o.deadLetterFirst(now, q, "its deadline is over")
 			continue
 		}
 		if s.DeliveryGuarantee == AtMostOnce && !e.settled {
 			heap.Pop(&s.ready)
-			o.deadLetterBeforeSend(l)
+			o.deadLetterBeforeSend(q)
 			continue
 		}
 		if now < s.receiver.sendingStartsAt || !s.receiver.allowAttempt(now) {
@@ -425,24 +425,24 @@
 		}
 		heap.Pop(&s.ready)
 		o.nextID++
-		l.attempts++
-		l.busy = true
-		o.inFlight[o.nextID] = l
-		o.actions = append(o.actions, Send{ID: o.nextID, Subscription: s.Name, Event: e.Event, Key: IdempotencyKey(s.Name, &e.Event), Attempt: l.attempts, PossiblyDelivered: l.possiblyDelivered || l.attempts == 1})
+		q.attempts++
+		q.busy = true
+		o.inFlight[o.nextID] = q
+		o.actions = append(o.actions, Send{ID: o.nextID, Subscription: s.Name, Event: e.Event, Key: IdempotencyKey(s.Name, &e.Event), Attempt: q.attempts, PossiblyDelivered: q.possiblyDelivered || q.attempts == 1})
 	}
 }
 
 // claim puts the lane's first event aside, to be sent once that is written.
-func (o *Outbox) deadLetterBeforeSend(l *jobQueue) {
-	s, e := l.sub, &l.events[0]
+func (o *Outbox) deadLetterBeforeSend(q *jobQueue) {
+	s, e := q.sub, &q.events[0]
 	s.addDeadLetter(&e.Event, "it is sent once at most, and it is not known whether it was delivered")
 	s.settleEvent(&e.Event)
-	e.settled, l.busy = true, true
-	s.sendAfterSave[eventID(&e.Event)] = l
+	e.settled, q.busy = true, true
+	s.sendAfterSave[eventID(&e.Event)] = q
 }
 
-func (s *subscriptionState) addDeadLetter(e *Event, why string) {
-	d := DeadLetter{Subscription: s.Name, Event: *e, Reason: why}
+func (s *subscriptionState) addDeadLetter(e *Event, reason string) {
+	d := DeadLetter{Subscription: s.Name, Event: *e, Reason: reason}
 	s.deadLetters[eventID(e)] = d
 	s.deadLettersToPut = append(s.deadLettersToPut, d)
 }
@@ -466,54 +466,54 @@
 
 // Sent is the result of Send. after is when the receiver wants to be asked
 // again, 0 if it does not say.
-func (o *Outbox) HandleSendResult(now core.Micros, sent uint64, out Outcome, after core.Micros) {
-	l := o.inFlight[sent]
-	if l == nil {
+func (o *Outbox) HandleSendResult(now core.Micros, id uint64, out Outcome, after core.Micros) {
+	q := o.inFlight[id]
+	if q == nil {
 		return
 	}
-	delete(o.inFlight, sent)
-	l.busy = false
-	l.sub.receiver.inFlight--
+	delete(o.inFlight, id)
+	q.busy = false
+	q.sub.receiver.inFlight--
 	switch {
 	case out == Delivered:
-		l.sub.deleteDeadLetter(&l.events[0].Event)
-		o.removeFirst(now, l)
+		q.sub.deleteDeadLetter(&q.events[0].Event)
+		o.removeFirst(now, q)
 	case out == Rejected:
-		o.deadLetterFirst(now, l, "its receiver refused it")
-	case out == Unknown && l.sub.DeliveryGuarantee == AtMostOnce:
-		o.removeFirst(now, l) // it stays aside
+		o.deadLetterFirst(now, q, "its receiver refused it")
+	case out == Unknown && q.sub.DeliveryGuarantee == AtMostOnce:
+		o.removeFirst(now, q) // it stays aside
 	default:
 		if out == Unknown {
-			l.possiblyDelivered = true
-			after = max(after, l.sub.receiver.MaxMessageAge)
+			q.possiblyDelivered = true
+			after = max(after, q.sub.receiver.MaxMessageAge)
 		}
-		l.nextAttemptAt = now + max(o.retryDelay(l), after)
-		heap.Push(&l.sub.ready, l)
+		q.nextAttemptAt = now + max(o.retryDelay(q), after)
+		heap.Push(&q.sub.ready, q)
 	}
 }
 
 // putAside settles the lane's first event as a dead letter.
-func (o *Outbox) deadLetterFirst(now core.Micros, l *jobQueue, why string) {
-	l.sub.addDeadLetter(&l.events[0].Event, why)
-	o.removeFirst(now, l)
+func (o *Outbox) deadLetterFirst(now core.Micros, q *jobQueue, reason string) {
+	q.sub.addDeadLetter(&q.events[0].Event, reason)
+	o.removeFirst(now, q)
 }
 
 // pause is how long a lane waits after a failed attempt: doubled each time, and
 // spread by its key, so that not all come back at once.
-func (o *Outbox) retryDelay(l *jobQueue) core.Micros {
+func (o *Outbox) retryDelay(q *jobQueue) core.Micros {
 	b := backoff.ExponentialBackOff{
 		InitialInterval: time.Duration(o.cfg.InitialBackoff) * time.Microsecond, Multiplier: 2, RandomizationFactor: 0,
 		MaxInterval: time.Duration(o.cfg.MaxBackoff) * time.Microsecond,
 	}
 	b.Reset()
 	var d time.Duration
-	for range min(l.attempts, 40) {
+	for range min(q.attempts, 40) {
 		d = b.NextBackOff()
 	}
 	h := fnv.New64a()
 	var n [8]byte
-	binary.BigEndian.PutUint64(n[:], uint64(l.attempts))
-	_, _ = h.Write([]byte(IdempotencyKey(l.sub.Name, &l.events[0].Event)))
+	binary.BigEndian.PutUint64(n[:], uint64(q.attempts))
+	_, _ = h.Write([]byte(IdempotencyKey(q.sub.Name, &q.events[0].Event)))
 	_, _ = h.Write(n[:])
 	spread := float64(h.Sum64()>>11) / (1 << 53) // 0 to 1
 	return core.Micros(float64(d/time.Microsecond) * (0.5 + spread))
@@ -532,8 +532,8 @@
 		return
 	}
 	o.nextID++
-	w := &pendingSave{id: o.nextID, watermarks: map[*subscriptionState]uint64{}, putDeadLetters: map[*subscriptionState]int{}, deletedDeadLetters: map[*subscriptionState]int{}}
-	a := Save{ID: w.id}
+	pending := &pendingSave{id: o.nextID, watermarks: map[*subscriptionState]uint64{}, putDeadLetters: map[*subscriptionState]int{}, deletedDeadLetters: map[*subscriptionState]int{}}
+	a := Save{ID: pending.id}
 	marks := 0
 	room := func() bool {
 		return marks+len(a.DeleteChunks)+len(a.PutChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters) < o.cfg.MaxOpsPerSave
@@ -541,7 +541,7 @@
 	for _, s := range o.subscriptionsInOrder {
 		for i := 0; i < len(s.deadLettersToPut) && room(); i++ {
 			a.PutDeadLetters = append(a.PutDeadLetters, s.deadLettersToPut[i])
-			w.putDeadLetters[s]++
+			pending.putDeadLetters[s]++
 		}
 		if marks == 0 && s.watermark > s.savedWatermark && room() {
 			marks = 1
@@ -551,11 +551,11 @@
 		for _, s := range o.subscriptionsInOrder {
 			// A mark does not pass what is put aside and not written yet.
 			to := s.watermark
-			if w.putDeadLetters[s] < len(s.deadLettersToPut) {
+			if pending.putDeadLetters[s] < len(s.deadLettersToPut) {
 				to = s.savedWatermark
 			}
 			a.Watermarks = append(a.Watermarks, Watermark{s.Name, to})
-			w.watermarks[s] = to
+			pending.watermarks[s] = to
 		}
 	}
 	for _, s := range o.subscriptionsInOrder {
@@ -568,29 +568,29 @@
 			if err != nil {
 				continue // into memory: it does not fail
 			}
-			k := ChunkKey{s.Name, c}
-			a.PutChunks = append(a.PutChunks, Chunk{k, base64.StdEncoding.EncodeToString(b)})
-			w.putChunks = append(w.putChunks, k)
+			state := ChunkKey{s.Name, c}
+			a.PutChunks = append(a.PutChunks, Chunk{state, base64.StdEncoding.EncodeToString(b)})
+			pending.putChunks = append(pending.putChunks, state)
 			delete(s.dirtyChunks, c)
 		}
-		to := max(s.savedWatermark, w.watermarks[s]) // what is the mark once this is written
+		to := max(s.savedWatermark, pending.watermarks[s]) // what is the mark once this is written
 		for _, c := range sortedKeys(s.storedChunks) {
 			if s.settled[c] == nil && to >= s.watermark && room() {
 				a.DeleteChunks = append(a.DeleteChunks, ChunkKey{s.Name, c})
-				w.deletedChunks = append(w.deletedChunks, ChunkKey{s.Name, c})
+				pending.deletedChunks = append(pending.deletedChunks, ChunkKey{s.Name, c})
 			}
 		}
 		// A record of what is put aside goes only when that is written as settled:
 		// nothing else would say so to the next leader.
-		for len(s.deadLettersToDelete) > w.deletedDeadLetters[s] && room() && s.settlementSaved(s.deadLettersToDelete[w.deletedDeadLetters[s]].Event.Revision, to) {
-			a.DeleteDeadLetters = append(a.DeleteDeadLetters, s.deadLettersToDelete[w.deletedDeadLetters[s]])
-			w.deletedDeadLetters[s]++
+		for len(s.deadLettersToDelete) > pending.deletedDeadLetters[s] && room() && s.settlementSaved(s.deadLettersToDelete[pending.deletedDeadLetters[s]].Event.Revision, to) {
+			a.DeleteDeadLetters = append(a.DeleteDeadLetters, s.deadLettersToDelete[pending.deletedDeadLetters[s]])
+			pending.deletedDeadLetters[s]++
 		}
 	}
 	if len(a.Watermarks)+len(a.DeleteChunks)+len(a.PutChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters) == 0 {
 		return
 	}
-	o.pendingSave, o.nextSaveAt = w, now+o.cfg.MinSaveInterval
+	o.pendingSave, o.nextSaveAt = pending, now+o.cfg.MinSaveInterval
 	o.actions = append(o.actions, a)
 }
 
@@ -624,8 +624,8 @@
 }
 
 // written reports whether a revision is written as settled, given the mark.
-func (s *subscriptionState) settlementSaved(rev, mark uint64) bool {
-	if rev <= mark {
+func (s *subscriptionState) settlementSaved(rev, watermark uint64) bool {
+	if rev <= watermark {
 		return true
 	}
 	c := rev / ChunkSize
@@ -634,8 +634,8 @@
 
 func sortedKeys(m map[uint64]bool) []uint64 {
 	out := make([]uint64, 0, len(m))
-	for k := range m {
-		out = append(out, k)
+	for state := range m {
+		out = append(out, state)
 	}
 	slices.Sort(out)
 	return out
@@ -644,41 +644,41 @@
 // Saved is the result of Save. What was not stored, or may not have been, is
 // written again: the records say the same whoever writes them twice.
 func (o *Outbox) HandleSaveResult(now core.Micros, save uint64, ok bool) {
-	w := o.pendingSave
-	if w == nil || w.id != save {
+	pending := o.pendingSave
+	if pending == nil || pending.id != save {
 		return
 	}
 	o.pendingSave = nil
 	if !ok {
-		for _, k := range w.putChunks {
-			if s := o.subscriptions[k.Subscription]; s.settled[k.Chunk] != nil {
-				s.dirtyChunks[k.Chunk] = true
+		for _, state := range pending.putChunks {
+			if s := o.subscriptions[state.Subscription]; s.settled[state.Chunk] != nil {
+				s.dirtyChunks[state.Chunk] = true
 			}
 		}
 		o.nextSaveAt = now + core.Second
 		return
 	}
-	for s, n := range w.putDeadLetters {
+	for s, n := range pending.putDeadLetters {
 		for _, d := range s.deadLettersToPut[:n] {
-			if l := s.sendAfterSave[eventID(&d.Event)]; l != nil {
+			if q := s.sendAfterSave[eventID(&d.Event)]; q != nil {
 				delete(s.sendAfterSave, eventID(&d.Event))
-				l.busy = false
-				heap.Push(&s.ready, l)
+				q.busy = false
+				heap.Push(&s.ready, q)
 			}
 		}
 		s.deadLettersToPut = s.deadLettersToPut[n:]
 	}
-	for s, n := range w.deletedDeadLetters {
+	for s, n := range pending.deletedDeadLetters {
 		s.deadLettersToDelete = s.deadLettersToDelete[n:]
 	}
-	for s, to := range w.watermarks {
+	for s, to := range pending.watermarks {
 		s.savedWatermark = max(s.savedWatermark, to)
 	}
-	for _, k := range w.putChunks {
-		o.subscriptions[k.Subscription].storedChunks[k.Chunk] = true
+	for _, state := range pending.putChunks {
+		o.subscriptions[state.Subscription].storedChunks[state.Chunk] = true
 	}
-	for _, k := range w.deletedChunks {
-		delete(o.subscriptions[k.Subscription].storedChunks, k.Chunk)
+	for _, state := range pending.deletedChunks {
+		delete(o.subscriptions[state.Subscription].storedChunks, state.Chunk)
 	}
 }
 
@@ -703,7 +703,7 @@
 
 // Undelivered counts a subscription's events that are held, and says whether
 // there are more that are not.
-func (o *Outbox) Undelivered(name string) (held int, more bool) {
+func (o *Outbox) Undelivered(name string) (buffered int, more bool) {
 	s := o.subscriptions[name]
 	if s == nil {
 		return 0, false
@@ -714,10 +714,10 @@
 // revisions is a heap of revisions, the lowest first.
 type revisionHeap []uint64
 
-func (h revisionHeap) Len() int           { return len(h) }
-func (h revisionHeap) Less(i, k int) bool { return h[i] < h[k] }
-func (h revisionHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
-func (h *revisionHeap) Push(v any)        { *h = append(*h, v.(uint64)) }
+func (h revisionHeap) Len() int               { return len(h) }
+func (h revisionHeap) Less(i, state int) bool { return h[i] < h[state] }
+func (h revisionHeap) Swap(i, state int)      { h[i], h[state] = h[state], h[i] }
+func (h *revisionHeap) Push(v any)            { *h = append(*h, v.(uint64)) }
 func (h *revisionHeap) Pop() any {
 	v := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
@@ -728,24 +728,24 @@
 type queueHeap []*jobQueue
 
 func (h queueHeap) Len() int { return len(h) }
-func (h queueHeap) Less(i, k int) bool {
-	if h[i].nextAttemptAt != h[k].nextAttemptAt {
-		return h[i].nextAttemptAt < h[k].nextAttemptAt
+func (h queueHeap) Less(i, state int) bool {
+	if h[i].nextAttemptAt != h[state].nextAttemptAt {
+		return h[i].nextAttemptAt < h[state].nextAttemptAt
 	}
-	return h[i].events[0].Revision < h[k].events[0].Revision
+	return h[i].events[0].Revision < h[state].events[0].Revision
 }
-func (h queueHeap) Swap(i, k int) {
-	h[i], h[k] = h[k], h[i]
-	h[i].heapIndex, h[k].heapIndex = i, k
+func (h queueHeap) Swap(i, state int) {
+	h[i], h[state] = h[state], h[i]
+	h[i].heapIndex, h[state].heapIndex = i, state
 }
 func (h *queueHeap) Push(v any) {
-	l := v.(*jobQueue)
-	l.heapIndex = len(*h)
-	*h = append(*h, l)
+	q := v.(*jobQueue)
+	q.heapIndex = len(*h)
+	*h = append(*h, q)
 }
 func (h *queueHeap) Pop() any {
-	l := (*h)[len(*h)-1]
-	l.heapIndex = -1
+	q := (*h)[len(*h)-1]
+	q.heapIndex = -1
 	*h = (*h)[:len(*h)-1]
-	return l
+	return q
 }
--- a/internal/notify/outbox_test.go
+++ b/internal/notify/outbox_test.go
@@ -116,120 +116,120 @@
 }
 
 func newScenario(t *testing.T, seed uint64) *scenario {
-	d := &scenario{
+	sc := &scenario{
 		t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: core.Second, receivers: map[string]*fakeReceiver{},
 		store: &fakeStore{watermarks: map[string]uint64{}, chunks: map[ChunkKey]Chunk{}, deadLetters: map[string]DeadLetter{}},
 	}
 	all := []Kind{Accepted, Started, Done, Cancelled}
 	for i, p := range []DeliveryGuarantee{ExactlyOnce, AtLeastOnce, AtMostOnce, ExactlyOnce, ExactlyOnce} {
-		recv := fmt.Sprintf("r%d", i)
-		d.cfg.Receivers = append(d.cfg.Receivers, Receiver{Name: recv, MaxInFlight: 1 + 3*i, PerSecond: float64(40 * i)})
-		s := Subscription{Name: fmt.Sprintf("s%d", i), Receiver: recv, Kinds: all, DeliveryGuarantee: p}
+		receiverName := fmt.Sprintf("r%d", i)
+		sc.cfg.Receivers = append(sc.cfg.Receivers, Receiver{Name: receiverName, MaxInFlight: 1 + 3*i, PerSecond: float64(40 * i)})
+		s := Subscription{Name: fmt.Sprintf("s%d", i), Receiver: receiverName, Kinds: all, DeliveryGuarantee: p}
 		if i == 3 {
 			s.Team, s.Kinds = "blue", []Kind{Done}
 		}
-		d.cfg.Subscriptions = append(d.cfg.Subscriptions, s)
+		sc.cfg.Subscriptions = append(sc.cfg.Subscriptions, s)
 		if i == 4 {
-			d.cfg.Receivers[i].MaxMessageAge = 5 * core.Second
+			sc.cfg.Receivers[i].MaxMessageAge = 5 * core.Second
 		}
-		d.receivers[recv] = &fakeReceiver{deduplicates: p == ExactlyOnce && i != 4, seenKeys: map[string]bool{}, effects: map[string]int{}, order: map[string][]uint64{}}
-	}
-	d.cfg.MaxBuffered, d.cfg.MinSaveInterval, d.cfg.MaxOpsPerSave = 50, core.Second, 5
-	d.cfg.ChunkSaveDelay = 2 * core.Second
-	d.cfg.InitialBackoff, d.cfg.MaxBackoff = core.Second/2, 20*core.Second
-	d.cfg.TermStart = d.now
-	d.outbox = New(d.cfg)
-	return d
+		sc.receivers[receiverName] = &fakeReceiver{deduplicates: p == ExactlyOnce && i != 4, seenKeys: map[string]bool{}, effects: map[string]int{}, order: map[string][]uint64{}}
+	}
+	sc.cfg.MaxBuffered, sc.cfg.MinSaveInterval, sc.cfg.MaxOpsPerSave = 50, core.Second, 5
+	sc.cfg.ChunkSaveDelay = 2 * core.Second
+	sc.cfg.InitialBackoff, sc.cfg.MaxBackoff = core.Second/2, 20*core.Second
+	sc.cfg.TermStart = sc.now
+	sc.outbox = New(sc.cfg)
+	return sc
 }
 
-func (d *scenario) maxMessageAge(sub string) core.Micros {
-	i := slices.IndexFunc(d.cfg.Subscriptions, func(s Subscription) bool { return s.Name == sub })
-	return d.cfg.Receivers[i].MaxMessageAge
+func (sc *scenario) maxMessageAge(sub string) core.Micros {
+	i := slices.IndexFunc(sc.cfg.Subscriptions, func(s Subscription) bool { return s.Name == sub })
+	return sc.cfg.Receivers[i].MaxMessageAge
 }
 
-func (d *scenario) receiver(sub string) *fakeReceiver {
-	for _, s := range d.cfg.Subscriptions {
+func (sc *scenario) receiver(sub string) *fakeReceiver {
+	for _, s := range sc.cfg.Subscriptions {
 		if s.Name == sub {
-			return d.receivers[s.Receiver]
+			return sc.receivers[s.Receiver]
 		}
 	}
 	return nil
 }
 
 // poison reports whether the receiver never takes an event.
-func (d *scenario) alwaysRejects(sub string, e *Event) bool {
+func (sc *scenario) alwaysRejects(sub string, e *Event) bool {
 	return sub == "s3" && e.Job[len(e.Job)-1] == '4'
 }
 
 // do does what the outbox wants, in its own time; what belongs to an outbox that
 // has ended goes on all the same, but is not heard of.
-func (d *scenario) execute(acts []Action) {
-	for _, a := range acts {
-		o, epoch := d.outbox, d.term
-		later := func(f func()) { d.pending = append(d.pending, f) }
-		heard := func(f func()) {
-			if epoch == d.term {
+func (sc *scenario) execute(actions []Action) {
+	for _, a := range actions {
+		o, term := sc.outbox, sc.term
+		later := func(f func()) { sc.pending = append(sc.pending, f) }
+		ifCurrent := func(f func()) {
+			if term == sc.term {
 				f()
 			}
 		}
 		switch a := a.(type) {
 		case Send:
-			sent := d.now
-			b, limit := d.receiver(a.Subscription), d.maxMessageAge(a.Subscription)
+			sent := sc.now
+			b, limit := sc.receiver(a.Subscription), sc.maxMessageAge(a.Subscription)
 			// One that keeps no keys refuses what was sent too long ago.
 			effect := func() {
-				if limit == 0 || d.now-sent <= limit {
+				if limit == 0 || sc.now-sent <= limit {
 					b.receive(a)
 				}
 			}
 			later(func() {
-				if limit > 0 && d.now-sent > limit {
-					heard(func() { o.HandleSendResult(d.now, a.ID, NotDelivered, 0) })
+				if limit > 0 && sc.now-sent > limit {
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, NotDelivered, 0) })
 					return
 				}
 				if limit > 0 && a.PossiblyDelivered && b.seenKeys[a.Key] {
-					heard(func() { o.HandleSendResult(d.now, a.ID, Delivered, 0) })
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Delivered, 0) })
 					return
 				}
-				p := d.rng.Float64()
-				if limit > 0 && d.rng.IntN(3) == 0 {
+				p := sc.rng.Float64()
+				if limit > 0 && sc.rng.IntN(3) == 0 {
 					p = 0.87 // late, often
 				}
 				switch {
-				case d.alwaysRejects(a.Subscription, &a.Event):
-					heard(func() { o.HandleSendResult(d.now, a.ID, Rejected, 0) })
+				case sc.alwaysRejects(a.Subscription, &a.Event):
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Rejected, 0) })
 				case p < 0.75: // has its effect, and the reply comes
 					effect()
-					heard(func() { o.HandleSendResult(d.now, a.ID, Delivered, 0) })
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Delivered, 0) })
 				case p < 0.85: // has its effect, and the reply is lost
 					effect()
-					heard(func() { o.HandleSendResult(d.now, a.ID, Unknown, 0) })
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Unknown, 0) })
 				case p < 0.90: // has its effect long after it was given up
-					heard(func() { o.HandleSendResult(d.now, a.ID, Unknown, 0) })
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Unknown, 0) })
 					later(effect)
 				case p < 0.95:
-					heard(func() { o.HandleSendResult(d.now, a.ID, Unknown, 0) })
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Unknown, 0) })
 				default:
-					heard(func() { o.HandleSendResult(d.now, a.ID, NotDelivered, 2*core.Second) })
+					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, NotDelivered, 2*core.Second) })
 				}
 			})
 		case Save:
 			later(func() {
 				// A leader that was deposed does not write: its term is over.
-				if epoch != d.term {
+				if term != sc.term {
 					return
 				}
-				p := d.rng.Float64()
+				p := sc.rng.Float64()
 				if p < 0.85 {
-					d.store.write(a)
+					sc.store.write(a)
 				}
-				o.HandleSaveResult(d.now, a.ID, p < 0.7)
+				o.HandleSaveResult(sc.now, a.ID, p < 0.7)
 			})
 		case FetchEvents:
 			later(func() {
-				heard(func() {
-					events, upTo, all := d.store.fetch(a)
-					o.HandleFetchedEvents(d.now, a.Subscription, events, upTo, all)
+				ifCurrent(func() {
+					events, upTo, all := sc.store.fetch(a)
+					o.HandleFetchedEvents(sc.now, a.Subscription, events, upTo, all)
 				})
 			})
 		}
@@ -237,50 +237,50 @@
 }
 
 // step lets a tenth of a second go by.
-func (d *scenario) advance() {
-	d.now += core.Second / 10
-	if d.rng.IntN(4) == 0 {
-		d.revision += uint64(1 + d.rng.IntN(30))
-		for range 1 + d.rng.IntN(4) {
-			job := fmt.Sprintf("job-%06d", len(d.store.events)/2)
-			team := []string{"blue", "green"}[len(d.store.events)/2%2]
+func (sc *scenario) advance() {
+	sc.now += core.Second / 10
+	if sc.rng.IntN(4) == 0 {
+		sc.revision += uint64(1 + sc.rng.IntN(30))
+		for range 1 + sc.rng.IntN(4) {
+			job := fmt.Sprintf("job-%06d", len(sc.store.events)/2)
+			team := []string{"blue", "green"}[len(sc.store.events)/2%2]
 			kind := Accepted
-			if len(d.store.events)%2 == 1 {
+			if len(sc.store.events)%2 == 1 {
 				kind = Done
 			}
-			e := Event{Job: job, Team: team, Class: "c", Kind: kind, Revision: d.revision, At: d.now}
-			d.store.events = append(d.store.events, e)
-			d.outbox.HandleEvent(d.now, e)
-			if d.rng.IntN(4) == 0 {
-				d.runPending() // what came so far may be under way before the rest comes
+			e := Event{Job: job, Team: team, Class: "c", Kind: kind, Revision: sc.revision, At: sc.now}
+			sc.store.events = append(sc.store.events, e)
+			sc.outbox.HandleEvent(sc.now, e)
+			if sc.rng.IntN(4) == 0 {
+				sc.runPending() // what came so far may be under way before the rest comes
 			}
 		}
-		d.outbox.HandleEventsComplete(d.revision)
+		sc.outbox.HandleEventsComplete(sc.revision)
 	}
-	d.runPending()
+	sc.runPending()
 }
 
-func (d *scenario) runPending() {
-	d.execute(d.outbox.Step(d.now, d.now))
-	d.rng.Shuffle(len(d.pending), func(i, k int) { d.pending[i], d.pending[k] = d.pending[k], d.pending[i] })
-	n := len(d.pending)
+func (sc *scenario) runPending() {
+	sc.execute(sc.outbox.Step(sc.now, sc.now))
+	sc.rng.Shuffle(len(sc.pending), func(i, k int) { sc.pending[i], sc.pending[k] = sc.pending[k], sc.pending[i] })
+	n := len(sc.pending)
 	if n > 0 {
-		n = d.rng.IntN(n + 1)
+		n = sc.rng.IntN(n + 1)
 	}
-	run := d.pending[:n:n]
-	d.pending = d.pending[n:]
+	run := sc.pending[:n:n]
+	sc.pending = sc.pending[n:]
 	for _, f := range run {
 		f()
 	}
 }
 
 // end ends the leader; the next one reads what was written.
-func (d *scenario) restart() {
-	d.restarts++
-	d.term++
-	d.cfg.TermStart = d.now
-	d.outbox = New(d.cfg)
-	d.store.load(d.t, d.outbox, d.now)
+func (sc *scenario) restart() {
+	sc.restarts++
+	sc.term++
+	sc.cfg.TermStart = sc.now
+	sc.outbox = New(sc.cfg)
+	sc.store.load(sc.t, sc.outbox, sc.now)
 }
 
 // Over days on which the leader ends again and again, replies are lost and
@@ -293,44 +293,44 @@
 		events, seeds = 10_000, 5
 	}
 	for seed := range seeds {
-		d := newScenario(t, seed)
-		for len(d.store.events) < events {
-			d.advance()
-			if d.rng.IntN(40) == 0 {
-				d.restart()
+		sc := newScenario(t, seed)
+		for len(sc.store.events) < events {
+			sc.advance()
+			if sc.rng.IntN(40) == 0 {
+				sc.restart()
 			}
 		}
 		for range 400_000 {
-			d.now += core.Second / 10
-			d.runPending()
-			if len(d.pending) == 0 && len(d.store.chunks) == 0 && d.now > d.outbox.NextStepAt(d.now) && d.outbox.NextStepAt(d.now) == core.MaxMicros {
+			sc.now += core.Second / 10
+			sc.runPending()
+			if len(sc.pending) == 0 && len(sc.store.chunks) == 0 && sc.now > sc.outbox.NextStepAt(sc.now) && sc.outbox.NextStepAt(sc.now) == core.MaxMicros {
 				break
 			}
 		}
-		if d.restarts < 50 {
-			t.Errorf("seed %d: the leader ended %d times", seed, d.restarts)
+		if sc.restarts < 50 {
+			t.Errorf("seed %d: the leader ended %d times", seed, sc.restarts)
 		}
 		wrong := 0
-		for _, s := range d.cfg.Subscriptions {
-			b := d.receiver(s.Name)
-			for i := range d.store.events {
-				e := &d.store.events[i]
+		for _, s := range sc.cfg.Subscriptions {
+			b := sc.receiver(s.Name)
+			for i := range sc.store.events {
+				e := &sc.store.events[i]
 				if !s.matches(e) {
 					continue
 				}
 				k := s.Name + "/" + eventID(e)
 				n := b.effects[k]
-				_, aside := d.store.deadLetters[k]
-				if d.alwaysRejects(s.Name, e) {
-					if n != 0 || !aside {
-						t.Errorf("seed %d: %s, which is never taken: %d effects, put aside %v", seed, k, n, aside)
+				_, isDeadLetter := sc.store.deadLetters[k]
+				if sc.alwaysRejects(s.Name, e) {
+					if n != 0 || !isDeadLetter {
+						t.Errorf("seed %d: %s, which is never taken: %d effects, put aside %v", seed, k, n, isDeadLetter)
 					}
 					continue
 				}
-				bad := s.DeliveryGuarantee == ExactlyOnce && (n != 1 || aside) || s.DeliveryGuarantee == AtLeastOnce && n < 1 || s.DeliveryGuarantee == AtMostOnce && (n > 1 || n == 0 && !aside)
+				bad := s.DeliveryGuarantee == ExactlyOnce && (n != 1 || isDeadLetter) || s.DeliveryGuarantee == AtLeastOnce && n < 1 || s.DeliveryGuarantee == AtMostOnce && (n > 1 || n == 0 && !isDeadLetter)
 				if bad && wrong < 5 {
 					wrong++
-					t.Errorf("seed %d: %s: %d effects, put aside %v", seed, k, n, aside)
+					t.Errorf("seed %d: %s: %d effects, put aside %v", seed, k, n, isDeadLetter)
 				}
 			}
 			if s.DeliveryGuarantee == ExactlyOnce {
@@ -340,15 +340,15 @@
 					}
 				}
 			}
-			if held, more := d.outbox.Undelivered(s.Name); held != 0 || more {
-				t.Errorf("seed %d: %s holds %d, more %v", seed, s.Name, held, more)
+			if buffered, more := sc.outbox.Undelivered(s.Name); buffered != 0 || more {
+				t.Errorf("seed %d: %s holds %d, more %v", seed, s.Name, buffered, more)
 			}
 		}
-		if len(d.store.chunks) > 0 {
-			t.Errorf("seed %d: %d bitmaps are kept", seed, len(d.store.chunks))
+		if len(sc.store.chunks) > 0 {
+			t.Errorf("seed %d: %d bitmaps are kept", seed, len(sc.store.chunks))
 		}
-		if d.store.maxOps > d.cfg.MaxOpsPerSave {
-			t.Errorf("seed %d: a write of %d parts", seed, d.store.maxOps)
+		if sc.store.maxOps > sc.cfg.MaxOpsPerSave {
+			t.Errorf("seed %d: a write of %d parts", seed, sc.store.maxOps)
 		}
 	}
 }
@@ -365,9 +365,9 @@
 		o.HandleEvent(now, Event{Job: fmt.Sprint(rev), Kind: Done, Revision: rev})
 	}
 	o.HandleEventsComplete(6)
-	acts := o.Step(now, now)
-	o.HandleSaveResult(now, acts[2].(Save).ID, true)         // the mark, up to 4
-	o.HandleSendResult(now, acts[1].(Send).ID, Delivered, 0) // the later one: the mark stays before the first
+	actions := o.Step(now, now)
+	o.HandleSaveResult(now, actions[2].(Save).ID, true)         // the mark, up to 4
+	o.HandleSendResult(now, actions[1].(Send).ID, Delivered, 0) // the later one: the mark stays before the first
 	save := func() Save {
 		t.Helper()
 		now += 2 * core.Second
@@ -386,7 +386,7 @@
 		t.Errorf("first %+v, then %+v", first, again)
 	}
 	o.HandleSaveResult(now, again.ID, true)
-	o.HandleSendResult(now, acts[0].(Send).ID, Delivered, 0)
+	o.HandleSendResult(now, actions[0].(Send).ID, Delivered, 0)
 	last := save()
 	if len(last.DeleteChunks) != 1 || last.Watermarks[0].Revision != 6 {
 		t.Errorf("in the end %+v", last)
@@ -511,11 +511,11 @@
 	}
 	o.pendingSave = nil
 	step()
-	again, gone := dead[0].Event, dead[1].Event
+	again, deleted := dead[0].Event, dead[1].Event
 	if !o.RetryDeadLetter(now, "s", again.Job, Done) || o.RetryDeadLetter(now, "s", again.Job, Done) || o.RetryDeadLetter(now, "s", "none", Done) {
 		t.Error("retry of a dead letter")
 	}
-	if !o.DeleteDeadLetter("s", gone.Job, Done) || len(o.DeadLetters("s")) != 7 {
+	if !o.DeleteDeadLetter("s", deleted.Job, Done) || len(o.DeadLetters("s")) != 7 {
 		t.Error("drop of a dead letter")
 	}
 	sends := step()
@@ -559,8 +559,8 @@
 		o.HandleEvent(now, event(rev))
 		step()
 	}
-	if held, more := o.Undelivered("s"); held != 2 || !more {
-		t.Fatalf("holds %d, more %v", held, more)
+	if buffered, more := o.Undelivered("s"); buffered != 2 || !more {
+		t.Fatalf("holds %d, more %v", buffered, more)
 	}
 	o.setFetching("s")
 	o.HandleFetchedEvents(now, "s", []Event{event(4), event(5), event(6), event(7)}, 7, true)
@@ -588,10 +588,10 @@
 	o.HandleEvent(now, Event{Job: "3", Kind: Done, Revision: 6})
 	o.HandleEventsComplete(6)
 	o.subscriptions["s"].unsettled[5]++ // another of revision 5 stays unsettled, and the mark before it
-	turns := 0
-	for end := now + 10*core.Second; now < end && turns < 100; turns++ {
-		acts := o.Step(now, now)
-		for _, a := range acts {
+	steps := 0
+	for end := now + 10*core.Second; now < end && steps < 100; steps++ {
+		actions := o.Step(now, now)
+		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
 				o.HandleSendResult(now, a.ID, Delivered, 0)
@@ -599,11 +599,11 @@
 				o.HandleSaveResult(now, a.ID, true)
 			}
 		}
-		if len(acts) == 0 { // what came back is an event, which is looked at at once
+		if len(actions) == 0 { // what came back is an event, which is looked at at once
 			now = o.NextStepAt(now)
 		}
 	}
-	if turns > 10 || len(o.subscriptions["s"].deadLettersToDelete) != 3 {
-		t.Errorf("%d turns in ten seconds, %d dead letters wait", turns, len(o.subscriptions["s"].deadLettersToDelete))
+	if steps > 10 || len(o.subscriptions["s"].deadLettersToDelete) != 3 {
+		t.Errorf("%d turns in ten seconds, %d dead letters wait", steps, len(o.subscriptions["s"].deadLettersToDelete))
 	}
 }
