--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -1,14 +1,17 @@
-// Package notify decides which notifications are due, when, and what is known
-// of their delivery. It is pure: events and the time go in through methods,
-// actions come out of Step. It holds no socket, clock, goroutine or random
-// source.
+// Package notify implements the outbox of notifications about jobs: it decides
+// which notifications are sent and when, and tracks their delivery. It is pure:
+// events and the time are passed to methods, and Step returns actions. It uses no
+// socket, clock, goroutine or source of randomness.
 //
-// An event that goes with a job's record is not written a second time: the
-// record is the event, and its revision is the event's place in the outbox. What
-// is kept beside it, for each subscription, is which revisions are settled: all
-// up to a mark, and a bitmap of those above. So neither exists without the
-// other, and what is kept follows what is undelivered. docs/design/notifications.md
-// has the ways weighed.
+// An event is not stored separately from the job record that it belongs to: the
+// record is the event, and the record's revision is the event's position in the
+// outbox. So there is never an event without its record, or a record without its
+// event. For each subscription, only the settled revisions are stored in addition:
+// a watermark up to which all are settled, and a bitmap of those above it. The
+// stored size therefore depends on the number of undelivered events.
+//
+// An event is settled for a subscription when it has been delivered or when it is
+// stored as a dead letter. docs/design/notifications.md compares the alternatives.
 package notify
 
 import (
@@ -19,27 +22,27 @@
 	"aspenstall/internal/core"
 )
 
-// Kind is what happened to a job.
+// Kind is the type of an event of a job.
 type Kind uint8
 
-// The kinds, in the order in which they happen to a job.
+// The kinds of events, in the order in which they occur in the life of a job.
 const (
 	Accepted       Kind = iota
-	Started             // all its tasks run
-	Late                // its deadline has passed, or is sure to
+	Started             // all its tasks are running
+	Late                // its deadline has passed or is certain to be missed
 	Failing             // its tasks fail on several machines
-	GuaranteeUnmet      // its team's guarantee is not met
+	GuaranteeUnmet      // the guaranteed quota of its team is not met
 	Done                // all its tasks are done
-	Cancelled           // by its user
+	Cancelled           // cancelled by its user
 	kindCount
 )
 
 var kindNames = [kindCount]string{"accepted", "started", "late", "failing", "unmet", "done", "cancelled"}
 
-// String is the kind's name in the operators' settings and in events.
+// String returns the kind's name as used in the operators' settings and in events.
 func (k Kind) String() string { return kindNames[min(k, kindCount-1)] }
 
-// ParseKind is the reverse of String.
+// ParseKind parses the name that String returns; ok is false for an unknown name.
 func ParseKind(s string) (Kind, bool) {
 	for k, n := range kindNames {
 		if n == s {
@@ -49,37 +52,38 @@
 	return 0, false
 }
 
-// Event is something that happened to a job, once.
+// Event is an event of a job. Each kind occurs at most once per job.
 type Event struct {
 	Job, Team, Class string
 	Kind             Kind
-	Revision         uint64      // of the record that it goes with
-	At               core.Micros // wall clock; when it happened
+	Revision         uint64      // of the job record that it belongs to
+	At               core.Micros // wall clock; when it occurred
 }
 
-// Promise is what a subscription may count on.
+// DeliveryGuarantee says how often a notification may take effect at its receiver.
 type DeliveryGuarantee uint8
 
-// The promises.
+// The delivery guarantees.
 const (
-	// Exactly once: the receiver keeps keys, or can be asked whether it has seen
-	// one, so that a repetition has no second effect.
+	// ExactlyOnce requires a receiver that deduplicates by idempotency key, or that
+	// can be asked whether it has received a key, so that a retry has no second effect.
 	ExactlyOnce DeliveryGuarantee = iota
-	// AtLeast once: the receiver does neither. What is in doubt is sent again.
+	// AtLeastOnce is for a receiver that does neither. An attempt with unknown
+	// outcome is repeated.
 	AtLeastOnce
-	// AtMost once: the receiver does neither. Each is put aside before it is sent,
-	// and taken from there once it is known to be delivered: what is in doubt
-	// stays for the operators.
+	// AtMostOnce is for a receiver that does neither. Each notification is stored as
+	// a dead letter before it is sent, and the dead letter is deleted when delivery is
+	// confirmed. One with unknown outcome stays a dead letter, for operators to decide.
 	AtMostOnce
 )
 
-// Subscription says who is told of what.
+// Subscription selects events and names the receiver that they are sent to.
 type Subscription struct {
 	Name              string
-	Team, Class       string // "" for any
+	Team, Class       string // "" matches any
 	Kinds             []Kind
 	Receiver          string
-	Deadline          core.Micros // after the event: what is undelivered then is put aside
+	Deadline          core.Micros // after the event; an undelivered one then becomes a dead letter; 0: none
 	DeliveryGuarantee DeliveryGuarantee
 }
 
@@ -95,101 +99,106 @@
 	return false
 }
 
-// Receiver limits what one receiver is sent.
+// Receiver holds the limits of what is sent to one receiver.
 type Receiver struct {
 	Name        string
-	PerSecond   float64 // 0: no limit
-	MaxInFlight int
-	// MaxAge is of a receiver that keeps no keys and can be asked whether it has
-	// seen one: it refuses what was sent longer ago. What is in doubt is asked
-	// about, and sent again, only after that, since a message may still be on its
-	// way; a new leader waits as long for what the former may have sent.
+	PerSecond   float64 // attempts per second; 0: no limit
+	MaxInFlight int     // concurrent attempts; 0: no limit
+	// MaxMessageAge applies to a receiver that does not deduplicate but can be asked
+	// whether it has received a key: it rejects messages that were sent longer ago.
+	// After an attempt with unknown outcome, the query and the retry wait this long,
+	// since the message may still be in transit. A new leader waits as long for
+	// messages that its predecessor may have sent.
 	MaxMessageAge core.Micros
 }
 
-// Key is what a receiver knows a notification by. It follows from the event and
-// the subscription, so that every node and every retry has the same one.
+// IdempotencyKey returns the key by which a receiver identifies a notification. It
+// is derived from the event and the subscription, so it is the same on every node
+// and in every retry.
 func IdempotencyKey(subscription string, e *Event) string {
 	h := sha256.Sum256(fmt.Appendf(nil, "%d:%s%d:%s%d", len(subscription), subscription, len(e.Job), e.Job, e.Kind))
 	return hex.EncodeToString(h[:16])
 }
 
-// Outcome says what became of an attempt.
+// Outcome is the result of a delivery attempt.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Delivered: the receiver has it.
+	// Delivered means that the receiver accepted the notification.
 	Delivered Outcome = iota
-	// NotSent: it certainly has no effect: not sent, or refused for now.
+	// NotDelivered means that the attempt certainly had no effect: it was not sent, or
+	// the receiver refused it temporarily.
 	NotDelivered
-	// Unknown: it may have had its effect, or may yet.
+	// Unknown means that the attempt may have taken effect, or may still do so.
 	Unknown
-	// Rejected: the receiver will never take it.
+	// Rejected means that the receiver refused the notification permanently.
 	Rejected
 )
 
-// Action is something the outbox wants done. The concrete types follow.
+// Action is an operation that the outbox requests: Send, Save or FetchEvents.
 type Action interface{ action() }
 
-// Send is an attempt to deliver; its result comes back through Sent.
+// Send requests a delivery attempt; its result is passed to HandleSendResult.
 type Send struct {
-	ID                uint64
-	Subscription      string
-	Event             Event
-	Key               string
-	Attempt           int  // from 1
-	PossiblyDelivered bool // it may have had its effect before: a receiver that can be asked is to be
+	ID           uint64
+	Subscription string
+	Event        Event
+	Key          string
+	Attempt      int // counted from 1
+	// PossiblyDelivered means that an earlier attempt, possibly by an earlier leader, may
+	// have taken effect: query the receiver first, if it supports that.
+	PossiblyDelivered bool
 }
 
-// Save writes what is settled; its result comes back through Saved. Everything
-// in it goes into one transaction.
+// Save requests that changes of the settled revisions and of dead letters are
+// written, in one transaction; its result is passed to HandleSaveResult.
 type Save struct {
 	ID                uint64
-	Watermarks        []Watermark  // none, or those of all subscriptions, for one record
-	DeleteChunks      []ChunkKey   // bitmaps that the marks have passed
+	Watermarks        []Watermark  // none, or those of all subscriptions: they share one record
+	DeleteChunks      []ChunkKey   // bitmaps that are below the watermarks
 	PutChunks         []Chunk      // bitmaps that changed
-	PutDeadLetters    []DeadLetter // put aside: they are settled by this
-	DeleteDeadLetters []DeadLetter // no longer: their records go
+	PutDeadLetters    []DeadLetter // new dead letters, which settle their events
+	DeleteDeadLetters []DeadLetter // dead letters whose records are deleted
 }
 
-// Mark says that all of a subscription's events up to a revision are settled.
+// Watermark is the revision up to which all events of a subscription are settled.
 type Watermark struct {
 	Subscription string
 	Revision     uint64
 }
 
-// ChunkKey names a part of a subscription's bitmap.
+// ChunkKey identifies a chunk of a subscription's bitmap.
 type ChunkKey struct {
 	Subscription string
 	Chunk        uint64
 }
 
-// Chunk is a part of a subscription's bitmap: the settled revisions from
-// Chunk*ChunkSize on, as roaring's published format in base64.
+// Chunk is a part of a subscription's bitmap: the settled revisions among the
+// ChunkSize ones from Chunk*ChunkSize on, in Roaring's published format as base64.
 type Chunk struct {
 	ChunkKey
 	Bitmap string
 }
 
-// ChunkSize is how many revisions one chunk covers. Its bitmap takes 2 KiB at
-// most, which base64 makes 2.8 KiB: within the smallest value that the
-// deployments allow.
+// ChunkSize is the number of revisions that one chunk covers. The bitmap takes at
+// most 2 KiB, which is 2.8 KiB in base64. This fits into the smallest maximum value
+// size of the deployments.
 const ChunkSize = 1 << 14
 
-// DeadLetter is a notification that was put aside.
+// DeadLetter is a notification that is no longer sent automatically.
 type DeadLetter struct {
 	Subscription string
 	Event        Event
 	Reason       string
 }
 
-// Page asks for a subscription's events after a revision, in order, through
-// Events: they did not fit into memory.
+// FetchEvents requests a subscription's events after a revision, in order, that did
+// not fit into its buffer. They are passed to HandleFetchedEvents.
 type FetchEvents struct {
 	Subscription string
 	After        uint64
-	Limit        int
+	Limit        int // soft limit: the events of one revision stay together
 }
 
 func (Send) action()        {}
--- a/internal/notify/outbox.go
+++ b/internal/notify/outbox.go
@@ -17,103 +17,106 @@
 	"aspenstall/internal/core"
 )
 
-// Config is what an outbox knows from the settings.
+// Config holds the settings of an outbox.
 type Config struct {
-	TermStart     core.Micros // of this leader's term, on its steady clock
+	TermStart     core.Micros // start of this leader's term, monotonic clock
 	Subscriptions []Subscription
 	Receivers     []Receiver
-	// Window is how many events of a subscription are held at once; the others
-	// are asked for when there is room again.
+	// MaxBuffered limits the events of a subscription that are kept in memory. The
+	// others are requested by FetchEvents when there is room again.
 	MaxBuffered int
-	// SaveGap is the least time between two writes, so that acknowledgements
-	// share one. What is put aside does not wait for it, since an attempt may.
+	// MinSaveInterval is the minimum time between two writes, so that several
+	// acknowledgements share one. Dead letters do not wait for it, since a delivery
+	// attempt may be waiting for their write.
 	MinSaveInterval core.Micros
-	// ChunkGap is how long the mark has to catch up before a bitmap is written.
+	// ChunkSaveDelay is how long a changed bitmap waits before it is written. If the
+	// watermark passes the chunk in that time, the write is not needed.
 	ChunkSaveDelay core.Micros
-	MaxOpsPerSave  int // parts of one write
+	MaxOpsPerSave  int // operations in one write; all watermarks count as one
 	InitialBackoff core.Micros
-	MaxBackoff     core.Micros // the longest pause between attempts
+	MaxBackoff     core.Micros // maximum delay between attempts
 }
 
-// Outbox is what one leader knows of undelivered notifications.
+// Outbox is one leader's state of undelivered notifications.
 type Outbox struct {
 	cfg                  Config
 	subscriptions        map[string]*subscriptionState
 	subscriptionsInOrder []*subscriptionState
 	receivers            map[string]*receiverState
 	nextID               uint64
-	inFlight             map[uint64]*jobQueue
-	pendingSave          *pendingSave // the write under way
+	inFlight             map[uint64]*jobQueue // by the ID of the Send
+	pendingSave          *pendingSave         // the write in progress, or nil
 	nextSaveAt           core.Micros
 	actions              []Action
 }
 
-// sub is a subscription's state.
+// subscriptionState is the delivery state of one subscription.
 type subscriptionState struct {
 	Subscription
 	receiver            *receiverState
-	watermark           uint64 // all up to here are settled
-	settled             map[uint64]*roaring.Bitmap
-	unsettled           map[uint64]int // unsettled events by revision
-	awaitingComplete    []uint64       // revisions of which more may come, and all so far is settled
-	revisionHeap        revisionHeap   // their revisions, the lowest first; some may be settled
-	buffered            map[string]bool
-	queues              map[string]*jobQueue // by job
-	ready               queueHeap
-	loadedThrough       uint64 // all events up to here were taken or are settled
-	lastBuffered        uint64 // the last revision of which events were taken
-	overflowed          bool   // those after it are left out until there is room
-	fetching            bool
-	dirtyChunks         map[uint64]bool // chunks that changed since they were written
-	dirtySince          core.Micros     // since when there are any
-	storedChunks        map[uint64]bool // chunks that have a record
-	savedWatermark      uint64
-	deadLettersToPut    []DeadLetter          // to be written
-	deadLettersToDelete []DeadLetter          // whose records are to go
-	deadLetters         map[string]DeadLetter // all that are put aside, written or not
-	sendAfterSave       map[string]*jobQueue  // to be sent once they are written as put aside
-}
-
-// lane is a job's undelivered events in their order: one is sent at a time.
+	watermark           uint64                     // all revisions up to this one are settled
+	settled             map[uint64]*roaring.Bitmap // settled revisions above the watermark, by chunk
+	unsettled           map[uint64]int             // number of unsettled events by revision
+	awaitingComplete    []uint64                   // revisions with all known events settled, of which more events may follow
+	revisionHeap        revisionHeap               // revisions in unsettled, the lowest first; some may be settled by now
+	buffered            map[string]bool            // IDs of the events in the queues
+	queues              map[string]*jobQueue       // by job
+	ready               queueHeap                  // queues that are not busy
+	loadedThrough       uint64                     // all events up to this revision were buffered or are settled
+	lastBuffered        uint64                     // the last revision of which events were buffered
+	overflowed          bool                       // events after loadedThrough are ignored until there is room
+	fetching            bool                       // a FetchEvents is in progress
+	dirtyChunks         map[uint64]bool            // chunks that changed since they were last written
+	dirtySince          core.Micros                // when dirtyChunks last became non-empty
+	storedChunks        map[uint64]bool            // chunks that have a record in the store
+	savedWatermark      uint64                     // the watermark that was last written
+	deadLettersToPut    []DeadLetter               // their records must be written
+	deadLettersToDelete []DeadLetter               // their records must be deleted
+	deadLetters         map[string]DeadLetter      // all dead letters by event ID, whether written or not
+	sendAfterSave       map[string]*jobQueue       // by event ID: sent once its dead letter is written (AtMostOnce)
+}
+
+// jobQueue holds the undelivered events of one job for one subscription, in order. They
+// are sent one at a time.
 type jobQueue struct {
 	sub               *subscriptionState
 	job               string
 	events            []queuedEvent
 	attempts          int
-	possiblyDelivered bool        // an attempt may have had its effect
-	busy              bool        // the first event is on its way, or being claimed
-	nextAttemptAt     core.Micros // steady clock; not before
-	heapIndex         int         // in the heap, -1 if it is not
+	possiblyDelivered bool        // an attempt for the first event may have taken effect
+	busy              bool        // the first event is being sent, or its dead letter is being written
+	nextAttemptAt     core.Micros // monotonic clock
+	heapIndex         int         // index in ready, or -1
 }
 
-// item is an event in a lane.
+// queuedEvent is an event in a jobQueue.
 type queuedEvent struct {
 	Event
-	// counted: it counts as settled already, since it is put aside; it is sent all
-	// the same.
+	// settled is set for an event that is already settled as a dead letter and is
+	// nevertheless sent.
 	settled bool
 }
 
-// receiver is a receiver's state.
+// receiverState holds the use of one receiver, against its limits.
 type receiverState struct {
 	Receiver
 	inFlight        int
-	tokens          float64
+	tokens          float64 // of the token bucket for PerSecond
 	refilledAt      core.Micros
-	sendingStartsAt core.Micros // nothing is sent before
+	sendingStartsAt core.Micros // no attempt is made before this time
 }
 
-// saving is a write under way and what it settles.
+// pendingSave is a write in progress, with the state that it stores.
 type pendingSave struct {
 	id                 uint64
 	watermarks         map[*subscriptionState]uint64
 	putChunks          []ChunkKey
 	deletedChunks      []ChunkKey
-	putDeadLetters     map[*subscriptionState]int
-	deletedDeadLetters map[*subscriptionState]int
+	putDeadLetters     map[*subscriptionState]int // number of entries of deadLettersToPut
+	deletedDeadLetters map[*subscriptionState]int // number of entries of deadLettersToDelete
 }
 
-// New returns an outbox that knows of nothing settled.
+// New returns an outbox without settled revisions; the Load methods add the stored ones.
 func New(cfg Config) *Outbox {
 	o := &Outbox{cfg: cfg, subscriptions: map[string]*subscriptionState{}, receivers: map[string]*receiverState{}, inFlight: map[uint64]*jobQueue{}}
 	for _, r := range cfg.Receivers {
@@ -131,15 +134,15 @@
 	return o
 }
 
-// LoadMark takes over a subscription's mark, as it was written.
+// LoadWatermark restores a subscription's stored watermark. It ignores unknown subscriptions.
 func (o *Outbox) LoadWatermark(m Watermark) {
 	if s := o.subscriptions[m.Subscription]; s != nil {
 		s.watermark, s.savedWatermark, s.loadedThrough = m.Revision, m.Revision, m.Revision
 	}
 }
 
-// From is the revision up to which all is settled of every subscription: what
-// is older need not be told.
+// MinWatermark returns the revision up to which all events of all subscriptions are
+// settled. Older events need not be passed to HandleEvent.
 func (o *Outbox) MinWatermark() uint64 {
 	lowest := uint64(math.MaxUint64)
 	for _, s := range o.subscriptionsInOrder {
@@ -148,32 +151,33 @@
 	return lowest
 }
 
-// LoadChunk takes over a part of a subscription's bitmap, as it was written.
+// LoadChunk restores a stored chunk of a subscription's bitmap. It returns an error if the
+// bitmap cannot be decoded.
 func (o *Outbox) LoadChunk(c Chunk) error {
 	s := o.subscriptions[c.Subscription]
 	if s == nil {
-		return nil // a subscription that is no more
+		return nil // the subscription no longer exists
 	}
 	b, err := base64.StdEncoding.DecodeString(c.Bitmap)
 	if err != nil {
-		return fmt.Errorf("settled of %s: %w", c.Subscription, err)
+		return fmt.Errorf("settled revisions of subscription %s: %w", c.Subscription, err)
 	}
 	bm := roaring.New()
 	if err := bm.UnmarshalBinary(b); err != nil {
-		return fmt.Errorf("settled of %s: %w", c.Subscription, err)
+		return fmt.Errorf("settled revisions of subscription %s: %w", c.Subscription, err)
 	}
 	s.settled[c.Chunk], s.storedChunks[c.Chunk] = bm, true
 	return nil
 }
 
-// LoadDead takes over a dead letter, as it was written.
+// LoadDeadLetter restores a stored dead letter. It ignores unknown subscriptions.
 func (o *Outbox) LoadDeadLetter(d DeadLetter) {
 	if s := o.subscriptions[d.Subscription]; s != nil {
 		s.deadLetters[eventID(&d.Event)] = d
 	}
 }
 
-// Dead lists the dead letters of a subscription.
+// DeadLetters returns the dead letters of a subscription, ordered by revision, job and kind.
 func (o *Outbox) DeadLetters(name string) []DeadLetter {
 	s := o.subscriptions[name]
 	if s == nil {
@@ -189,8 +193,9 @@
 	return out
 }
 
-// Retry has a dead letter sent again, behind what its job's lane holds; false if
-// there is none, it is on its way, or its record is not written yet. Drop forgets one.
+// RetryDeadLetter queues a dead letter to be sent again, behind the event of its job that
+// is being sent. It returns false if there is no such dead letter, if it is already queued,
+// or if its record is not written yet.
 func (o *Outbox) RetryDeadLetter(now core.Micros, name, job string, kind Kind) bool {
 	e := Event{Job: job, Kind: kind}
 	s := o.subscriptions[name]
@@ -206,7 +211,8 @@
 	return true
 }
 
-// Drop forgets a dead letter.
+// DeleteDeadLetter deletes a dead letter. It returns false if there is none, if it is queued
+// to be sent again, or if its record is not written yet.
 func (o *Outbox) DeleteDeadLetter(name, job string, kind Kind) bool {
 	e := Event{Job: job, Kind: kind}
 	s := o.subscriptions[name]
@@ -216,12 +222,13 @@
 	return s.deleteDeadLetter(&e)
 }
 
-// unwritten reports whether a dead letter's record is still to be written.
+// deadLetterUnsaved reports whether the record of an event's dead letter is not written yet.
 func (s *subscriptionState) deadLetterUnsaved(e *Event) bool {
 	return slices.ContainsFunc(s.deadLettersToPut, func(d DeadLetter) bool { return d.Event.Job == e.Job && d.Event.Kind == e.Kind })
 }
 
-// revive ends a dead letter's record.
+// deleteDeadLetter removes an event's dead letter and schedules the deletion of its record.
+// It reports whether there was one.
 func (s *subscriptionState) deleteDeadLetter(e *Event) bool {
 	d, ok := s.deadLetters[eventID(e)]
 	if ok {
@@ -231,6 +238,7 @@
 	return ok
 }
 
+// isSettled reports whether a revision is settled.
 func (s *subscriptionState) isSettled(rev uint64) bool {
 	if rev <= s.watermark {
 		return true
@@ -239,15 +247,15 @@
 	return bm != nil && bm.Contains(uint32(rev%ChunkSize))
 }
 
-// Event takes an event that is new. Events come in the order of their
-// revisions, and all of one revision before Complete.
+// HandleEvent processes a new event. Events must be passed in the order of their
+// revisions, and all events of a revision before HandleEventsComplete for it.
 func (o *Outbox) HandleEvent(now core.Micros, e Event) {
 	for _, s := range o.subscriptionsInOrder {
 		if !s.matches(&e) {
 			continue
 		}
-		// A revision is taken whole or left out whole: it is settled once all that
-		// was taken of it is.
+		// Either all events of a revision are buffered or none, since a revision counts as
+		// settled when all of its buffered events are.
 		if !s.overflowed && len(s.buffered) >= o.cfg.MaxBuffered && e.Revision > s.lastBuffered {
 			s.loadedThrough = max(s.loadedThrough, s.lastBuffered)
 			s.overflowed = true
@@ -260,7 +268,7 @@
 	}
 }
 
-// Complete says that every event up to a revision has come.
+// HandleEventsComplete records that all events up to a revision have been passed in.
 func (o *Outbox) HandleEventsComplete(rev uint64) {
 	for _, s := range o.subscriptionsInOrder {
 		if !s.overflowed {
@@ -270,8 +278,9 @@
 	}
 }
 
-// Events is the answer to Page: the subscription's events after the revision
-// that was asked for, in order; upTo is the last revision that they cover.
+// HandleFetchedEvents processes the result of FetchEvents: the subscription's events after
+// the requested revision, in order. upTo is the last revision that they cover, and all
+// reports whether there are no later events.
 func (o *Outbox) HandleFetchedEvents(now core.Micros, name string, events []Event, upTo uint64, all bool) {
 	s := o.subscriptions[name]
 	if s == nil || !s.fetching {
@@ -288,9 +297,10 @@
 	s.advanceWatermark()
 }
 
+// eventID returns the ID of an event within a subscription.
 func eventID(e *Event) string { return e.Job + "/" + e.Kind.String() }
 
-// take holds an event unless it is settled or held.
+// buffer queues an event unless it is settled, already queued or a dead letter.
 func (s *subscriptionState) buffer(now core.Micros, e Event) {
 	_, isDeadLetter := s.deadLetters[eventID(&e)]
 	if s.isSettled(e.Revision) || s.buffered[eventID(&e)] || isDeadLetter {
@@ -304,8 +314,8 @@
 	s.enqueue(now, queuedEvent{e, false})
 }
 
-// lane puts an event into its job's lane, in the order of revisions and kinds,
-// but behind one that is on its way.
+// enqueue adds an event to its job's queue, in the order of revisions and kinds, but behind
+// a first event that is being sent or has been attempted.
 func (s *subscriptionState) enqueue(now core.Micros, e queuedEvent) {
 	q := s.queues[e.Job]
 	if q == nil {
@@ -325,7 +335,8 @@
 	}
 }
 
-// settle ends the lane's first event.
+// removeFirst settles and removes the first event of a queue, and makes the queue ready for
+// the next event.
 func (o *Outbox) removeFirst(now core.Micros, q *jobQueue) {
 	s, e := q.sub, q.events[0]
 	if !e.settled {
@@ -341,7 +352,7 @@
 	}
 }
 
-// count counts an event as settled.
+// settleEvent counts an event as settled, and settles its revision if it was the last one.
 func (s *subscriptionState) settleEvent(e *Event) {
 	if s.unsettled[e.Revision]--; s.unsettled[e.Revision] > 0 {
 		return
@@ -354,7 +365,7 @@
 	s.advanceWatermark()
 }
 
-// close settles a revision.
+// settleRevision adds a revision to the bitmap of settled revisions.
 func (s *subscriptionState) settleRevision(rev uint64) {
 	delete(s.unsettled, rev)
 	c := rev / ChunkSize
@@ -365,11 +376,12 @@
 	s.dirtyChunks[c] = true
 }
 
-// advance moves the mark up to before the first event that is not settled.
+// advanceWatermark moves the watermark up to the revision before the first unsettled one,
+// and removes the chunks below it.
 func (s *subscriptionState) advanceWatermark() {
 	s.awaitingComplete = slices.DeleteFunc(s.awaitingComplete, func(rev uint64) bool {
 		if n, ok := s.unsettled[rev]; rev > s.loadedThrough || ok && n > 0 {
-			return ok && n > 0 // it is open again, and comes back here
+			return ok && n > 0 // more events of it were buffered: settleEvent adds it again
 		}
 		s.settleRevision(rev)
 		return true
@@ -390,7 +402,7 @@
 	}
 }
 
-// Step returns what is to be done now. wall is the time of day.
+// Step returns the actions that are due at the monotonic time now. wall is the wall-clock time.
 func (o *Outbox) Step(now, wall core.Micros) []Action {
 	for _, s := range o.subscriptionsInOrder {
 		o.sendDue(now, wall, s)
@@ -405,7 +417,8 @@
 	return out
 }
 
-// send sends what is due of a subscription, as far as its receiver's limits go.
+// sendDue emits Send actions for a subscription's queues that are due, as far as the limits
+// of its receiver allow.
 func (o *Outbox) sendDue(now, wall core.Micros, s *subscriptionState) {
 	for len(s.ready) > 0 && s.ready[0].nextAttemptAt <= now {
 		q := s.ready[0]
@@ -432,7 +445,8 @@
 	}
 }
 
-// claim puts the lane's first event aside, to be sent once that is written.
+// deadLetterBeforeSend makes the first event of a queue a dead letter; the event is sent once
+// that is written. With AtMostOnce, a new leader then does not send it again.
 func (o *Outbox) deadLetterBeforeSend(q *jobQueue) {
 	s, e := q.sub, &q.events[0]
 	s.addDeadLetter(&e.Event, "it is sent once at most, and it is not known whether it was delivered")
@@ -441,13 +455,14 @@
 	s.sendAfterSave[eventID(&e.Event)] = q
 }
 
+// addDeadLetter makes an event a dead letter and schedules the write of its record.
 func (s *subscriptionState) addDeadLetter(e *Event, reason string) {
 	d := DeadLetter{Subscription: s.Name, Event: *e, Reason: reason}
 	s.deadLetters[eventID(e)] = d
 	s.deadLettersToPut = append(s.deadLettersToPut, d)
 }
 
-// admit takes one attempt from the receiver's limits.
+// allowAttempt reports whether the receiver's limits allow an attempt now, and if so counts it.
 func (r *receiverState) allowAttempt(now core.Micros) bool {
 	if r.MaxInFlight > 0 && r.inFlight >= r.MaxInFlight {
 		return false
@@ -464,8 +479,8 @@
 	return true
 }
 
-// Sent is the result of Send. after is when the receiver wants to be asked
-// again, 0 if it does not say.
+// HandleSendResult processes the outcome of the Send with an ID. after is the delay that the
+// receiver requested before the next attempt, or 0.
 func (o *Outbox) HandleSendResult(now core.Micros, id uint64, out Outcome, after core.Micros) {
 	q := o.inFlight[id]
 	if q == nil {
@@ -481,7 +496,7 @@
 	case out == Rejected:
 		o.deadLetterFirst(now, q, "its receiver refused it")
 	case out == Unknown && q.sub.DeliveryGuarantee == AtMostOnce:
-		o.removeFirst(now, q) // it stays aside
+		o.removeFirst(now, q) // it remains a dead letter
 	default:
 		if out == Unknown {
 			q.possiblyDelivered = true
@@ -492,14 +507,15 @@
 	}
 }
 
-// putAside settles the lane's first event as a dead letter.
+// deadLetterFirst makes the first event of a queue a dead letter and removes it from the queue.
 func (o *Outbox) deadLetterFirst(now core.Micros, q *jobQueue, reason string) {
 	q.sub.addDeadLetter(&q.events[0].Event, reason)
 	o.removeFirst(now, q)
 }
 
-// pause is how long a lane waits after a failed attempt: doubled each time, and
-// spread by its key, so that not all come back at once.
+// retryDelay returns the delay of a queue after a failed attempt. It doubles with each attempt,
+// and is multiplied by a factor of 0.5 to 1.5 that is derived from the key and the attempt, so
+// that retries are spread over time.
 func (o *Outbox) retryDelay(q *jobQueue) core.Micros {
 	b := backoff.ExponentialBackOff{
 		InitialInterval: time.Duration(o.cfg.InitialBackoff) * time.Microsecond, Multiplier: 2, RandomizationFactor: 0,
@@ -519,9 +535,10 @@
 	return core.Micros(float64(d/time.Microsecond) * (0.5 + spread))
 }
 
-// save writes what has been settled since the last write, once in a while.
+// saveDue emits a Save with the changes since the last write, if one is due.
 //
-// What is put aside is settled with its own record or after it.
+// An event that becomes a dead letter is written as settled together with the record of the
+// dead letter or after it, never before.
 func (o *Outbox) saveDue(now core.Micros) {
 	for _, s := range o.subscriptionsInOrder {
 		if len(s.dirtyChunks) == 0 {
@@ -549,7 +566,7 @@
 	}
 	if marks > 0 {
 		for _, s := range o.subscriptionsInOrder {
-			// A mark does not pass what is put aside and not written yet.
+			// The watermark must not pass a dead letter that is not written yet.
 			to := s.watermark
 			if pending.putDeadLetters[s] < len(s.deadLettersToPut) {
 				to = s.savedWatermark
@@ -559,29 +576,29 @@
 		}
 	}
 	for _, s := range o.subscriptionsInOrder {
-		// If not all that is put aside did fit, there is no room for this either.
+		// If not all dead letters fitted into this write, there is no room for a chunk either.
 		for _, c := range sortedKeys(s.dirtyChunks) {
 			if !room() || now-s.dirtySince < o.cfg.ChunkSaveDelay {
 				break
 			}
 			b, err := s.settled[c].ToBytes()
 			if err != nil {
-				continue // into memory: it does not fail
+				continue // writing to memory does not fail
 			}
 			state := ChunkKey{s.Name, c}
 			a.PutChunks = append(a.PutChunks, Chunk{state, base64.StdEncoding.EncodeToString(b)})
 			pending.putChunks = append(pending.putChunks, state)
 			delete(s.dirtyChunks, c)
 		}
-		to := max(s.savedWatermark, pending.watermarks[s]) // what is the mark once this is written
+		to := max(s.savedWatermark, pending.watermarks[s]) // the stored watermark after this write
 		for _, c := range sortedKeys(s.storedChunks) {
 			if s.settled[c] == nil && to >= s.watermark && room() {
 				a.DeleteChunks = append(a.DeleteChunks, ChunkKey{s.Name, c})
 				pending.deletedChunks = append(pending.deletedChunks, ChunkKey{s.Name, c})
 			}
 		}
-		// A record of what is put aside goes only when that is written as settled:
-		// nothing else would say so to the next leader.
+		// The record of a dead letter is deleted only when its event is stored as settled.
+		// Otherwise the next leader would send the event again.
 		for len(s.deadLettersToDelete) > pending.deletedDeadLetters[s] && room() && s.settlementSaved(s.deadLettersToDelete[pending.deletedDeadLetters[s]].Event.Revision, to) {
 			a.DeleteDeadLetters = append(a.DeleteDeadLetters, s.deadLettersToDelete[pending.deletedDeadLetters[s]])
 			pending.deletedDeadLetters[s]++
@@ -594,7 +611,7 @@
 	o.actions = append(o.actions, a)
 }
 
-// saveDue is when there is next something to write, given what is known now.
+// nextSave returns when the next write is due if nothing changes, or MaxMicros.
 func (o *Outbox) nextSave(now core.Micros) core.Micros {
 	at := core.MaxMicros
 	if o.pendingSave != nil {
@@ -613,7 +630,7 @@
 	return at
 }
 
-// passed reports whether a bitmap has a record that the mark has passed.
+// hasObsoleteChunk reports whether a stored chunk is below the watermark.
 func (s *subscriptionState) hasObsoleteChunk() bool {
 	for c := range s.storedChunks {
 		if s.settled[c] == nil {
@@ -623,7 +640,7 @@
 	return false
 }
 
-// written reports whether a revision is written as settled, given the mark.
+// settlementSaved reports whether a revision is stored as settled, given the stored watermark.
 func (s *subscriptionState) settlementSaved(rev, watermark uint64) bool {
 	if rev <= watermark {
 		return true
@@ -632,6 +649,7 @@
 	return s.settled[c] != nil && s.settled[c].Contains(uint32(rev%ChunkSize)) && !s.dirtyChunks[c]
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys(m map[uint64]bool) []uint64 {
 	out := make([]uint64, 0, len(m))
 	for state := range m {
@@ -641,8 +659,8 @@
 	return out
 }
 
-// Saved is the result of Save. What was not stored, or may not have been, is
-// written again: the records say the same whoever writes them twice.
+// HandleSaveResult processes the result of the Save with an ID. Changes that were not stored,
+// or may not have been, are written again: the writes are idempotent.
 func (o *Outbox) HandleSaveResult(now core.Micros, save uint64, ok bool) {
 	pending := o.pendingSave
 	if pending == nil || pending.id != save {
@@ -682,14 +700,16 @@
 	}
 }
 
-// Wake is when Step is wanted next if nothing happens before.
+// NextStepAt returns when Step must be called next if nothing happens before then.
 func (o *Outbox) NextStepAt(now core.Micros) core.Micros {
 	at := o.nextSave(now)
 	for _, s := range o.subscriptionsInOrder {
 		if len(s.ready) > 0 {
 			next := max(s.ready[0].nextAttemptAt, s.receiver.sendingStartsAt)
 			if r := s.receiver; next <= now {
-				// Its receiver's limits hold it: in flight is an event, tokens come.
+				// The receiver's limits delay the queue. If the limit is MaxInFlight, the
+				// result of an attempt triggers the next step; if it is the rate, wait for a
+				// token.
 				next = core.MaxMicros
 				if r.PerSecond > 0 && (r.MaxInFlight == 0 || r.inFlight < r.MaxInFlight) {
 					next = now + core.Micros(math.Ceil(float64(core.Second)/r.PerSecond))
@@ -701,8 +721,8 @@
 	return at
 }
 
-// Undelivered counts a subscription's events that are held, and says whether
-// there are more that are not.
+// Undelivered returns the number of a subscription's undelivered events in memory, and whether
+// there are more outside.
 func (o *Outbox) Undelivered(name string) (buffered int, more bool) {
 	s := o.subscriptions[name]
 	if s == nil {
@@ -711,7 +731,7 @@
 	return len(s.buffered), s.overflowed
 }
 
-// revisions is a heap of revisions, the lowest first.
+// revisionHeap is a heap of revisions, the lowest first.
 type revisionHeap []uint64
 
 func (h revisionHeap) Len() int               { return len(h) }
@@ -724,7 +744,7 @@
 	return v
 }
 
-// lanes is a heap of lanes that wait, the first due first.
+// queueHeap is a heap of queues by the time of their next attempt, the earliest first.
 type queueHeap []*jobQueue
 
 func (h queueHeap) Len() int { return len(h) }
