--- a/internal/notify/names_test.go
+++ b/internal/notify/names_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Names and values that are kept, sent and set.
+// The names of kinds appear in settings and messages, and their values are stored.
 func TestKindNames(t *testing.T) {
 	var got []string
 	for k := range kindCount {
 		got = append(got, k.String())
 		if back, ok := ParseKind(k.String()); !ok || back != k {
-			t.Errorf("%v is read as %v", k, back)
+			t.Errorf("%v is parsed as %v", k, back)
 		}
 	}
 	if want := []string{"accepted", "started", "late", "failing", "unmet", "done", "cancelled"}; !slices.Equal(got, want) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Receivers tell notifications that were sent by earlier versions by their keys.
+// The key of a notification must be the same in all versions, since receivers deduplicate by it.
 func TestIdempotencyKey(t *testing.T) {
 	const want = "f979d61ecddb1074ac8d38d127babf08"
 	if got := IdempotencyKey("s", &Event{Job: "job-1", Kind: Done}); got != want {
--- a/internal/notify/outbox_test.go
+++ b/internal/notify/outbox_test.go
@@ -10,14 +10,14 @@
 	"aspenstall/internal/core"
 )
 
-var longRun = flag.Bool("long", false, "play the outbox's days with ten times as many events")
+var longRun = flag.Bool("long", false, "run the outbox fault scenarios with more events and seeds")
 
-// book is what receivers did: it knows only keys and what was sent.
+// fakeReceiver records the effects of the notifications that a receiver accepted.
 type fakeReceiver struct {
-	deduplicates bool            // it keeps keys: a repetition has no effect
-	seenKeys     map[string]bool // keys
-	effects      map[string]int  // by subscription, job and kind
-	order        map[string][]uint64
+	deduplicates bool                // a notification with a known key has no second effect
+	seenKeys     map[string]bool     // idempotency keys
+	effects      map[string]int      // by subscription, job and kind
+	order        map[string][]uint64 // by subscription and job: revisions and kinds as received
 }
 
 func (b *fakeReceiver) receive(a Send) {
@@ -30,13 +30,13 @@
 	b.order[k] = append(b.order[k], a.Event.Revision*uint64(kindCount)+uint64(a.Event.Kind))
 }
 
-// records is what the state service holds.
+// fakeStore holds the records of the state service.
 type fakeStore struct {
-	events      []Event // in order, those of one revision side by side
+	events      []Event // ordered by revision
 	watermarks  map[string]uint64
 	chunks      map[ChunkKey]Chunk
 	deadLetters map[string]DeadLetter
-	maxOps      int // parts of one write
+	maxOps      int // largest number of operations in one write
 }
 
 func (r *fakeStore) write(a Save) {
@@ -99,17 +99,17 @@
 	return events, upTo, all
 }
 
-// day is one outbox after the other, each ended at some moment, with receivers
-// that lose replies and state that loses answers.
+// scenario runs a sequence of outboxes, each ended at a random time by a change of leader, with
+// receivers whose replies are lost and a state service whose writes and answers are lost.
 type scenario struct {
 	t         *testing.T
 	rng       *rand.Rand
 	cfg       Config
 	outbox    *Outbox
 	store     *fakeStore
-	receivers map[string]*fakeReceiver // by receiver
+	receivers map[string]*fakeReceiver // by name
 	now       core.Micros
-	pending   []func() // things under way, executed in any order
+	pending   []func() // operations in progress, completed in random order
 	term      int
 	restarts  int
 	revision  uint64
@@ -156,13 +156,13 @@
 	return nil
 }
 
-// poison reports whether the receiver never takes an event.
+// alwaysRejects reports whether the receiver rejects an event permanently.
 func (sc *scenario) alwaysRejects(sub string, e *Event) bool {
 	return sub == "s3" && e.Job[len(e.Job)-1] == '4'
 }
 
-// do does what the outbox wants, in its own time; what belongs to an outbox that
-// has ended goes on all the same, but is not heard of.
+// execute starts the actions of the outbox. Actions of an outbox that has ended are still
+// completed, but their results are discarded.
 func (sc *scenario) execute(actions []Action) {
 	for _, a := range actions {
 		o, term := sc.outbox, sc.term
@@ -176,7 +176,7 @@
 		case Send:
 			sent := sc.now
 			b, limit := sc.receiver(a.Subscription), sc.maxMessageAge(a.Subscription)
-			// One that keeps no keys refuses what was sent too long ago.
+			// A receiver that does not deduplicate rejects messages that were sent too long ago.
 			effect := func() {
 				if limit == 0 || sc.now-sent <= limit {
 					b.receive(a)
@@ -193,21 +193,21 @@
 				}
 				p := sc.rng.Float64()
 				if limit > 0 && sc.rng.IntN(3) == 0 {
-					p = 0.87 // late, often
+					p = 0.87 // more often delivered late
 				}
 				switch {
 				case sc.alwaysRejects(a.Subscription, &a.Event):
 					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Rejected, 0) })
-				case p < 0.75: // has its effect, and the reply comes
+				case p < 0.75: // takes effect, and the reply arrives
 					effect()
 					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Delivered, 0) })
-				case p < 0.85: // has its effect, and the reply is lost
+				case p < 0.85: // takes effect, and the reply is lost
 					effect()
 					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Unknown, 0) })
-				case p < 0.90: // has its effect long after it was given up
+				case p < 0.90: // takes effect long after the attempt was given up
 					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Unknown, 0) })
 					later(effect)
-				case p < 0.95:
+				case p < 0.95: // is lost
 					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, Unknown, 0) })
 				default:
 					ifCurrent(func() { o.HandleSendResult(sc.now, a.ID, NotDelivered, 2*core.Second) })
@@ -215,7 +215,7 @@
 			})
 		case Save:
 			later(func() {
-				// A leader that was deposed does not write: its term is over.
+				// The writes of a leader whose term is over are rejected.
 				if term != sc.term {
 					return
 				}
@@ -236,7 +236,7 @@
 	}
 }
 
-// step lets a tenth of a second go by.
+// advance moves the time forward by 0.1 s, sometimes with new events.
 func (sc *scenario) advance() {
 	sc.now += core.Second / 10
 	if sc.rng.IntN(4) == 0 {
@@ -252,7 +252,7 @@
 			sc.store.events = append(sc.store.events, e)
 			sc.outbox.HandleEvent(sc.now, e)
 			if sc.rng.IntN(4) == 0 {
-				sc.runPending() // what came so far may be under way before the rest comes
+				sc.runPending() // these events may be sent before the rest of the revision arrives
 			}
 		}
 		sc.outbox.HandleEventsComplete(sc.revision)
@@ -260,6 +260,7 @@
 	sc.runPending()
 }
 
+// runPending executes a step of the outbox, and completes a random part of the pending operations.
 func (sc *scenario) runPending() {
 	sc.execute(sc.outbox.Step(sc.now, sc.now))
 	sc.rng.Shuffle(len(sc.pending), func(i, k int) { sc.pending[i], sc.pending[k] = sc.pending[k], sc.pending[i] })
@@ -274,7 +275,7 @@
 	}
 }
 
-// end ends the leader; the next one reads what was written.
+// restart ends the leader; a new one loads the stored records.
 func (sc *scenario) restart() {
 	sc.restarts++
 	sc.term++
@@ -283,10 +284,9 @@
 	sc.store.load(sc.t, sc.outbox, sc.now)
 }
 
-// Over days on which the leader ends again and again, replies are lost and
-// writes are lost, each event has exactly one effect where the receiver keeps
-// keys, at least one or at most one where it does not and the operator chose so;
-// a job's events come in order; and in the end nothing is kept but the marks.
+// While the leader changes repeatedly and replies and writes are lost, each event takes effect
+// exactly once, at least once or at most once, as its subscription's guarantee says. With
+// ExactlyOnce, a job's events arrive in order. In the end, all bitmaps have been deleted.
 func TestOutboxUnderFaults(t *testing.T) {
 	events, seeds := 2000, uint64(4)
 	if *longRun {
@@ -308,7 +308,7 @@
 			}
 		}
 		if sc.restarts < 50 {
-			t.Errorf("seed %d: the leader ended %d times", seed, sc.restarts)
+			t.Errorf("seed %d: the leader changed only %d times", seed, sc.restarts)
 		}
 		wrong := 0
 		for _, s := range sc.cfg.Subscriptions {
@@ -323,38 +323,37 @@
 				_, isDeadLetter := sc.store.deadLetters[k]
 				if sc.alwaysRejects(s.Name, e) {
 					if n != 0 || !isDeadLetter {
-						t.Errorf("seed %d: %s, which is never taken: %d effects, put aside %v", seed, k, n, isDeadLetter)
+						t.Errorf("seed %d: %s, which its receiver rejects: %d effects, dead letter %v", seed, k, n, isDeadLetter)
 					}
 					continue
 				}
 				bad := s.DeliveryGuarantee == ExactlyOnce && (n != 1 || isDeadLetter) || s.DeliveryGuarantee == AtLeastOnce && n < 1 || s.DeliveryGuarantee == AtMostOnce && (n > 1 || n == 0 && !isDeadLetter)
 				if bad && wrong < 5 {
 					wrong++
-					t.Errorf("seed %d: %s: %d effects, put aside %v", seed, k, n, isDeadLetter)
+					t.Errorf("seed %d: %s: %d effects, dead letter %v", seed, k, n, isDeadLetter)
 				}
 			}
 			if s.DeliveryGuarantee == ExactlyOnce {
 				for job, revs := range b.order {
 					if !slices.IsSorted(revs) {
-						t.Errorf("seed %d: %s in the order %v", seed, job, revs)
+						t.Errorf("seed %d: events of %s arrived in the order %v", seed, job, revs)
 					}
 				}
 			}
 			if buffered, more := sc.outbox.Undelivered(s.Name); buffered != 0 || more {
-				t.Errorf("seed %d: %s holds %d, more %v", seed, s.Name, buffered, more)
+				t.Errorf("seed %d: %s has %d undelivered events, more %v", seed, s.Name, buffered, more)
 			}
 		}
 		if len(sc.store.chunks) > 0 {
-			t.Errorf("seed %d: %d bitmaps are kept", seed, len(sc.store.chunks))
+			t.Errorf("seed %d: %d chunks are left in the store", seed, len(sc.store.chunks))
 		}
 		if sc.store.maxOps > sc.cfg.MaxOpsPerSave {
-			t.Errorf("seed %d: a write of %d parts", seed, sc.store.maxOps)
+			t.Errorf("seed %d: a write had %d operations", seed, sc.store.maxOps)
 		}
 	}
 }
 
-// What could not be written, or may not have been, is written again; nothing
-// counts as written before.
+// A failed write is repeated, and its changes count as stored only once it succeeds.
 func TestFailedSaveIsRetried(t *testing.T) {
 	o := New(Config{
 		Subscriptions: []Subscription{{Name: "s", Receiver: "r", Kinds: []Kind{Done}}}, Receivers: []Receiver{{Name: "r"}}, MaxBuffered: 10, MaxOpsPerSave: 10,
@@ -366,8 +365,8 @@
 	}
 	o.HandleEventsComplete(6)
 	actions := o.Step(now, now)
-	o.HandleSaveResult(now, actions[2].(Save).ID, true)         // the mark, up to 4
-	o.HandleSendResult(now, actions[1].(Send).ID, Delivered, 0) // the later one: the mark stays before the first
+	o.HandleSaveResult(now, actions[2].(Save).ID, true)         // the watermark 4
+	o.HandleSendResult(now, actions[1].(Send).ID, Delivered, 0) // the later event: the watermark stays below the first one
 	save := func() Save {
 		t.Helper()
 		now += 2 * core.Second
@@ -376,25 +375,25 @@
 				return a
 			}
 		}
-		t.Fatal("nothing is written")
+		t.Fatal("no Save action")
 		return Save{}
 	}
 	first := save()
 	o.HandleSaveResult(now, first.ID, false)
 	again := save()
 	if len(again.PutChunks) != 1 || again.PutChunks[0] != first.PutChunks[0] || len(again.Watermarks) != 0 {
-		t.Errorf("first %+v, then %+v", first, again)
+		t.Errorf("first write %+v, repeated as %+v", first, again)
 	}
 	o.HandleSaveResult(now, again.ID, true)
 	o.HandleSendResult(now, actions[0].(Send).ID, Delivered, 0)
 	last := save()
 	if len(last.DeleteChunks) != 1 || last.Watermarks[0].Revision != 6 {
-		t.Errorf("in the end %+v", last)
+		t.Errorf("last write %+v, want a deleted chunk and the watermark 6", last)
 	}
 }
 
-// A receiver's limits hold one another back in nothing, and a failed attempt is
-// repeated later and later, not before its receiver wants it.
+// The limits of one receiver do not delay another one. The delay after failed attempts grows
+// exponentially, and is at least the one that the receiver requests.
 func TestReceiverLimitsAndBackoff(t *testing.T) {
 	o := New(Config{
 		Subscriptions: []Subscription{{Name: "slow", Receiver: "one", Kinds: []Kind{Done}}, {Name: "fast", Receiver: "rated", Kinds: []Kind{Done}}},
@@ -418,16 +417,16 @@
 	}
 	slow, fast := sent()
 	if len(slow) != 1 || len(fast) != 4 {
-		t.Fatalf("%d and %d at once", len(slow), len(fast))
+		t.Fatalf("%d and %d sends in the first step, want 1 and 4", len(slow), len(fast))
 	}
 	if w := o.NextStepAt(now); w != now+core.Second/4 {
-		t.Errorf("wakes after %d us", w-now)
+		t.Errorf("next step after %d us, want 250000", w-now)
 	}
 	now += core.Second
 	if slow, fast := sent(); len(slow) != 0 || len(fast) != 4 {
-		t.Errorf("a second later %d and %d", len(slow), len(fast))
+		t.Errorf("%d and %d sends a second later, want 0 and 4", len(slow), len(fast))
 	}
-	// The first of the slow one fails again and again; the others go on meanwhile.
+	// The first event of the slow receiver fails repeatedly; the others are sent meanwhile.
 	var gaps []core.Micros
 	first, since := slow[0], now
 	o.HandleSendResult(now, first.ID, Unknown, 0)
@@ -440,7 +439,7 @@
 				continue
 			}
 			if !a.PossiblyDelivered || a.Key != first.Key || a.Attempt != len(gaps)+2 {
-				t.Errorf("again: %+v", a)
+				t.Errorf("retry %+v", a)
 			}
 			gaps = append(gaps, now-since)
 			since = now
@@ -450,10 +449,10 @@
 	for i, g := range gaps {
 		want := min(core.Second<<i, 8*core.Second)
 		if g < want/2 || g > want*3/2+core.Second/10 {
-			t.Errorf("pause %d is %d us, want about %d", i, g, want)
+			t.Errorf("delay %d is %d us, want about %d", i, g, want)
 		}
 	}
-	// As long as its receiver says, if that is longer.
+	// A longer delay that the receiver requests is observed.
 	for {
 		now += core.Second / 20
 		if slow, _ := sent(); len(slow) == 1 {
@@ -466,15 +465,15 @@
 		now += core.Second / 20
 		if slow, _ := sent(); len(slow) == 1 {
 			if now-since < 60*core.Second {
-				t.Errorf("again after %d us", now-since)
+				t.Errorf("retried after %d us, want at least 60 s", now-since)
 			}
 			break
 		}
 	}
 }
 
-// What is undelivered after its deadline is put aside, listed, and sent again
-// when an operator wants it.
+// An event that is undelivered after its deadline becomes a dead letter, which is listed and can
+// be retried or deleted.
 func TestDeadLetters(t *testing.T) {
 	o := New(Config{
 		Subscriptions: []Subscription{{Name: "s", Receiver: "r", Kinds: []Kind{Done}, Deadline: 100 * core.Second}},
@@ -497,39 +496,39 @@
 		return sends
 	}
 	if sends := step(); len(sends) != 4 {
-		t.Fatalf("%d sent", len(sends))
+		t.Fatalf("%d sent, want 4", len(sends))
 	}
 	now += 200 * core.Second
-	o.pendingSave = &pendingSave{} // a write is under way: nothing is written meanwhile
+	o.pendingSave = &pendingSave{} // with a write in progress, no other one starts
 	o.sendDue(now, now, o.subscriptions["s"])
 	dead := o.DeadLetters("s")
 	if len(dead) != 8 {
-		t.Fatalf("%d put aside", len(dead))
+		t.Fatalf("%d dead letters, want 8", len(dead))
 	}
 	if first := dead[0].Event; o.RetryDeadLetter(now, "s", first.Job, Done) || o.DeleteDeadLetter("s", first.Job, Done) {
-		t.Error("a dead letter is touched before it is written")
+		t.Error("an unsaved dead letter was retried or deleted")
 	}
 	o.pendingSave = nil
 	step()
 	again, deleted := dead[0].Event, dead[1].Event
 	if !o.RetryDeadLetter(now, "s", again.Job, Done) || o.RetryDeadLetter(now, "s", again.Job, Done) || o.RetryDeadLetter(now, "s", "none", Done) {
-		t.Error("retry of a dead letter")
+		t.Error("RetryDeadLetter must succeed once, and fail for an unknown job")
 	}
 	if !o.DeleteDeadLetter("s", deleted.Job, Done) || len(o.DeadLetters("s")) != 7 {
-		t.Error("drop of a dead letter")
+		t.Error("DeleteDeadLetter did not delete the dead letter")
 	}
 	sends := step()
 	if len(sends) != 1 || sends[0].Event.Job != again.Job {
-		t.Fatalf("sent again: %+v", sends)
+		t.Fatalf("sent after the retry: %+v", sends)
 	}
 	o.HandleSendResult(now, sends[0].ID, Delivered, 0)
 	if len(o.DeadLetters("s")) != 6 {
-		t.Errorf("%d are left", len(o.DeadLetters("s")))
+		t.Errorf("%d dead letters are left, want 6", len(o.DeadLetters("s")))
 	}
 }
 
-// What was delivered before its revision was complete is not sent again when the
-// window fills up in between and older events are read again.
+// An event that is delivered before its revision is complete is not sent again when the buffer
+// overflows in between and its revision is fetched again.
 func TestBufferOverflow(t *testing.T) {
 	o := New(Config{
 		Subscriptions: []Subscription{{Name: "s", Receiver: "r", Kinds: []Kind{Done}, DeliveryGuarantee: AtLeastOnce}}, Receivers: []Receiver{{Name: "r"}}, MaxBuffered: 2, MaxOpsPerSave: 10,
@@ -560,23 +559,23 @@
 		step()
 	}
 	if buffered, more := o.Undelivered("s"); buffered != 2 || !more {
-		t.Fatalf("holds %d, more %v", buffered, more)
+		t.Fatalf("%d undelivered events, more %v; want 2, true", buffered, more)
 	}
 	o.setFetching("s")
 	o.HandleFetchedEvents(now, "s", []Event{event(4), event(5), event(6), event(7)}, 7, true)
 	step()
 	for job, want := range map[string]int{"4": 1, "5": 1, "6": 1, "7": 1} {
 		if sent[job] != want {
-			t.Errorf("%s was sent %d times", job, sent[job])
+			t.Errorf("event of job %s was sent %d times", job, sent[job])
 		}
 	}
 }
 
-// asked has the outbox believe that it asked for a page.
+// setFetching marks a FetchEvents of a subscription as in progress.
 func (o *Outbox) setFetching(sub string) { o.subscriptions[sub].fetching = true }
 
-// A dead letter that may not go yet wakes nobody: what it waits for is written
-// first. Without that the node would go round and round until then.
+// A dead letter that cannot be deleted yet does not make the next step due: its event must be
+// stored as settled first. Otherwise the node would step in a busy loop until then.
 func TestNextStepWaitsForSave(t *testing.T) {
 	o := New(Config{
 		Subscriptions: []Subscription{{Name: "s", Receiver: "r", Kinds: []Kind{Done}, DeliveryGuarantee: AtMostOnce}}, Receivers: []Receiver{{Name: "r"}}, MaxBuffered: 10, MaxOpsPerSave: 10,
@@ -587,7 +586,7 @@
 	o.HandleEvent(now, Event{Job: "2", Kind: Done, Revision: 5})
 	o.HandleEvent(now, Event{Job: "3", Kind: Done, Revision: 6})
 	o.HandleEventsComplete(6)
-	o.subscriptions["s"].unsettled[5]++ // another of revision 5 stays unsettled, and the mark before it
+	o.subscriptions["s"].unsettled[5]++ // another event of revision 5 stays unsettled, and the watermark below it
 	steps := 0
 	for end := now + 10*core.Second; now < end && steps < 100; steps++ {
 		actions := o.Step(now, now)
@@ -599,11 +598,11 @@
 				o.HandleSaveResult(now, a.ID, true)
 			}
 		}
-		if len(actions) == 0 { // what came back is an event, which is looked at at once
+		if len(actions) == 0 { // results are events, which are followed by a step at once
 			now = o.NextStepAt(now)
 		}
 	}
 	if steps > 10 || len(o.subscriptions["s"].deadLettersToDelete) != 3 {
-		t.Errorf("%d turns in ten seconds, %d dead letters wait", steps, len(o.subscriptions["s"].deadLettersToDelete))
+		t.Errorf("%d steps in ten seconds, %d dead letters to delete, want 3", steps, len(o.subscriptions["s"].deadLettersToDelete))
 	}
 }
