--- a/internal/notify/control/control.go
+++ b/internal/notify/control/control.go
@@ -1,6 +1,6 @@
-// Package control is how operators look at notifications and decide on those
-// that were put aside: a handler on a loopback address of each controller, which
-// asks the leader, and the client of the command line.
+// Package control lets operators inspect the delivery of notifications, and retry or delete dead
+// letters. It has an HTTP handler, which each controller serves on a loopback address and which
+// forwards requests to the leader, and the client that the command line uses.
 package control
 
 import (
@@ -18,18 +18,18 @@
 	"aspenstall/internal/notify"
 )
 
-// Op is what an operator wants.
+// Op is an operator's operation.
 type Op string
 
-// The operations.
+// The operations. Their values are sent and typed on the command line.
 const (
-	List  Op = "list"  // the subscriptions
-	Show  Op = "show"  // a subscription's dead letters
-	Retry Op = "retry" // a dead letter is sent again
-	Drop  Op = "drop"  // a dead letter is forgotten
+	List  Op = "list"  // lists the subscriptions
+	Show  Op = "show"  // shows the dead letters of one subscription or all
+	Retry Op = "retry" // sends a dead letter again
+	Drop  Op = "drop"  // deletes a dead letter
 )
 
-// Ask is a request.
+// Request is an operator's request. Retry and Drop need all fields.
 type Request struct {
 	Op           Op     `json:"op" msgpack:"o"`
 	Subscription string `json:"subscription,omitempty" msgpack:"s,omitempty"`
@@ -37,23 +37,24 @@
 	Kind         string `json:"event,omitempty" msgpack:"k,omitempty"`
 }
 
-// Answer is what comes back.
+// Response is the response to a Request.
 type Response struct {
 	Subscriptions []SubscriptionStatus `json:"subscriptions,omitempty" msgpack:"s,omitempty"`
 	DeadLetters   []DeadLetter         `json:"aside,omitempty" msgpack:"d,omitempty"`
-	Succeeded     bool                 `json:"done" msgpack:"ok"` // of Retry and Drop: there was one, and it is as was wanted
+	// Succeeded reports, for Retry and Drop, that the operation was performed on a dead letter.
+	Succeeded bool `json:"done" msgpack:"ok"`
 }
 
-// Sub is how a subscription stands.
+// SubscriptionStatus is the state of the deliveries of a subscription.
 type SubscriptionStatus struct {
 	Name        string `json:"name" msgpack:"n"`
 	Receiver    string `json:"receiver" msgpack:"r"`
-	Waiting     int    `json:"waiting" msgpack:"w"` // in memory, undelivered
-	More        bool   `json:"more" msgpack:"m"`    // there are others behind them
-	DeadLetters int    `json:"aside" msgpack:"d"`
+	Waiting     int    `json:"waiting" msgpack:"w"` // undelivered events in memory
+	More        bool   `json:"more" msgpack:"m"`    // there are further undelivered events
+	DeadLetters int    `json:"aside" msgpack:"d"`   // number of dead letters
 }
 
-// Letter is a notification that was put aside.
+// DeadLetter is a notification that is no longer sent automatically.
 type DeadLetter struct {
 	Subscription string    `json:"subscription" msgpack:"s"`
 	Job          string    `json:"job" msgpack:"j"`
@@ -63,10 +64,11 @@
 	Reason       string    `json:"why" msgpack:"w"`
 }
 
-// ErrNoLeader: nobody delivers now.
+// ErrNoLeader is returned when no controller delivers notifications at present.
 var ErrNoLeader = errors.New("no controller delivers now; try again")
 
-// Do carries out a request on a leader's outbox.
+// Execute performs a request on the leader's outbox. It returns an error if the subscription or
+// the operation does not exist, or if Retry or Drop lacks a field.
 func Execute(outbox *notify.Outbox, subscriptions []notify.Subscription, now core.Micros, req *Request) (*Response, error) {
 	resp := &Response{}
 	known := req.Subscription == ""
@@ -108,19 +110,19 @@
 	return resp, nil
 }
 
-// Backend asks the leader.
+// Backend forwards requests to the leader. It returns ErrNoLeader if there is none.
 type Backend interface {
 	Notifications(ctx context.Context, req *Request) (*Response, error)
 }
 
 const (
-	// Path is where the handler is.
+	// Path is the URL path of the handler.
 	Path            = "/notify"
 	maxRequestBytes = 16 << 10
 	requestTimeout  = 5 * time.Second
 )
 
-// Handler serves operators.
+// Handler returns the HTTP handler of operators' requests.
 func Handler(b Backend) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, r *http.Request) {
@@ -146,7 +148,8 @@
 	return mux
 }
 
-// Call sends a request to a controller at an address.
+// Call sends a request to the controller at an address (host:port). It returns the text of an
+// HTTP error response as the error.
 func Call(ctx context.Context, c *http.Client, address string, request *Request) (*Response, error) {
 	b, err := json.Marshal(request)
 	if err != nil {
--- a/internal/notify/control/names_test.go
+++ b/internal/notify/control/names_test.go
@@ -12,9 +12,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Names that leave the process are compared with testdata/names.json, which no tool that
-// renames identifiers changes: messages as JSON, lists for structs without keys.
+// Encoded messages are compared with testdata/names.json. Tools that rename identifiers do not
+// change that file, so a changed field name or tag fails the test. The file has messages as JSON,
+// with lists for structs that are encoded without keys.
 
+// golden returns the entry of a name in testdata/names.json.
 func golden(t *testing.T, name string) json.RawMessage {
 	t.Helper()
 	b, err := os.ReadFile("testdata/names.json")
@@ -28,7 +30,7 @@
 	return all[name]
 }
 
-// packed is MessagePack of some JSON.
+// packed converts JSON to MessagePack.
 func packed(t *testing.T, text []byte) []byte {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -44,6 +46,8 @@
 	return b
 }
 
+// numbers converts the json.Number values in decoded JSON to integers or floats, and the strings
+// that hold a time to times.
 func numbers(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -56,7 +60,7 @@
 		}
 	case string:
 		if at, err := time.Parse(time.RFC3339Nano, v); err == nil {
-			return at // MessagePack has a type of its own for it
+			return at // MessagePack has a time type
 		}
 	case json.Number:
 		if n, err := v.Int64(); err == nil {
@@ -68,7 +72,7 @@
 	return v
 }
 
-// sameAsGolden compares an encoded message with the golden one.
+// sameAsGolden compares an encoded message with the golden entry of a name.
 func sameAsGolden(t *testing.T, name string, b []byte) {
 	t.Helper()
 	var v any
@@ -82,7 +86,7 @@
 	same(t, name, got)
 }
 
-// inUTC has the times in a decoded message in UTC.
+// inUTC converts the times in a decoded message to UTC.
 func inUTC(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -99,19 +103,20 @@
 	return v
 }
 
-// same compares JSON with the golden one.
+// same compares JSON with the golden entry of a name.
 func same(t *testing.T, name string, got []byte) {
 	t.Helper()
 	var want bytes.Buffer
 	if err := json.Compact(&want, golden(t, name)); err != nil {
-		t.Fatalf("no golden %q; encoded: %s", name, got)
+		t.Fatalf("testdata/names.json has no entry %q; encoded: %s", name, got)
 	}
 	if want.String() != string(got) {
 		t.Errorf("encoded\n%s, want\n%s", got, want.String())
 	}
 }
 
-// allSet checks that every field has a value, and that none but flags have the same one.
+// allSet checks that every field has a value, and that no two fields have the same value, apart
+// from booleans. Otherwise the comparison would miss omitted or exchanged fields.
 func allSet(t *testing.T, path string, v reflect.Value, seen map[string]string) {
 	t.Helper()
 	if v.Type() == reflect.TypeFor[time.Time]() {
@@ -182,17 +187,17 @@
 			same(t, c.name+" as JSON", text)
 			fromText := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
 			if err := json.Unmarshal(golden(t, c.name+" as JSON"), fromText); err != nil || !reflect.DeepEqual(fromText, c.value) {
-				t.Errorf("JSON is read as %+v, %v", fromText, err)
+				t.Errorf("golden JSON is decoded as %+v, %v", fromText, err)
 			}
 			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
 			if err := msgpack.Unmarshal(packed(t, golden(t, c.name)), back); err != nil || !reflect.DeepEqual(utc(back), c.value) {
-				t.Errorf("golden is read as %+v, %v", back, err)
+				t.Errorf("golden MessagePack is decoded as %+v, %v", back, err)
 			}
 		})
 	}
 }
 
-// utc has the times of an answer in UTC: MessagePack keeps no place.
+// utc converts the times of a response to UTC: MessagePack does not encode the time zone.
 func utc(v any) any {
 	if a, ok := v.(*Response); ok {
 		for i := range a.DeadLetters {
--- a/internal/notify/deliver/deliver.go
+++ b/internal/notify/deliver/deliver.go
@@ -1,7 +1,6 @@
-// Package deliver sends notifications to receivers: CloudEvents 1.0 in JSON over
-// HTTP, or a body of the operators' own, signed, within limits for each receiver.
-// It says what became of an attempt in the outbox's terms; what is sent when is
-// decided there.
+// Package deliver sends notifications to receivers over HTTP, as CloudEvents 1.0 in JSON or with a
+// body from the operators' template. Requests are signed, and each receiver has a circuit breaker.
+// Package notify decides what is sent when; this package reports the outcome of each attempt.
 package deliver
 
 import (
@@ -30,45 +29,50 @@
 	"aspenstall/internal/notify"
 )
 
-// Header names of a delivery.
+// Names of the HTTP headers of a delivery.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
-	HeaderToken          = "Aspenstall-Token"     // of the leader's term: a receiver may refuse a lower one than it has seen
-	HeaderTimestamp      = "Aspenstall-Timestamp" // seconds since 1970
-	HeaderSignature      = "Aspenstall-Signature" // "v1=" and a MAC in hexadecimal for each valid secret, with commas between
+	// HeaderToken has the leader's fencing token. A receiver may reject a lower token than it has
+	// seen before.
+	HeaderToken     = "Aspenstall-Token"
+	HeaderTimestamp = "Aspenstall-Timestamp" // seconds since 1970
+	// HeaderSignature has, for each valid secret, "v1=" and a MAC in hexadecimal, separated by
+	// commas.
+	HeaderSignature = "Aspenstall-Signature"
 )
 
 const (
-	maxResponseBytes = 4 << 10 // of a receiver's answer is read
-	maxBodyBytes     = 64 << 10
-	maxRetryAfter    = time.Hour // a receiver's Retry-After counts up to this
-	breakerThreshold = 5         // failures in a row
-	breakerTimeout   = 30 * time.Second
-	defaultTimeout   = 10 * time.Second
+	maxResponseBytes = 4 << 10          // read of a response body
+	maxBodyBytes     = 64 << 10         // of a request
+	maxRetryAfter    = time.Hour        // a longer Retry-After of a receiver is cut to this
+	breakerThreshold = 5                // consecutive failures that open the breaker
+	breakerTimeout   = 30 * time.Second // until the open breaker lets an attempt through
+	defaultTimeout   = 10 * time.Second // of an attempt
 )
 
-// Receiver is how one receiver is reached.
+// Receiver holds the settings for reaching one receiver.
 type Receiver struct {
 	Name string
 	URL  string
-	// Ask is where it is asked whether it has seen a key, for one that keeps none:
-	// it answers 200 for a key that it has seen, and 404.
+	// LookupURL is set for a receiver that does not deduplicate. A GET with the query
+	// parameter key must return 200 if the receiver has received the key, and 404 if not.
 	LookupURL    string
-	Secrets      [][]byte           // the first signs; both do while one is being replaced
-	BodyTemplate *template.Template // of a Message; nil for CloudEvents
-	ContentType  string             // the body's content type, with Body
+	Secrets      [][]byte           // each adds a signature; there are two while one is being replaced
+	BodyTemplate *template.Template // executed with a Message; nil for CloudEvents
+	ContentType  string             // of the body, if BodyTemplate is set
 	TLS          *tls.Config
-	Timeout      time.Duration // of an attempt; 0: 10 s
+	Timeout      time.Duration // of an attempt; 0 means 10 s
 }
 
-// Message is what a body is made of. It is the same in every attempt.
+// Message is the data of a notification's body. It is the same in all attempts. Its field names
+// are used in the operators' templates.
 type Message struct {
 	Key, Kind, Job, Team, Class string
 	Time                        time.Time
 }
 
-// ParseBody reads a template and tries it, so that a mistake shows when the
-// settings are read and not when something has happened.
+// ParseBody parses a body template and executes it once, so that errors are reported when the
+// settings are read and not at the first event.
 func ParseBody(name, text string) (*template.Template, error) {
 	t, err := template.New(name).Option("missingkey=error").Funcs(template.FuncMap{"json": func(v any) (string, error) {
 		b, err := json.Marshal(v)
@@ -80,20 +84,20 @@
 	return t, t.Execute(io.Discard, &Message{Key: "0", Kind: "done", Job: "job-000000", Team: "team", Class: "class"})
 }
 
-// Sender delivers to one receiver.
+// Sender delivers notifications to one receiver.
 type Sender struct {
 	receiver Receiver
 	client   *http.Client
 	breaker  *gobreaker.CircuitBreaker[result]
 }
 
-// result is what became of an attempt.
+// result is the result of an attempt.
 type result struct {
 	outcome    notify.Outcome
-	retryAfter time.Duration
+	retryAfter time.Duration // as the receiver requested, or 0
 }
 
-// New returns a sender; connections are made with dial.
+// New returns a sender that opens connections with dial.
 func New(r Receiver, dial netdial.Func) *Sender {
 	if r.Timeout == 0 {
 		r.Timeout = defaultTimeout
@@ -103,7 +107,7 @@
 			DialContext: dial, TLSClientConfig: r.TLS, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute,
 			MaxResponseHeaderBytes: 16 << 10, DisableCompression: true,
 		},
-		// Whoever a redirect leads to is not in the settings.
+		// Redirects are not followed: their targets are not in the settings.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 	s.breaker = gobreaker.NewCircuitBreaker[result](gobreaker.Settings{
@@ -113,12 +117,13 @@
 	return s
 }
 
-// errAttempt tells the breaker that an attempt failed.
+// errAttemptFailed reports a failed attempt to the breaker.
 var errAttemptFailed = errors.New("attempt failed")
 
-// Send makes one attempt, under the leader's token, and says what became of it
-// and when the receiver wants to be asked again, 0 if it does not say. It
-// returns before ctx ends or soon after.
+// Send makes one delivery attempt with the leader's fencing token. It returns the outcome and the
+// delay that the receiver requested before the next attempt, or 0. With an open breaker, it
+// returns NotDelivered and a quarter of the breaker's timeout without an attempt. It returns when
+// ctx ends or shortly after.
 func (s *Sender) Send(ctx context.Context, send notify.Send, token uint64) (notify.Outcome, core.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, s.receiver.Timeout)
 	defer cancel()
@@ -133,7 +138,7 @@
 		}
 		res := s.post(ctx, send, token)
 		if res.outcome == notify.Delivered || res.outcome == notify.Rejected {
-			return res, nil // the receiver is well
+			return res, nil // the receiver works
 		}
 		return res, errAttemptFailed
 	})
@@ -143,7 +148,8 @@
 	return res.outcome, core.Micros(min(res.retryAfter, maxRetryAfter) / time.Microsecond)
 }
 
-// ask asks the receiver whether it has seen a key; a result if it does not say.
+// lookUpKey queries the receiver whether it has received a key. res is the result of the attempt
+// if the query failed, otherwise nil.
 func (s *Sender) lookUpKey(ctx context.Context, key string) (seen bool, res *result) {
 	u, err := url.Parse(s.receiver.LookupURL)
 	if err != nil {
@@ -171,10 +177,11 @@
 	return false, &result{notify.NotDelivered, parseRetryAfter(resp)}
 }
 
+// post sends a notification and returns the result.
 func (s *Sender) post(ctx context.Context, send notify.Send, token uint64) result {
 	body, contentType, err := s.body(send)
 	if err != nil {
-		return result{outcome: notify.Rejected} // it is the same each time
+		return result{outcome: notify.Rejected} // a retry would fail in the same way
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.receiver.URL, bytes.NewReader(body))
 	if err != nil {
@@ -196,7 +203,7 @@
 	if err != nil {
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
-			return result{outcome: notify.NotDelivered} // there was no connection
+			return result{outcome: notify.NotDelivered} // no connection was established
 		}
 		return result{outcome: notify.Unknown}
 	}
@@ -205,7 +212,7 @@
 	return result{outcomeOfStatus(resp.StatusCode), parseRetryAfter(resp)}
 }
 
-// outcome reads a receiver's answer.
+// outcomeOfStatus returns the outcome that the status code of a response stands for.
 func outcomeOfStatus(status int) notify.Outcome {
 	switch {
 	case status/100 == 2:
@@ -214,12 +221,14 @@
 		status == http.StatusUnsupportedMediaType, status == http.StatusUnprocessableEntity:
 		return notify.Rejected
 	case status/100 == 3, status/100 == 4:
-		// Not taken, for now: a limit, or something that its operators can mend.
+		// Refused temporarily: a rate limit, or a fault that the receiver's operators can correct.
 		return notify.NotDelivered
 	}
-	return notify.Unknown // it may have had its effect before something failed
+	return notify.Unknown // the request may have taken effect before the failure
 }
 
+// parseRetryAfter returns the delay in the Retry-After header of a response, in seconds or as a
+// date, or 0.
 func parseRetryAfter(resp *http.Response) time.Duration {
 	v := resp.Header.Get("Retry-After")
 	if n, err := strconv.Atoi(v); err == nil && n > 0 {
@@ -231,7 +240,7 @@
 	return 0
 }
 
-// body is what is sent; it does not differ between attempts.
+// body returns the request body and its content type. They are the same in all attempts.
 func (s *Sender) body(send notify.Send) ([]byte, string, error) {
 	m := &Message{
 		Key: send.Key, Kind: send.Event.Kind.String(), Job: send.Event.Job, Team: send.Event.Team, Class: send.Event.Class,
@@ -246,12 +255,12 @@
 		return nil, "", err
 	}
 	if b.Len() > maxBodyBytes {
-		return nil, "", fmt.Errorf("a body of %d bytes", b.Len())
+		return nil, "", fmt.Errorf("body of %d bytes is over the limit", b.Len())
 	}
 	return b.Bytes(), s.receiver.ContentType, nil
 }
 
-// cloudEvent is a message as CloudEvents 1.0 has it.
+// cloudEvent returns a message as a CloudEvents 1.0 event.
 func cloudEvent(m *Message) map[string]any {
 	return map[string]any{
 		"specversion": "1.0", "id": m.Key, "source": "/aspenstall/" + url.PathEscape(m.Team), "type": "aspenstall.job." + m.Kind,
@@ -260,7 +269,7 @@
 	}
 }
 
-// Sign is the MAC (HMAC-SHA256) of a delivery with one secret, in hexadecimal.
+// Sign returns the MAC (HMAC-SHA256) of a delivery with one secret, in hexadecimal.
 func Sign(secret []byte, timestamp, token, key string, body []byte) string {
 	h := hmac.New(sha256.New, secret)
 	fmt.Fprintf(h, "%s.%s.%s.", timestamp, token, key)
@@ -268,8 +277,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Verify is the receiver's side: it reports whether a delivery is signed with
-// the secret and was sent within maxAge of now.
+// Verify is for receivers: it reports whether a delivery is signed with the secret and its
+// timestamp is within maxAge of now.
 func Verify(secret []byte, h http.Header, body []byte, now time.Time, maxAge time.Duration) bool {
 	timestamp := h.Get(HeaderTimestamp)
 	sec, err := strconv.ParseInt(timestamp, 10, 64)
--- a/internal/notify/deliver/deliver_test.go
+++ b/internal/notify/deliver/deliver_test.go
@@ -27,7 +27,7 @@
 	return New(r, netdial.TCP(time.Second))
 }
 
-// What a receiver answers, or does not, is read as what the outbox needs to know.
+// Every response of a receiver, or its absence, is mapped to the outcome that the outbox needs.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -38,12 +38,12 @@
 		{"taken", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(204) }, notify.Delivered, 0},
 		{"gone", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(410) }, notify.Rejected, 0},
 		{"unreadable", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(422) }, notify.Rejected, 0},
-		{"too many", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "7"); w.WriteHeader(429) }, notify.NotDelivered, 7 * time.Second},
-		{"for ages", func(w http.ResponseWriter, _ *http.Request) {
+		{"rate limited", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "7"); w.WriteHeader(429) }, notify.NotDelivered, 7 * time.Second},
+		{"very long delay", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "999999")
 			w.WriteHeader(429)
 		}, notify.NotDelivered, maxRetryAfter},
-		{"not allowed, for now", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(403) }, notify.NotDelivered, 0},
+		{"temporarily forbidden", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(403) }, notify.NotDelivered, 0},
 		{"elsewhere", func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/other", http.StatusTemporaryRedirect)
 		}, notify.NotDelivered, 0},
@@ -75,19 +75,19 @@
 			defer srv.Close()
 			out, after := newTestSender(t, Receiver{URL: srv.URL, Timeout: 1500 * time.Millisecond}).Send(t.Context(), testSend, 9)
 			if out != c.out || after != core.Micros(c.after/time.Microsecond) || requests.Load() != 1 {
-				t.Errorf("outcome %d, again after %d us, %d requests", out, after, requests.Load())
+				t.Errorf("outcome %d, retry after %d us, %d requests", out, after, requests.Load())
 			}
 		})
 	}
 	srv := httptest.NewServer(nil)
 	srv.Close()
 	if out, _ := newTestSender(t, Receiver{URL: srv.URL}).Send(t.Context(), testSend, 9); out != notify.NotDelivered {
-		t.Errorf("nobody there: outcome %d", out)
+		t.Errorf("closed port: outcome %d", out)
 	}
 }
 
-// A delivery is a CloudEvent that its receiver can check, with either secret
-// while one is being replaced; a changed or an old one is noticed.
+// A delivery is a CloudEvent whose signature the receiver can verify with either secret while one
+// is being replaced. Changed or outdated deliveries are rejected.
 func TestSignature(t *testing.T) {
 	var got http.Header
 	var body []byte
@@ -124,10 +124,10 @@
 	}{
 		{"new secret", "new", got, string(body), now, true},
 		{"old secret", "old", got, string(body), now, true},
-		{"no secret of ours", "none", got, string(body), now, false},
-		{"another body", "new", got, string(body) + " ", now, false},
-		{"another token", "new", other, string(body), now, false},
-		{"too late", "new", got, string(body), now.Add(time.Hour), false},
+		{"unknown secret", "none", got, string(body), now, false},
+		{"changed body", "new", got, string(body) + " ", now, false},
+		{"changed token", "new", other, string(body), now, false},
+		{"old timestamp", "new", got, string(body), now.Add(time.Hour), false},
 		{"from the future", "new", got, string(body), now.Add(-time.Hour), false},
 		{"unsigned", "new", http.Header{}, string(body), now, false},
 	} {
@@ -137,8 +137,8 @@
 	}
 }
 
-// A receiver that keeps no keys is asked before what may have had its effect is
-// sent; one that has seen the key is not sent it again.
+// A receiver that does not deduplicate is queried before a notification that may have taken effect
+// is sent. It is not sent again if the receiver has the key.
 func TestKeyLookup(t *testing.T) {
 	seen, posts, down := false, 0, false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// A receiver that fails again and again is left alone for a while.
+// After repeated failures, the breaker stops attempts for some time.
 func TestBreaker(t *testing.T) {
 	requests := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { requests++; w.WriteHeader(500) }))
@@ -181,15 +181,15 @@
 	for range 20 {
 		out, after := s.Send(context.Background(), testSend, 1)
 		if requests == breakerThreshold && out == notify.NotDelivered && after == 0 {
-			t.Error("no word of when to come back")
+			t.Error("the open breaker returned no retry delay")
 		}
 	}
 	if requests != breakerThreshold {
-		t.Errorf("%d attempts got through", requests)
+		t.Errorf("%d requests reached the receiver", requests)
 	}
 }
 
-// Templates are tried when they are read.
+// Templates are parsed and executed when they are read.
 func TestBodyTemplate(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"page": {{json .Job}}, "what": {{json .Kind}}}`: `{"page": "job-000001", "what": "done"}`,
@@ -201,7 +201,7 @@
 		b, err := ParseBody("t", text)
 		if want == "!" {
 			if err == nil {
-				t.Errorf("%s: is taken", text)
+				t.Errorf("%s: accepted, want an error", text)
 			}
 			continue
 		}
@@ -221,7 +221,7 @@
 	f.Add("{{range .Job}}{{end}}", "\"\n\x00", "{{.}}")
 	f.Fuzz(func(t *testing.T, text, job, team string) {
 		if strings.Contains(text, "printf") || strings.Contains(text, "range") {
-			t.Skip("can be made as long as one likes: operators' templates are their own")
+			t.Skip("the output can be of any length, which is allowed in operators' templates")
 		}
 		b, err := ParseBody("t", text)
 		if err != nil {
--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -83,7 +83,7 @@
 	Team, Class       string // "" matches any
 	Kinds             []Kind
 	Receiver          string
-	Deadline          core.Micros // after the event; an undelivered one then becomes a dead letter; 0: none
+	Deadline          core.Micros // after the event, then it becomes a dead letter; 0: none
 	DeliveryGuarantee DeliveryGuarantee
 }
 
--- a/internal/notify/outbox.go
+++ b/internal/notify/outbox.go
@@ -56,15 +56,15 @@
 	receiver            *receiverState
 	watermark           uint64                     // all revisions up to this one are settled
 	settled             map[uint64]*roaring.Bitmap // settled revisions above the watermark, by chunk
-	unsettled           map[uint64]int             // number of unsettled events by revision
-	awaitingComplete    []uint64                   // revisions with all known events settled, of which more events may follow
-	revisionHeap        revisionHeap               // revisions in unsettled, the lowest first; some may be settled by now
+	unsettled           map[uint64]int             // number of events by revision
+	awaitingComplete    []uint64                   // settled so far, but more events may follow
+	revisionHeap        revisionHeap               // of unsettled; may include settled ones
 	buffered            map[string]bool            // IDs of the events in the queues
 	queues              map[string]*jobQueue       // by job
 	ready               queueHeap                  // queues that are not busy
-	loadedThrough       uint64                     // all events up to this revision were buffered or are settled
+	loadedThrough       uint64                     // events up to here were buffered or are settled
 	lastBuffered        uint64                     // the last revision of which events were buffered
-	overflowed          bool                       // events after loadedThrough are ignored until there is room
+	overflowed          bool                       // later events are ignored until there is room
 	fetching            bool                       // a FetchEvents is in progress
 	dirtyChunks         map[uint64]bool            // chunks that changed since they were last written
 	dirtySince          core.Micros                // when dirtyChunks last became non-empty
@@ -73,7 +73,7 @@
 	deadLettersToPut    []DeadLetter               // their records must be written
 	deadLettersToDelete []DeadLetter               // their records must be deleted
 	deadLetters         map[string]DeadLetter      // all dead letters by event ID, whether written or not
-	sendAfterSave       map[string]*jobQueue       // by event ID: sent once its dead letter is written (AtMostOnce)
+	sendAfterSave       map[string]*jobQueue       // by event ID; sent once the dead letter is written
 }
 
 // jobQueue holds the undelivered events of one job for one subscription, in order. They
--- a/internal/notify/outbox_test.go
+++ b/internal/notify/outbox_test.go
@@ -366,7 +366,7 @@
 	o.HandleEventsComplete(6)
 	actions := o.Step(now, now)
 	o.HandleSaveResult(now, actions[2].(Save).ID, true)         // the watermark 4
-	o.HandleSendResult(now, actions[1].(Send).ID, Delivered, 0) // the later event: the watermark stays below the first one
+	o.HandleSendResult(now, actions[1].(Send).ID, Delivered, 0) // the later event; the watermark stays below 5
 	save := func() Save {
 		t.Helper()
 		now += 2 * core.Second
@@ -586,7 +586,7 @@
 	o.HandleEvent(now, Event{Job: "2", Kind: Done, Revision: 5})
 	o.HandleEvent(now, Event{Job: "3", Kind: Done, Revision: 6})
 	o.HandleEventsComplete(6)
-	o.subscriptions["s"].unsettled[5]++ // another event of revision 5 stays unsettled, and the watermark below it
+	o.subscriptions["s"].unsettled[5]++ // one more unsettled event keeps the watermark below 5
 	steps := 0
 	for end := now + 10*core.Second; now < end && steps < 100; steps++ {
 		actions := o.Step(now, now)
