--- a/internal/nomad/registry/change.go
+++ b/internal/nomad/registry/change.go
@@ -8,19 +8,19 @@
 	"aspenstall/internal/wire"
 )
 
-// Registration is a job file to be taken.
+// Registration is a job file to be registered.
 type Registration struct {
 	Name
 	Stub   Stub
-	Source []byte            // the job's JSON, the same for the same content
-	Groups []translate.Group // what it becomes
-	// Enforce makes it valid only if the job's JobModifyIndex is Index; 0 for a
-	// job that is not there.
+	Source []byte            // the job's JSON in canonical form: equal content has equal bytes
+	Groups []translate.Group // the translated task groups
+	// EnforceIndex makes the registration fail unless the job's JobModifyIndex is ExpectedIndex.
+	// 0 stands for a job that does not exist.
 	EnforceIndex  bool
 	ExpectedIndex uint64
 }
 
-// ConflictError says that a job is not as its registration expects.
+// ConflictError is returned if a job's JobModifyIndex is not the one that its registration expects.
 type ConflictError struct{ Expected, Actual uint64 }
 
 func (e *ConflictError) Error() string {
@@ -33,34 +33,37 @@
 	return fmt.Sprintf("Enforcing job modify index %d: job exists with conflicting job modify index: %d", e.Expected, e.Actual)
 }
 
-// TooLargeError says that a job does not fit into the state service's limits.
+// TooLargeError is returned if a job exceeds the limits of the state service.
 type TooLargeError struct{ Reason string }
 
 func (e *TooLargeError) Error() string { return e.Reason }
 
-// Change is what a registration or deregistration writes, all or nothing.
+// Change is the transaction of a registration or deregistration.
 type Change struct {
 	Conditions []wire.Cond
 	Writes     []wire.Write
-	Start      []core.JobSpec   // native jobs to be made
-	Cancel     []core.JobRecord // native jobs to be cancelled, each if it is still as here
-	// Keep are native jobs that go on, unchanged.
+	Start      []core.JobSpec   // native jobs to be created
+	Cancel     []core.JobRecord // native jobs to be cancelled, if their records have not changed
+	// Keep has the IDs of the native jobs that continue unchanged.
 	Keep []string
 }
 
-// Empty reports whether nothing is to be written.
+// Empty reports whether the change writes nothing.
 func (c *Change) Empty() bool { return len(c.Writes) == 0 }
 
+// encodePut returns the write of a value, encoded, to a key.
 func encodePut(key string, v any) (wire.Write, error) {
 	b, err := wire.Marshal(v)
 	return wire.Write{Put: key, Value: b}, err
 }
 
+// encodePut returns the write of a job's record; key is the jobKey of the job.
 func (rec *jobRecord) encodePut(key string) (wire.Write, error) { return encodePut(jobPrefix+key, rec) }
 
-// Register works out the change that a registration makes. The same content as
-// the current version changes nothing, which is also what a retry finds whose
-// first answer was lost. newID makes ids for native jobs; now is wall clock.
+// Register returns the change that a registration makes. Content equal to the current version
+// changes nothing; this is also the case for a retry after a lost response. newID returns IDs for
+// native jobs, and now is the wall-clock time. Register returns a ConflictError or a TooLargeError
+// if the registration is refused.
 func (r *Registry) Register(reg Registration, newID func() string, now core.Micros) (*Change, error) {
 	if n := r.limits.MaxGroups(); len(reg.Groups) > n {
 		return nil, &TooLargeError{fmt.Sprintf("the job has %d groups; this deployment's state service changes at most %d of a job at once: split it", len(reg.Groups), n)}
@@ -124,17 +127,18 @@
 	return change, r.checkLimits(change)
 }
 
-// fits reports whether a change is within the limits. Jobs are held to them
-// when they are registered, so only lowered limits can be in its way.
+// checkLimits returns a TooLargeError if a change has too many operations. Jobs are checked against
+// the limits when they are registered, so this happens only after the limits were lowered.
 func (r *Registry) checkLimits(change *Change) error {
 	if n := len(change.Writes) + len(change.Start) + len(change.Cancel); n > r.limits.MaxOps {
-		return &TooLargeError{fmt.Sprintf("the change has %d parts; this deployment's state service takes %d at once", n, r.limits.MaxOps)}
+		return &TooLargeError{fmt.Sprintf("the change has %d operations; this deployment's state service takes %d at once", n, r.limits.MaxOps)}
 	}
 	return nil
 }
 
-// enforce checks a registration's index. What a retry of it sees is its own
-// work, if the content is the same and it replaced what it expected.
+// checkIndex checks the expected index of a registration. A retry finds the job as its first
+// attempt changed it. It succeeds if the content is the same and the last change replaced the
+// expected index.
 func (reg *Registration) checkIndex(old *Job, same bool) error {
 	if !reg.EnforceIndex {
 		return nil
@@ -149,7 +153,7 @@
 	return &ConflictError{reg.ExpectedIndex, have}
 }
 
-// unchanged is the native job that serves a group already, "" for none.
+// reusableNative returns the ID of the native job that already runs an unchanged group, or "".
 func (r *Registry) reusableNative(old *Job, g translate.Group) string {
 	if old == nil || old.Stopped {
 		return ""
@@ -163,7 +167,8 @@
 	return ""
 }
 
-// end adds that the old job's native jobs end, but for those that are kept.
+// cancelNatives adds the cancellation of the old job's unfinished native jobs to a change, except
+// for those in kept.
 func (r *Registry) cancelNatives(change *Change, old *Job, kept map[string]bool) {
 	if old == nil {
 		return
@@ -175,8 +180,8 @@
 	}
 }
 
-// Deregister works out the change that stops a job, or purges it; nil if there
-// is no such job.
+// Deregister returns the change that stops or purges a job, or nil if there is no such job. The
+// change is empty if the job is already stopped and is not purged.
 func (r *Registry) Deregister(n Name, purge bool) (*Change, error) {
 	old := r.jobs[n]
 	if old == nil {
@@ -213,7 +218,7 @@
 	return change, r.checkLimits(change)
 }
 
-// current is the packed source of the current version, "" if it is not kept.
+// currentSource returns the packed source of the current version, or "" if it is not stored.
 func (j *Job) currentSource() string {
 	for _, v := range j.versions {
 		if v.number == j.Version {
--- a/internal/nomad/registry/names_test.go
+++ b/internal/nomad/registry/names_test.go
@@ -13,9 +13,11 @@
 	"aspenstall/internal/wire"
 )
 
-// Names that leave the process are compared with testdata/names.json, which no tool that
-// renames identifiers changes: messages as JSON, lists for structs without keys.
+// Encoded records are compared with testdata/names.json. Tools that rename identifiers do not
+// change that file, so a changed field name or tag fails the test. The file has records as JSON,
+// with lists for structs that are encoded without keys.
 
+// golden returns the entry of a name in testdata/names.json.
 func golden(t *testing.T, name string) json.RawMessage {
 	t.Helper()
 	b, err := os.ReadFile("testdata/names.json")
@@ -29,7 +31,7 @@
 	return all[name]
 }
 
-// packed is MessagePack of some JSON.
+// packed converts JSON to MessagePack.
 func packed(t *testing.T, text []byte) []byte {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -45,6 +47,7 @@
 	return b
 }
 
+// numbers converts the json.Number values in decoded JSON to integers or floats.
 func numbers(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -65,7 +68,7 @@
 	return v
 }
 
-// sameAsGolden compares an encoded message with the golden one.
+// sameAsGolden compares an encoded record with the golden entry of a name.
 func sameAsGolden(t *testing.T, name string, b []byte) {
 	t.Helper()
 	var v any
@@ -78,14 +81,15 @@
 	}
 	var want bytes.Buffer
 	if err := json.Compact(&want, golden(t, name)); err != nil {
-		t.Fatalf("no golden %q; encoded: %s", name, got)
+		t.Fatalf("testdata/names.json has no entry %q; encoded: %s", name, got)
 	}
 	if want.String() != string(got) {
 		t.Errorf("encoded\n%s, want\n%s", got, want.String())
 	}
 }
 
-// allSet checks that every field has a value, and that none but flags have the same one.
+// allSet checks that every field has a value, and that no two fields have the same value, apart
+// from booleans. Otherwise the comparison would miss omitted or exchanged fields.
 func allSet(t *testing.T, path string, v reflect.Value, seen map[string]string) {
 	t.Helper()
 	switch v.Kind() {
@@ -144,7 +148,7 @@
 			sameAsGolden(t, c.name, b)
 			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
 			if err := wire.Unmarshal(packed(t, golden(t, c.name)), back); err != nil || !reflect.DeepEqual(back, c.value) {
-				t.Errorf("golden is read as %+v, %v", back, err)
+				t.Errorf("golden record is decoded as %+v, %v", back, err)
 			}
 		})
 	}
@@ -163,7 +167,7 @@
 	}
 }
 
-// A packed source of an earlier version is read.
+// A source that an earlier version packed can be unpacked.
 func TestUnpackEarlierSource(t *testing.T) {
 	if b, err := Unpack("q1bydFGyUkpUqgUA"); err != nil || string(b) != `{"ID":"a"}` {
 		t.Errorf("got %q, %v", b, err)
--- a/internal/nomad/registry/record.go
+++ b/internal/nomad/registry/record.go
@@ -17,8 +17,8 @@
 	"aspenstall/internal/wire"
 )
 
-// Prefix of the keys of all records here. Every node watches it with the
-// native jobs' records, so that both come in one order.
+// Prefix is the prefix of the keys of all records of this package. Every node watches it together
+// with the native jobs' records, so that the changes to both arrive in one order.
 const Prefix = "c/nomad/"
 
 const (
@@ -27,18 +27,19 @@
 	purgePrefix  = Prefix + "gone/"
 )
 
-// gone is a team's record that is written with every purge, so that the team's
-// index does not go back when a node starts anew and reads what is left.
+// purgeRecord is a record of a team that is written with every purge of a job. With it, the team's
+// index does not decrease when a node restarts and reads the remaining records.
 type purgeRecord struct {
 	Team string `msgpack:"t"`
 }
 
+// purgeKey returns the key of a team's purgeRecord.
 func purgeKey(team string) string {
-	rec := sha256.Sum256([]byte(team))
-	return purgePrefix + hex.EncodeToString(rec[:])
+	sum := sha256.Sum256([]byte(team))
+	return purgePrefix + hex.EncodeToString(sum[:])
 }
 
-// head is a job's record.
+// jobRecord is the stored record of a job.
 type jobRecord struct {
 	Team    string  `msgpack:"t"`
 	ID      string  `msgpack:"i"`
@@ -46,28 +47,30 @@
 	Groups  []Group `msgpack:"g"`
 	Stopped bool    `msgpack:"x,omitempty"`
 	At      int64   `msgpack:"at"`
-	Create  uint64  `msgpack:"c,omitempty"` // 0: this record was the first
-	Before  uint64  `msgpack:"b,omitempty"`
+	Create  uint64  `msgpack:"c,omitempty"` // CreateIndex; 0: the revision of this record
+	Before  uint64  `msgpack:"b,omitempty"` // the JobModifyIndex that this record replaced
 	Stub    Stub    `msgpack:"s"`
 }
 
-// source is a version's job, packed.
+// sourceRecord is the stored source of a version of a job.
 type sourceRecord struct {
 	Packed string `msgpack:"p"`
 	At     int64  `msgpack:"at"`
 }
 
-// jobKey is a job's part of its keys: names may hold anything, keys may not.
+// jobKey returns the part of the keys of a job's records that identifies the job. It is a hash,
+// since names may have characters that keys may not.
 func jobKey(n Name) string {
-	rec := sha256.Sum256([]byte(n.Team + "\x00" + n.ID))
-	return hex.EncodeToString(rec[:])
+	sum := sha256.Sum256([]byte(n.Team + "\x00" + n.ID))
+	return hex.EncodeToString(sum[:])
 }
 
+// sourceKey returns the key of the sourceRecord of a version; key is the jobKey of the job.
 func sourceKey(key string, number uint64) string {
 	return sourcePrefix + key + "/" + strconv.FormatUint(number, 10)
 }
 
-// Pack brings a job's JSON into the form in which it is kept.
+// Pack compresses a job's JSON into the stored form: DEFLATE, in base64.
 func Pack(b []byte) (string, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestCompression)
@@ -83,10 +86,10 @@
 	return base64.StdEncoding.EncodeToString(out.Bytes()), nil
 }
 
-// maxSource bounds what a packed source may unpack to.
+// maxSourceBytes limits the size of an unpacked source.
 const maxSourceBytes = 4 << 20
 
-// Unpack is the reverse of Pack.
+// Unpack returns the JSON of a source that Pack compressed, cut at maxSourceBytes.
 func Unpack(s string) ([]byte, error) {
 	b, err := base64.StdEncoding.DecodeString(s)
 	if err != nil {
@@ -95,9 +98,10 @@
 	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxSourceBytes))
 }
 
-// Put takes over a record that was written, and tells whose it is, a job's or
-// with an empty ID a team's; a record that is older than what is known is
-// passed over.
+// HandlePut processes a record that was written at a revision. It returns the name of the job that
+// the record belongs to, or with an empty ID that of the team, and whether the job or the team
+// changed. For a source, it returns an empty name and false. Records that are older than the known
+// state are ignored.
 func (r *Registry) HandlePut(key string, value []byte, revision uint64) (Name, bool, error) {
 	if rest, ok := strings.CutPrefix(key, sourcePrefix); ok {
 		id, number, _ := strings.Cut(rest, "/")
@@ -149,11 +153,12 @@
 		r.byNative[g.Native] = j
 	}
 	r.jobs[n], r.namesByKey[id] = j, n
-	// A whole list has native jobs before the jobs that they are of.
+	// In a complete list, native jobs come before the jobs that they belong to.
 	r.teamIndex[n.Team] = max(r.teamIndex[n.Team], r.ModifyIndex(j))
 	return n, true, nil
 }
 
+// unindexNatives removes the native jobs of a job from byNative.
 func (r *Registry) unindexNatives(j *Job) {
 	for _, g := range j.Groups {
 		if r.byNative[g.Native] == j {
@@ -162,6 +167,8 @@
 	}
 }
 
+// addVersion adds a version to the job with a jobKey, or to orphanedSources if the job's record has
+// not arrived yet.
 func (r *Registry) addVersion(id string, v version) {
 	add := func(list []version) []version {
 		i, found := slices.BinarySearchFunc(list, v.number, func(o version, n uint64) int { return cmp.Compare(o.number, n) })
@@ -181,7 +188,9 @@
 	}
 }
 
-// Drop takes over that a record was deleted, and tells whose it was.
+// HandleDelete processes the deletion of a record at a revision. It returns the name of the job that
+// the record belongs to and whether the job is now deleted. For a source, it returns an empty name
+// and false.
 func (r *Registry) HandleDelete(key string, revision uint64) (Name, bool) {
 	if rest, ok := strings.CutPrefix(key, sourcePrefix); ok {
 		id, number, _ := strings.Cut(rest, "/")
@@ -220,8 +229,8 @@
 	return n, true
 }
 
-// Missing takes over a whole list of keys as of a revision: what is known and
-// not in it was deleted. It tells whose records those were.
+// HandleKeyList processes a complete list of the keys at a revision: known records that are not in
+// it were deleted. It returns the names of the deleted jobs.
 func (r *Registry) HandleKeyList(listed map[string]bool, revision uint64) []Name {
 	var out []Name
 	for id, n := range r.namesByKey {
@@ -231,8 +240,8 @@
 			}
 		}
 		if !listed[jobPrefix+id] && r.jobs[n].JobModifyIndex <= revision {
-			// When is not known; the team's record of purges, which is in the
-			// list, says by when at the latest.
+			// The revision of the purge is not known. The team's purgeRecord, which is in the list,
+			// has an upper bound.
 			if _, ok := r.HandleDelete(jobPrefix+id, r.teamIndex[n.Team]); ok {
 				out = append(out, n)
 			}
@@ -241,7 +250,8 @@
 	return out
 }
 
-// Source is the JSON of a version of a job, and the index of its registration.
+// Source returns the JSON of a version of a job, the index of its registration, and the wall-clock
+// time of its submission. It returns an error if the version is not stored.
 func (j *Job) Source(number uint64) (b []byte, index uint64, at core.Micros, err error) {
 	for _, v := range j.versions {
 		if v.number == number {
@@ -249,10 +259,10 @@
 			return b, v.revision, v.submitted, err
 		}
 	}
-	return nil, 0, 0, fmt.Errorf("version %d of %s is not kept", number, j.ID)
+	return nil, 0, 0, fmt.Errorf("version %d of %s is not stored", number, j.ID)
 }
 
-// Versions lists the versions that are kept, the newest first.
+// Versions returns the numbers of the stored versions, the newest first.
 func (j *Job) Versions() []uint64 {
 	var out []uint64
 	for _, v := range slices.Backward(j.versions) {
--- a/internal/nomad/registry/registry.go
+++ b/internal/nomad/registry/registry.go
@@ -1,13 +1,13 @@
-// Package registry keeps the jobs that came in as Nomad's job files: names,
-// versions, and the native job of each group. It is pure: records of the state
-// service and of native jobs go in, and a registration comes out as the change
-// to be written, in one transaction with the native jobs that it makes and ends.
+// Package registry tracks the jobs that were registered as Nomad job files: their names, versions,
+// and the native job of each group. It is pure: records of the state service and of native jobs
+// are passed in, and a registration is returned as a change. The caller writes the change in one
+// transaction, together with the native jobs that it creates and cancels.
 //
-// An index is a revision of the state service. It is of a record, so it is the
-// same on every node and never goes back.
+// An index is a revision of the state service. It comes from a record, so it is the same on all
+// nodes and never decreases.
 //
-// Records come in the order of their revisions, each once or more; what this
-// node wrote itself may come before others' older changes to other jobs.
+// Records are passed in the order of their revisions, each at least once. A record that this node
+// wrote itself may come before older changes that other nodes made to other jobs.
 package registry
 
 import (
@@ -18,83 +18,83 @@
 	"aspenstall/internal/core"
 )
 
-// Name is a job's name within its team, the namespace.
+// Name identifies a job: its ID within its team, which is the namespace.
 type Name struct{ Team, ID string }
 
-// Group is a group of a job and its native job.
+// Group is a task group of a job, with the native job that runs it.
 type Group struct {
 	//lint:ignore U1000 the encoder reads its tag
-	_msgpack struct{} `msgpack:",as_array"` // as it is kept
+	_msgpack struct{} `msgpack:",as_array"` // the format of the stored record
 	Name     string
-	Native   string // the native job's id
-	Digest   string
+	Native   string // the ID of the native job
+	Digest   string // of the group's content: an unchanged group keeps its native job
 }
 
-// Stub is what lists show of a job's content.
+// Stub is the part of a job's content that lists of jobs show.
 type Stub struct {
-	Title       string   `msgpack:"n"` // the name that is shown
+	Title       string   `msgpack:"n"` // the displayed name
 	Type        string   `msgpack:"t"`
 	Priority    int      `msgpack:"p"`
 	Datacenters []string `msgpack:"d"`
 }
 
-// Job is a job as it stands.
+// Job is the current state of a job.
 type Job struct {
 	Name
 	Stub
 	Version   uint64
 	Groups    []Group
 	Stopped   bool
-	Submitted core.Micros // wall clock; of the version
-	// JobModifyIndex is of the last registration or deregistration, and
-	// CreateIndex of the first.
+	Submitted core.Micros // wall clock, when the version was submitted
+	// JobModifyIndex is the index of the last registration or deregistration, CreateIndex that of
+	// the first registration.
 	JobModifyIndex, CreateIndex uint64
 
-	previousModifyIndex uint64 // JobModifyIndex that the last registration replaced
-	versions            []version
+	previousModifyIndex uint64    // the JobModifyIndex that the last change replaced
+	versions            []version // the stored ones, by number
 }
 
-// version is a version's source.
+// version is the stored source of a version of a job.
 type version struct {
 	number    uint64
-	source    string
-	revision  uint64
-	submitted core.Micros
+	source    string      // packed
+	revision  uint64      // of the record
+	submitted core.Micros // wall clock
 }
 
-// Gone is a job that was purged.
+// PurgedJob is a job that was purged, with the index of the purge.
 type PurgedJob struct {
 	Name
 	Index uint64
 }
 
-// Natives tells of native jobs.
+// NativeJobs gives access to native jobs.
 type NativeJobs interface {
-	// Record is a native job's record; ok is false if there is none.
+	// Record returns a native job's record, and whether there is one.
 	Record(id string) (core.JobRecord, bool)
-	// Counts says how far an unfinished native job has come.
+	// TaskCounts returns the numbers of completed and running tasks of an unfinished native job.
 	TaskCounts(id string) (done, running int)
 }
 
-// Registry is all that is known. Its methods must not be called at once.
+// Registry holds the registered jobs. Its methods must not be called concurrently.
 type Registry struct {
 	natives         NativeJobs
 	limits          Limits
 	jobs            map[Name]*Job
-	orphanedSources map[string][]version // sources by their job's key, whose head has not come
+	orphanedSources map[string][]version // by jobKey, of jobs whose record has not arrived
 	namesByKey      map[string]Name
 	byNative        map[string]*Job
-	teamIndex       map[string]uint64 // last change by team
-	purged          []PurgedJob       // the last purged, the oldest first
+	teamIndex       map[string]uint64 // index of the last change by team
+	purged          []PurgedJob       // the last purged jobs, the oldest first
 }
 
-// maxGone is how many purged jobs event streams that resume are still told of.
+// maxPurged is the number of purged jobs that are kept for event streams that resume.
 const maxPurged = 1000
 
-// Limits are the state service's, for one transaction.
+// Limits are the limits of the state service for one transaction.
 type Limits struct {
 	MaxOps        int // puts and deletes
-	MaxValueBytes int // bytes of a value, as JSON
+	MaxValueBytes int // bytes of a value as JSON
 }
 
 // New returns an empty registry.
@@ -105,18 +105,19 @@
 	}
 }
 
-// MaxGroups is the largest number of groups in a job: a new version has to end
-// the old groups and begin the new ones in one transaction, with the job's
-// record, its source, and a source that is no longer kept.
+// MaxGroups returns the largest number of groups in a job. The transaction of a new version cancels
+// the native jobs of the old groups and creates those of the new ones. Its other three operations
+// write the job's record and its source, and delete the oldest source.
 func (l Limits) MaxGroups() int { return max((l.MaxOps-3)/2, 1) }
 
-// kept is how many versions of a job are kept, so that a purge fits too.
+// maxVersions returns how many versions of a job are stored, so that a purge of the job also fits
+// into a transaction.
 func (l Limits) maxVersions() int { return max(min(6, l.MaxOps-2-l.MaxGroups()), 1) }
 
-// Get returns a job, nil if there is none.
+// Get returns a job, or nil if there is none.
 func (r *Registry) Get(n Name) *Job { return r.jobs[n] }
 
-// ByNative returns the job and the group of a native job.
+// ByNative returns the job and the group that a native job runs, or nil.
 func (r *Registry) ByNative(id string) (*Job, *Group) {
 	j := r.byNative[id]
 	if j == nil {
@@ -130,10 +131,10 @@
 	return nil, nil
 }
 
-// Native is a native job's record.
+// NativeRecord returns a native job's record, and whether there is one.
 func (r *Registry) NativeRecord(id string) (core.JobRecord, bool) { return r.natives.Record(id) }
 
-// List lists a team's jobs whose names begin with prefix, by name.
+// List returns a team's jobs whose IDs begin with prefix, sorted by ID.
 func (r *Registry) List(team, prefix string) []*Job {
 	var out []*Job
 	for n, j := range r.jobs {
@@ -145,11 +146,11 @@
 	return out
 }
 
-// TeamIndex is the index of the last change to any job of a team.
+// TeamIndex returns the index of the last change to any job of a team.
 func (r *Registry) TeamIndex(team string) uint64 { return r.teamIndex[team] }
 
-// Index is the index of the last change to a job; for one that is not there, of
-// the last change to its team, since that may have been its purge.
+// Index returns the index of the last change to a job. For a job that does not exist, it returns
+// the index of its team, since the last change may have been the purge of the job.
 func (r *Registry) Index(n Name) uint64 {
 	if j := r.jobs[n]; j != nil {
 		return r.ModifyIndex(j)
@@ -157,7 +158,7 @@
 	return r.teamIndex[n.Team]
 }
 
-// ModifyIndex is the index of the last change to a job or its native jobs.
+// ModifyIndex returns the index of the last change to a job or its native jobs.
 func (r *Registry) ModifyIndex(j *Job) uint64 {
 	at := j.JobModifyIndex
 	for _, g := range j.Groups {
@@ -168,7 +169,7 @@
 	return at
 }
 
-// Purged lists a team's jobs that were purged after an index, the oldest first.
+// Purged returns a team's jobs that were purged after an index, the oldest purge first.
 func (r *Registry) Purged(team string, after uint64) []PurgedJob {
 	var out []PurgedJob
 	for _, g := range r.purged {
@@ -179,20 +180,20 @@
 	return out
 }
 
-// Status is a job's state in the published words.
+// Status is a job's status as published by Nomad's API.
 type Status string
 
-// The states.
+// The statuses.
 const (
 	Pending Status = "pending"
 	Running Status = "running"
 	Dead    Status = "dead"
 )
 
-// Tally is how far a group has come.
+// TaskCounts holds the numbers of a group's tasks by state.
 type TaskCounts struct{ Queued, Running, Complete, Stopped int }
 
-// Tally counts a group's tasks.
+// TaskCounts returns the numbers of a group's tasks by state.
 func (r *Registry) TaskCounts(g Group) TaskCounts {
 	rec, ok := r.natives.Record(g.Native)
 	if !ok {
@@ -208,7 +209,7 @@
 	return TaskCounts{Queued: max(rec.Spec.Tasks-done-running, 0), Running: running, Complete: done}
 }
 
-// Status is a job's state: dead once all its native jobs are over.
+// Status returns a job's status. It is Dead once all native jobs of the job have ended.
 func (r *Registry) Status(j *Job) Status {
 	unfinished, running := false, false
 	for _, g := range j.Groups {
@@ -226,7 +227,8 @@
 	return Pending
 }
 
-// NativeChanged notes that a native job's record changed, and tells whose it is.
+// HandleNativeChange records that a native job's record changed at a revision. It returns the name
+// of the job that it belongs to, and false if there is none.
 func (r *Registry) HandleNativeChange(id string, revision uint64) (Name, bool) {
 	j := r.byNative[id]
 	if j == nil {
--- a/internal/nomad/registry/registry_test.go
+++ b/internal/nomad/registry/registry_test.go
@@ -14,16 +14,16 @@
 	"aspenstall/internal/wire"
 )
 
-// store is a state service of the smallest kind: it executes changes.
+// fakeStore is a minimal state service that executes changes.
 type fakeStore struct {
 	revision       uint64
 	jobs           map[string]core.JobRecord
-	keys           map[string]wire.Write
-	revisions      map[string]uint64
-	writes         []wire.Write // what was written, in order, with its revision
-	writeRevisions []uint64
+	keys           map[string]wire.Write // the current records by key
+	revisions      map[string]uint64     // their revisions
+	writes         []wire.Write          // all writes in order
+	writeRevisions []uint64              // their revisions
 	nextID         int
-	running        map[string]int
+	running        map[string]int // number of running tasks by native job
 }
 
 func newFakeStore() *fakeStore {
@@ -33,6 +33,8 @@
 func (s *fakeStore) Record(id string) (core.JobRecord, bool)  { r, ok := s.jobs[id]; return r, ok }
 func (s *fakeStore) TaskCounts(id string) (done, running int) { return 0, s.running[id] }
 func (s *fakeStore) newID() string                            { s.nextID++; return fmt.Sprintf("job-%06d", s.nextID) }
+
+// finish ends a native job in a phase and returns the new revision.
 func (s *fakeStore) finish(id string, phase core.Phase) uint64 {
 	s.revision++
 	r := s.jobs[id]
@@ -41,7 +43,7 @@
 	return s.revision
 }
 
-// execute executes a change as the state service does; false for a conflict.
+// commit executes a change like the state service. It returns false if a condition fails.
 func (s *fakeStore) commit(change *Change) bool {
 	for _, c := range change.Conditions {
 		if s.revisions[c.Key] != c.ModRevision {
@@ -73,6 +75,7 @@
 	return true
 }
 
+// handleWrite passes a write to the registry.
 func (r *Registry) handleWrite(w wire.Write, rev uint64) error {
 	if w.Put == "" {
 		r.HandleDelete(w.Delete, rev)
@@ -82,6 +85,7 @@
 	return err
 }
 
+// replay passes the writes from an index on to a registry.
 func (s *fakeStore) replay(t *testing.T, r *Registry, from int) {
 	t.Helper()
 	for i := from; i < len(s.writes); i++ {
@@ -93,7 +97,7 @@
 
 var testLimits = Limits{MaxOps: 12, MaxValueBytes: 4096}
 
-// groups are groups of a job by name and content.
+// testGroups returns groups from strings of the form name=content.
 func testGroups(names ...string) []translate.Group {
 	var out []translate.Group
 	for _, n := range names {
@@ -103,12 +107,13 @@
 	return out
 }
 
+// newRegistration returns a registration of job j of team blue.
 func newRegistration(source string, g ...string) Registration {
 	return Registration{Name: Name{"blue", "j"}, Source: []byte(source), Groups: testGroups(g...)}
 }
 
-// Versions replace what differs and keep what does not; the same content
-// changes nothing, unless the job was stopped.
+// A new version replaces the native jobs of changed groups and keeps those of unchanged ones. Equal
+// content changes nothing, unless the job was stopped.
 func TestRegister(t *testing.T) {
 	s := newFakeStore()
 	r := New(testLimits, s)
@@ -120,10 +125,10 @@
 			t.Fatal(err)
 		}
 		if len(change.Start) != start || len(change.Cancel) != end || len(change.Keep) != keep {
-			t.Fatalf("starts %d, ends %d, keeps %d; want %d, %d, %d", len(change.Start), len(change.Cancel), len(change.Keep), start, end, keep)
+			t.Fatalf("starts %d, cancels %d, keeps %d; want %d, %d, %d", len(change.Start), len(change.Cancel), len(change.Keep), start, end, keep)
 		}
 		if n := len(change.Writes) + start + end; n > testLimits.MaxOps {
-			t.Errorf("%d parts", n)
+			t.Errorf("%d operations", n)
 		}
 		if !change.Empty() && !s.commit(change) {
 			t.Fatal("conflict")
@@ -135,19 +140,19 @@
 	register(newRegistration("2", "a=2", "b=1"), 1, 1, 1)
 	j := r.Get(Name{"blue", "j"})
 	s.finish(j.Groups[1].Native, core.Done)
-	register(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2) // what is done stays done
+	register(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2) // a completed native job is not started again
 	s.finish(r.Get(j.Name).Groups[0].Native, core.Cancelled)
-	register(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1) // what was cancelled from outside begins again
+	register(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1) // one that was cancelled separately is
 	change, err := r.Deregister(j.Name, false)
 	if err != nil || len(change.Cancel) != 2 || !s.commit(change) {
 		t.Fatalf("%+v %v", change, err)
 	}
 	s.replay(t, r, len(s.writes)-1)
 	if change, _ := r.Deregister(j.Name, false); !change.Empty() {
-		t.Error("stopped twice")
+		t.Error("a stopped job was stopped again")
 	}
 	if st := r.Status(r.Get(j.Name)); st != Dead {
-		t.Errorf("stopped, it is %s", st)
+		t.Errorf("the status of a stopped job is %s", st)
 	}
 	register(newRegistration("4", "a=2", "b=1", "c=2"), 3, 0, 0)
 	for i := range 8 {
@@ -155,7 +160,7 @@
 	}
 	j = r.Get(j.Name)
 	if v := j.Versions(); len(v) != testLimits.maxVersions() || v[0] != j.Version || j.Version != 12 || j.CreateIndex != 11 {
-		t.Errorf("version %d, created at %d, kept %v", j.Version, j.CreateIndex, v)
+		t.Errorf("version %d, created at %d, stored versions %v", j.Version, j.CreateIndex, v)
 	}
 	b, _, _, err := j.Source(j.Version)
 	if err != nil || string(b) != "12" {
@@ -166,9 +171,9 @@
 	}
 	s.replay(t, r, 0)
 	if r.Get(j.Name) != nil || len(s.keys) != 1 || len(r.orphanedSources) != 0 || len(r.byNative) != 0 {
-		t.Errorf("left behind: %d keys, %d orphans, %d natives", len(s.keys), len(r.orphanedSources), len(r.byNative))
+		t.Errorf("after the purge: %d keys, %d orphaned sources, %d native jobs", len(s.keys), len(r.orphanedSources), len(r.byNative))
 	}
-	// A node that starts now reads one record, which holds the index.
+	// A new node reads the one remaining record, which determines the index of the team.
 	fresh := New(testLimits, s)
 	for k, w := range s.keys {
 		if err := fresh.handleWrite(w, s.revisions[k]); err != nil {
@@ -176,14 +181,15 @@
 		}
 	}
 	if i := fresh.TeamIndex("blue"); i != r.TeamIndex("blue") || i != s.revision {
-		t.Errorf("the index was %d and is %d at a new node", r.TeamIndex("blue"), i)
+		t.Errorf("the index was %d, and is %d on a new node", r.TeamIndex("blue"), i)
 	}
 	if g := r.Purged("blue", 0); len(g) != 1 || g[0].Index != s.revision || len(r.Purged("blue", s.revision)) != 0 || len(r.Purged("green", 0)) != 0 {
 		t.Errorf("purged: %v", g)
 	}
 }
 
-// An index to enforce holds for a job as it is, and for a retry of what made it so.
+// An enforced index must be the current one. A retry of the registration that replaced it also
+// succeeds.
 func TestEnforceIndex(t *testing.T) {
 	s := newFakeStore()
 	r := New(testLimits, s)
@@ -195,7 +201,7 @@
 		change, err := r.Register(g, s.newID, 0)
 		var ce *ConflictError
 		if errors.As(err, &ce) != conflict || err != nil && !conflict {
-			t.Fatalf("%s at %d: %v", source, index, err)
+			t.Fatalf("source %s at index %d: %v", source, index, err)
 		}
 		if err == nil && !change.Empty() {
 			s.commit(change)
@@ -214,20 +220,20 @@
 	step("1", one, true)
 }
 
-// Of two changes that were worked out from the same state, one is written.
+// Of two changes that were computed from the same state, only the first is written.
 func TestConflict(t *testing.T) {
 	s := newFakeStore()
 	r := New(testLimits, s)
 	one, _ := r.Register(newRegistration("1", "a=1"), s.newID, 0)
 	two, _ := r.Register(newRegistration("2", "a=2"), s.newID, 0)
 	if !s.commit(one) || s.commit(two) {
-		t.Error("both were written, or none")
+		t.Error("want the first change written and the second refused")
 	}
 	s.replay(t, r, 0)
-	// Its own write, heard of again, is no change.
+	// A write that is received a second time is not a change.
 	for _, w := range s.keys {
 		if _, again, err := r.HandlePut(w.Put, w.Value, s.revisions[w.Put]); again || err != nil {
-			t.Errorf("%s: a change again, %v", w.Put, err)
+			t.Errorf("%s: changed again, error %v", w.Put, err)
 		}
 	}
 	version, _ := r.Register(newRegistration("2", "a=2"), s.newID, 0)
@@ -235,7 +241,7 @@
 	native := r.Get(Name{"blue", "j"}).Groups[0].Native
 	s.finish(native, core.Done)
 	if s.commit(version) || s.commit(stop) {
-		t.Error("a job that is done was ended")
+		t.Error("a change was written although a native job was completed in the meantime")
 	}
 }
 
@@ -263,12 +269,13 @@
 	}
 }
 
-// change is what one transaction wrote of a job: a part of the store's log.
+// loggedChange is a transaction that changed a job: a range of the store's writes.
 type loggedChange struct {
 	job      Name
 	from, to int
 }
 
+// apply passes the writes of a change to a registry.
 func (c loggedChange) apply(t *testing.T, s *fakeStore, r *Registry) {
 	t.Helper()
 	for i := c.from; i < c.to; i++ {
@@ -278,8 +285,8 @@
 	}
 }
 
-// Two nodes hear of the same records, one of its own writes early, of some
-// twice, and by a whole list after a gap: they come to know the same.
+// A node that receives its own writes early, some writes twice and, after a gap, a complete list
+// reaches the same state as a node that receives all writes in order.
 func TestRecordOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -310,7 +317,7 @@
 			t.Helper()
 			x, y := a.List("blue", ""), b.List("blue", "")
 			if len(x) != len(y) {
-				t.Fatalf("seed %d: %d jobs and %d", seed, len(x), len(y))
+				t.Fatalf("seed %d: %d and %d jobs", seed, len(x), len(y))
 			}
 			for i := range x {
 				if !reflect.DeepEqual(x[i], y[i]) {
@@ -318,13 +325,13 @@
 				}
 			}
 			if a.TeamIndex("blue") != b.TeamIndex("blue") || len(a.byNative) != len(b.byNative) {
-				t.Errorf("seed %d: index %d and %d, %d natives and %d", seed, a.TeamIndex("blue"), b.TeamIndex("blue"), len(a.byNative), len(b.byNative))
+				t.Errorf("seed %d: indexes %d and %d, %d and %d native jobs", seed, a.TeamIndex("blue"), b.TeamIndex("blue"), len(a.byNative), len(b.byNative))
 			}
 		}
 		delivered := rng.IntN(len(changes) + 1)
 		for i := range delivered {
-			// Its own write may come early, unless another change to the job is
-			// not known yet: it would not have been written then.
+			// The node's own write may come early, unless an earlier change to the same job is
+			// still missing: the node would not have made the write then.
 			if k := i + 1 + rng.IntN(3); k < delivered && rng.IntN(2) == 0 {
 				if !slices.ContainsFunc(changes[i:k], func(c loggedChange) bool { return c.job == changes[k].job }) {
 					changes[k].apply(t, s, shuffled)
