--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -87,6 +87,7 @@
 	DeliveryGuarantee DeliveryGuarantee
 }
 
+// matches reports whether the subscription selects an event.
 func (s *Subscription) matches(e *Event) bool {
 	if s.Team != "" && s.Team != e.Team || s.Class != "" && s.Class != e.Class {
 		return false
--- a/internal/notify/outbox.go
+++ b/internal/notify/outbox.go
@@ -34,7 +34,7 @@
 	ChunkSaveDelay core.Micros
 	MaxOpsPerSave  int // operations in one write; all watermarks count as one
 	InitialBackoff core.Micros
-	MaxBackoff     core.Micros // maximum delay between attempts
+	MaxBackoff     core.Micros // limit of the exponential delay, before the spread of retryDelay
 }
 
 // Outbox is one leader's state of undelivered notifications.
@@ -46,7 +46,7 @@
 	nextID               uint64
 	inFlight             map[uint64]*jobQueue // by the ID of the Send
 	pendingSave          *pendingSave         // the write in progress, or nil
-	nextSaveAt           core.Micros
+	nextSaveAt           core.Micros          // no write before this time, except for dead letters
 	actions              []Action
 }
 
@@ -80,7 +80,7 @@
 // are sent one at a time.
 type jobQueue struct {
 	sub               *subscriptionState
-	job               string
+	job               string // ID
 	events            []queuedEvent
 	attempts          int
 	possiblyDelivered bool        // an attempt for the first event may have taken effect
@@ -551,20 +551,20 @@
 	o.nextID++
 	pending := &pendingSave{id: o.nextID, watermarks: map[*subscriptionState]uint64{}, putDeadLetters: map[*subscriptionState]int{}, deletedDeadLetters: map[*subscriptionState]int{}}
 	a := Save{ID: pending.id}
-	marks := 0
+	watermarkOps := 0
 	room := func() bool {
-		return marks+len(a.DeleteChunks)+len(a.PutChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters) < o.cfg.MaxOpsPerSave
+		return watermarkOps+len(a.DeleteChunks)+len(a.PutChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters) < o.cfg.MaxOpsPerSave
 	}
 	for _, s := range o.subscriptionsInOrder {
 		for i := 0; i < len(s.deadLettersToPut) && room(); i++ {
 			a.PutDeadLetters = append(a.PutDeadLetters, s.deadLettersToPut[i])
 			pending.putDeadLetters[s]++
 		}
-		if marks == 0 && s.watermark > s.savedWatermark && room() {
-			marks = 1
+		if watermarkOps == 0 && s.watermark > s.savedWatermark && room() {
+			watermarkOps = 1
 		}
 	}
-	if marks > 0 {
+	if watermarkOps > 0 {
 		for _, s := range o.subscriptionsInOrder {
 			// The watermark must not pass a dead letter that is not written yet.
 			to := s.watermark
--- a/internal/notify/outbox_test.go
+++ b/internal/notify/outbox_test.go
@@ -20,6 +20,7 @@
 	order        map[string][]uint64 // by subscription and job: revisions and kinds as received
 }
 
+// receive applies a notification.
 func (b *fakeReceiver) receive(a Send) {
 	if b.deduplicates && b.seenKeys[a.Key] {
 		return
@@ -39,6 +40,7 @@
 	maxOps      int // largest number of operations in one write
 }
 
+// write stores the changes of a Save.
 func (r *fakeStore) write(a Save) {
 	for _, m := range a.Watermarks {
 		r.watermarks[m.Subscription] = max(r.watermarks[m.Subscription], m.Revision)
@@ -58,6 +60,7 @@
 	r.maxOps = max(r.maxOps, min(len(a.Watermarks), 1)+len(a.PutChunks)+len(a.DeleteChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters))
 }
 
+// load passes the stored records and events to a new outbox.
 func (r *fakeStore) load(t *testing.T, o *Outbox, now core.Micros) {
 	t.Helper()
 	for s, to := range r.watermarks {
@@ -79,6 +82,7 @@
 	}
 }
 
+// fetch returns the result of a FetchEvents.
 func (r *fakeStore) fetch(a FetchEvents) (events []Event, upTo uint64, all bool) {
 	i, _ := slices.BinarySearchFunc(r.events, a.After+1, func(e Event, rev uint64) int {
 		if e.Revision < rev {
@@ -115,6 +119,7 @@
 	revision  uint64
 }
 
+// newScenario returns a scenario with a subscription and receiver for each kind of guarantee.
 func newScenario(t *testing.T, seed uint64) *scenario {
 	sc := &scenario{
 		t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: core.Second, receivers: map[string]*fakeReceiver{},
@@ -142,11 +147,13 @@
 	return sc
 }
 
+// maxMessageAge returns the MaxMessageAge of a subscription's receiver.
 func (sc *scenario) maxMessageAge(sub string) core.Micros {
 	i := slices.IndexFunc(sc.cfg.Subscriptions, func(s Subscription) bool { return s.Name == sub })
 	return sc.cfg.Receivers[i].MaxMessageAge
 }
 
+// receiver returns a subscription's receiver.
 func (sc *scenario) receiver(sub string) *fakeReceiver {
 	for _, s := range sc.cfg.Subscriptions {
 		if s.Name == sub {
