--- a/internal/nomad/registry/change.go
+++ b/internal/nomad/registry/change.go
@@ -8,19 +8,19 @@
 	"aspenstall/internal/wire"
 )
 
-// Registration is a job file to be taken.
+// Registration is a job file to be registered.
 type Registration struct {
 	Name
 	Stub   Stub
-	Source []byte            // the job's JSON, the same for the same content
-	Groups []translate.Group // what it becomes
-	// Enforce makes it valid only if the job's JobModifyIndex is Index; 0 for a
-	// job that is not there.
+	Source []byte            // the job's JSON in canonical form: equal content has equal bytes
+	Groups []translate.Group // the translated task groups
+	// EnforceIndex makes the registration fail unless the job's JobModifyIndex is ExpectedIndex.
+	// 0 stands for a job that does not exist.
 	EnforceIndex  bool
 	ExpectedIndex uint64
 }
 
-// ConflictError says that a job is not as its registration expects.
+// ConflictError is returned if a job's JobModifyIndex is not the one that its registration expects.
 type ConflictError struct{ Expected, Actual uint64 }
 
 func (e *ConflictError) Error() string {
@@ -33,34 +33,37 @@
 	return fmt.Sprintf("Enforcing job modify index %d: job exists with conflicting job modify index: %d", e.Expected, e.Actual)
 }
 
-// TooLargeError says that a job does not fit into the state service's limits.
+// TooLargeError is returned if a job exceeds the limits of the state service.
 type TooLargeError struct{ Reason string }
 
 func (e *TooLargeError) Error() string { return e.Reason }
 
-// Change is what a registration or deregistration writes, all or nothing.
+// Change is the transaction of a registration or deregistration.
 type Change struct {
 	Conditions []wire.Cond
 	Writes     []wire.Write
-	Start      []core.JobSpec   // native jobs to be made
-	Cancel     []core.JobRecord // native jobs to be cancelled, each if it is still as here
-	// Keep are native jobs that go on, unchanged.
+	Start      []core.JobSpec   // native jobs to be created
+	Cancel     []core.JobRecord // native jobs to be cancelled, if their records have not changed
+	// Keep has the IDs of the native jobs that continue unchanged.
 	Keep []string
 }
 
-// Empty reports whether nothing is to be written.
+// Empty reports whether the change writes nothing.
 func (c *Change) Empty() bool { return len(c.Writes) == 0 }
 
+// encodePut returns the write of a value, encoded, to a key.
 func encodePut(key string, v any) (wire.Write, error) {
 	b, err := wire.Marshal(v)
 	return wire.Write{Put: key, Value: b}, err
 }
 
-func (h *jobRecord) encodePut(key string) (wire.Write, error) { return encodePut(jobPrefix+key, h) }
+// encodePut returns the write of a job's record; key is the jobKey of the job.
+func (rec *jobRecord) encodePut(key string) (wire.Write, error) { return encodePut(jobPrefix+key, rec) }
 
-// Register works out the change that a registration makes. The same content as
-// the current version changes nothing, which is also what a retry finds whose
-// first answer was lost. newID makes ids for native jobs; now is wall clock.
+// Register returns the change that a registration makes. Content equal to the current version
+// changes nothing; this is also the case for a retry after a lost response. newID returns IDs for
+// native jobs, and now is the wall-clock time. Register returns a ConflictError or a TooLargeError
+// if the registration is refused.
 func (r *Registry) Register(reg Registration, newID func() string, now core.Micros) (*Change, error) {
 	if n := r.limits.MaxGroups(); len(reg.Groups) > n {
 		return nil, &TooLargeError{fmt.Sprintf("the job has %d groups; this deployment's state service changes at most %d of a job at once: split it", len(reg.Groups), n)}
@@ -74,67 +77,68 @@
 	if err := reg.checkIndex(old, same); err != nil {
 		return nil, err
 	}
-	ch := &Change{}
+	change := &Change{}
 	if same {
 		for _, g := range old.Groups {
-			ch.Keep = append(ch.Keep, g.Native)
+			change.Keep = append(change.Keep, g.Native)
 		}
-		return ch, nil
+		return change, nil
 	}
 	key := jobKey(reg.Name)
-	h := &jobRecord{Stub: reg.Stub, Team: reg.Team, ID: reg.ID, At: int64(now)}
+	rec := &jobRecord{Stub: reg.Stub, Team: reg.Team, ID: reg.ID, At: int64(now)}
 	cond := wire.Cond{Key: jobPrefix + key}
 	if old != nil {
-		h.Version, h.Create, h.Before = old.Version+1, old.CreateIndex, old.JobModifyIndex
+		rec.Version, rec.Create, rec.Before = old.Version+1, old.CreateIndex, old.JobModifyIndex
 		cond.ModRevision = old.JobModifyIndex
 	}
-	ch.Conditions = append(ch.Conditions, cond)
+	change.Conditions = append(change.Conditions, cond)
 	kept := map[string]bool{}
 	for _, g := range reg.Groups {
 		native := r.reusableNative(old, g)
 		if native != "" {
 			kept[native] = true
-			ch.Keep = append(ch.Keep, native)
+			change.Keep = append(change.Keep, native)
 		} else {
 			spec := g.Spec
 			spec.ID = newID()
 			native = spec.ID
-			ch.Start = append(ch.Start, spec)
+			change.Start = append(change.Start, spec)
 		}
-		h.Groups = append(h.Groups, Group{Name: g.Name, Native: native, Digest: g.Digest})
+		rec.Groups = append(rec.Groups, Group{Name: g.Name, Native: native, Digest: g.Digest})
 	}
-	r.cancelNatives(ch, old, kept)
-	src, err := encodePut(sourceKey(key, h.Version), &sourceRecord{Packed: packed, At: int64(now)})
+	r.cancelNatives(change, old, kept)
+	sourceWrite, err := encodePut(sourceKey(key, rec.Version), &sourceRecord{Packed: packed, At: int64(now)})
 	if err != nil {
 		return nil, err
 	}
-	hd, err := h.encodePut(key)
+	jobWrite, err := rec.encodePut(key)
 	if err != nil {
 		return nil, err
 	}
-	for _, w := range []wire.Write{src, hd} {
+	for _, w := range []wire.Write{sourceWrite, jobWrite} {
 		if n := len(w.Value) + 100; n > r.limits.MaxValueBytes {
 			return nil, &TooLargeError{fmt.Sprintf("the job takes %d bytes when packed; this deployment's state service holds %d", n, r.limits.MaxValueBytes)}
 		}
 	}
-	ch.Writes = append(ch.Writes, hd, src)
+	change.Writes = append(change.Writes, jobWrite, sourceWrite)
 	if old != nil && len(old.versions) >= r.limits.maxVersions() {
-		ch.Writes = append(ch.Writes, wire.Write{Delete: sourceKey(key, old.versions[0].number)})
+		change.Writes = append(change.Writes, wire.Write{Delete: sourceKey(key, old.versions[0].number)})
 	}
-	return ch, r.checkLimits(ch)
+	return change, r.checkLimits(change)
 }
 
-// fits reports whether a change is within the limits. Jobs are held to them
-// when they are registered, so only lowered limits can be in its way.
-func (r *Registry) checkLimits(ch *Change) error {
-	if n := len(ch.Writes) + len(ch.Start) + len(ch.Cancel); n > r.limits.MaxOps {
-		return &TooLargeError{fmt.Sprintf("the change has %d parts; this deployment's state service takes %d at once", n, r.limits.MaxOps)}
+// checkLimits returns a TooLargeError if a change has too many operations. Jobs are checked against
+// the limits when they are registered, so this happens only after the limits were lowered.
+func (r *Registry) checkLimits(change *Change) error {
+	if n := len(change.Writes) + len(change.Start) + len(change.Cancel); n > r.limits.MaxOps {
+		return &TooLargeError{fmt.Sprintf("the change has %d operations; this deployment's state service takes %d at once", n, r.limits.MaxOps)}
 	}
 	return nil
 }
 
-// enforce checks a registration's index. What a retry of it sees is its own
-// work, if the content is the same and it replaced what it expected.
+// checkIndex checks the expected index of a registration. A retry finds the job as its first
+// attempt changed it. It succeeds if the content is the same and the last change replaced the
+// expected index.
 func (reg *Registration) checkIndex(old *Job, same bool) error {
 	if !reg.EnforceIndex {
 		return nil
@@ -149,7 +153,7 @@
 	return &ConflictError{reg.ExpectedIndex, have}
 }
 
-// unchanged is the native job that serves a group already, "" for none.
+// reusableNative returns the ID of the native job that already runs an unchanged group, or "".
 func (r *Registry) reusableNative(old *Job, g translate.Group) string {
 	if old == nil || old.Stopped {
 		return ""
@@ -163,57 +167,58 @@
 	return ""
 }
 
-// end adds that the old job's native jobs end, but for those that are kept.
-func (r *Registry) cancelNatives(ch *Change, old *Job, kept map[string]bool) {
+// cancelNatives adds the cancellation of the old job's unfinished native jobs to a change, except
+// for those in kept.
+func (r *Registry) cancelNatives(change *Change, old *Job, kept map[string]bool) {
 	if old == nil {
 		return
 	}
 	for _, g := range old.Groups {
 		if rec, ok := r.natives.Record(g.Native); ok && rec.Phase == core.Pending && !kept[g.Native] {
-			ch.Cancel = append(ch.Cancel, rec)
+			change.Cancel = append(change.Cancel, rec)
 		}
 	}
 }
 
-// Deregister works out the change that stops a job, or purges it; nil if there
-// is no such job.
+// Deregister returns the change that stops or purges a job, or nil if there is no such job. The
+// change is empty if the job is already stopped and is not purged.
 func (r *Registry) Deregister(n Name, purge bool) (*Change, error) {
 	old := r.jobs[n]
 	if old == nil {
 		return nil, nil
 	}
-	ch := &Change{}
+	change := &Change{}
 	if old.Stopped && !purge {
-		return ch, nil
+		return change, nil
 	}
 	key := jobKey(n)
-	ch.Conditions = append(ch.Conditions, wire.Cond{Key: jobPrefix + key, ModRevision: old.JobModifyIndex})
-	r.cancelNatives(ch, old, nil)
+	change.Conditions = append(change.Conditions, wire.Cond{Key: jobPrefix + key, ModRevision: old.JobModifyIndex})
+	r.cancelNatives(change, old, nil)
 	if purge {
-		ch.Writes = append(ch.Writes, wire.Write{Delete: jobPrefix + key})
+		change.Writes = append(change.Writes, wire.Write{Delete: jobPrefix + key})
 		for _, v := range old.versions {
-			ch.Writes = append(ch.Writes, wire.Write{Delete: sourceKey(key, v.number)})
+			change.Writes = append(change.Writes, wire.Write{Delete: sourceKey(key, v.number)})
 		}
 		g, err := encodePut(purgeKey(n.Team), &purgeRecord{n.Team})
 		if err != nil {
 			return nil, err
 		}
-		ch.Writes = append(ch.Writes, g)
-		return ch, r.checkLimits(ch)
+		change.Writes = append(change.Writes, g)
+		return change, r.checkLimits(change)
 	}
-	h := &jobRecord{
+	rec := &jobRecord{
 		Stub: old.Stub, Team: n.Team, ID: n.ID, Version: old.Version, Stopped: true, At: int64(old.Submitted),
 		Groups: old.Groups, Create: old.CreateIndex, Before: old.JobModifyIndex,
 	}
-	hd, err := h.encodePut(key)
+	jobWrite, err := rec.encodePut(key)
 	if err != nil {
 		return nil, err
 	}
-	ch.Writes = append(ch.Writes, hd)
-	return ch, r.checkLimits(ch)
+	change.Writes = append(change.Writes, jobWrite)
+	return change, r.checkLimits(change)
 }
 
-// current is the packed source of the current version, "" if it is not kept.
+// currentSource returns the packed source of the current version, or "" if it is not stored.
 func (j *Job) currentSource() string {
 	for _, v := range j.versions {
 		if v.number == j.Version {
--- a/internal/nomad/registry/registry_test.go
+++ b/internal/nomad/registry/registry_test.go
@@ -14,16 +14,16 @@
 	"aspenstall/internal/wire"
 )
 
-// store is a state service of the smallest kind: it executes changes.
+// fakeStore is a minimal state service that executes changes.
 type fakeStore struct {
 	revision       uint64
 	jobs           map[string]core.JobRecord
-	keys           map[string]wire.Write
-	revisions      map[string]uint64
-	writes         []wire.Write // what was written, in order, with its revision
-	writeRevisions []uint64
+	keys           map[string]wire.Write // the current records by key
+	revisions      map[string]uint64     // their revisions
+	writes         []wire.Write          // all writes in order
+	writeRevisions []uint64              // their revisions
 	nextID         int
-	running        map[string]int
+	running        map[string]int // number of running tasks by native job
 }
 
 func newFakeStore() *fakeStore {
@@ -33,6 +33,8 @@
 func (s *fakeStore) Record(id string) (core.JobRecord, bool)  { r, ok := s.jobs[id]; return r, ok }
 func (s *fakeStore) TaskCounts(id string) (done, running int) { return 0, s.running[id] }
 func (s *fakeStore) newID() string                            { s.nextID++; return fmt.Sprintf("job-%06d", s.nextID) }
+
+// finish ends a native job in a phase and returns the new revision.
 func (s *fakeStore) finish(id string, phase core.Phase) uint64 {
 	s.revision++
 	r := s.jobs[id]
@@ -41,27 +43,27 @@
 	return s.revision
 }
 
-// execute executes a change as the state service does; false for a conflict.
-func (s *fakeStore) commit(ch *Change) bool {
-	for _, c := range ch.Conditions {
+// commit executes a change like the state service. It returns false if a condition fails.
+func (s *fakeStore) commit(change *Change) bool {
+	for _, c := range change.Conditions {
 		if s.revisions[c.Key] != c.ModRevision {
 			return false
 		}
 	}
-	for _, r := range ch.Cancel {
+	for _, r := range change.Cancel {
 		if s.jobs[r.Spec.ID].Revision != r.Revision {
 			return false
 		}
 	}
 	s.revision++
-	for _, spec := range ch.Start {
+	for _, spec := range change.Start {
 		s.jobs[spec.ID] = core.JobRecord{Spec: spec, Revision: s.revision}
 	}
-	for _, r := range ch.Cancel {
+	for _, r := range change.Cancel {
 		r.Phase, r.Revision = core.Cancelled, s.revision
 		s.jobs[r.Spec.ID] = r
 	}
-	for _, w := range ch.Writes {
+	for _, w := range change.Writes {
 		s.writes, s.writeRevisions = append(s.writes, w), append(s.writeRevisions, s.revision)
 		if w.Put != "" {
 			s.keys[w.Put], s.revisions[w.Put] = w, s.revision
@@ -73,6 +75,7 @@
 	return true
 }
 
+// handleWrite passes a write to the registry.
 func (r *Registry) handleWrite(w wire.Write, rev uint64) error {
 	if w.Put == "" {
 		r.HandleDelete(w.Delete, rev)
@@ -82,6 +85,7 @@
 	return err
 }
 
+// replay passes the writes from an index on to a registry.
 func (s *fakeStore) replay(t *testing.T, r *Registry, from int) {
 	t.Helper()
 	for i := from; i < len(s.writes); i++ {
@@ -93,7 +97,7 @@
 
 var testLimits = Limits{MaxOps: 12, MaxValueBytes: 4096}
 
-// groups are groups of a job by name and content.
+// testGroups returns groups from strings of the form name=content.
 func testGroups(names ...string) []translate.Group {
 	var out []translate.Group
 	for _, n := range names {
@@ -103,72 +107,73 @@
 	return out
 }
 
+// newRegistration returns a registration of job j of team blue.
 func newRegistration(source string, g ...string) Registration {
 	return Registration{Name: Name{"blue", "j"}, Source: []byte(source), Groups: testGroups(g...)}
 }
 
-// Versions replace what differs and keep what does not; the same content
-// changes nothing, unless the job was stopped.
+// A new version replaces the native jobs of changed groups and keeps those of unchanged ones. Equal
+// content changes nothing, unless the job was stopped.
 func TestRegister(t *testing.T) {
 	s := newFakeStore()
 	r := New(testLimits, s)
-	do := func(reg Registration, start, end, keep int) {
+	register := func(reg Registration, start, end, keep int) {
 		t.Helper()
 		from := len(s.writes)
-		ch, err := r.Register(reg, s.newID, 7)
+		change, err := r.Register(reg, s.newID, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(ch.Start) != start || len(ch.Cancel) != end || len(ch.Keep) != keep {
-			t.Fatalf("starts %d, ends %d, keeps %d; want %d, %d, %d", len(ch.Start), len(ch.Cancel), len(ch.Keep), start, end, keep)
+		if len(change.Start) != start || len(change.Cancel) != end || len(change.Keep) != keep {
+			t.Fatalf("starts %d, cancels %d, keeps %d; want %d, %d, %d", len(change.Start), len(change.Cancel), len(change.Keep), start, end, keep)
 		}
-		if n := len(ch.Writes) + start + end; n > testLimits.MaxOps {
-			t.Errorf("%d parts", n)
+		if n := len(change.Writes) + start + end; n > testLimits.MaxOps {
+			t.Errorf("%d operations", n)
 		}
-		if !ch.Empty() && !s.commit(ch) {
+		if !change.Empty() && !s.commit(change) {
 			t.Fatal("conflict")
 		}
 		s.replay(t, r, from)
 	}
-	do(newRegistration("1", "a=1", "b=1"), 2, 0, 0)
-	do(newRegistration("1", "a=1", "b=1"), 0, 0, 2)
-	do(newRegistration("2", "a=2", "b=1"), 1, 1, 1)
+	register(newRegistration("1", "a=1", "b=1"), 2, 0, 0)
+	register(newRegistration("1", "a=1", "b=1"), 0, 0, 2)
+	register(newRegistration("2", "a=2", "b=1"), 1, 1, 1)
 	j := r.Get(Name{"blue", "j"})
 	s.finish(j.Groups[1].Native, core.Done)
-	do(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2) // what is done stays done
+	register(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2) // a completed native job is not started again
 	s.finish(r.Get(j.Name).Groups[0].Native, core.Cancelled)
-	do(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1) // what was cancelled from outside begins again
-	ch, err := r.Deregister(j.Name, false)
-	if err != nil || len(ch.Cancel) != 2 || !s.commit(ch) {
-		t.Fatalf("%+v %v", ch, err)
+	register(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1) // one that was cancelled separately is
+	change, err := r.Deregister(j.Name, false)
+	if err != nil || len(change.Cancel) != 2 || !s.commit(change) {
+		t.Fatalf("%+v %v", change, err)
 	}
 	s.replay(t, r, len(s.writes)-1)
-	if ch, _ := r.Deregister(j.Name, false); !ch.Empty() {
-		t.Error("stopped twice")
+	if change, _ := r.Deregister(j.Name, false); !change.Empty() {
+		t.Error("a stopped job was stopped again")
 	}
 	if st := r.Status(r.Get(j.Name)); st != Dead {
-		t.Errorf("stopped, it is %s", st)
+		t.Errorf("the status of a stopped job is %s", st)
 	}
-	do(newRegistration("4", "a=2", "b=1", "c=2"), 3, 0, 0)
+	register(newRegistration("4", "a=2", "b=1", "c=2"), 3, 0, 0)
 	for i := range 8 {
-		do(newRegistration(fmt.Sprint(5+i), "a=2", "b=1", "c=2"), 0, 0, 3)
+		register(newRegistration(fmt.Sprint(5+i), "a=2", "b=1", "c=2"), 0, 0, 3)
 	}
 	j = r.Get(j.Name)
 	if v := j.Versions(); len(v) != testLimits.maxVersions() || v[0] != j.Version || j.Version != 12 || j.CreateIndex != 11 {
-		t.Errorf("version %d, created at %d, kept %v", j.Version, j.CreateIndex, v)
+		t.Errorf("version %d, created at %d, stored versions %v", j.Version, j.CreateIndex, v)
 	}
 	b, _, _, err := j.Source(j.Version)
 	if err != nil || string(b) != "12" {
 		t.Errorf("source %q %v", b, err)
 	}
-	if ch, err = r.Deregister(j.Name, true); err != nil || !s.commit(ch) {
+	if change, err = r.Deregister(j.Name, true); err != nil || !s.commit(change) {
 		t.Fatal(err)
 	}
 	s.replay(t, r, 0)
 	if r.Get(j.Name) != nil || len(s.keys) != 1 || len(r.orphanedSources) != 0 || len(r.byNative) != 0 {
-		t.Errorf("left behind: %d keys, %d orphans, %d natives", len(s.keys), len(r.orphanedSources), len(r.byNative))
+		t.Errorf("after the purge: %d keys, %d orphaned sources, %d native jobs", len(s.keys), len(r.orphanedSources), len(r.byNative))
 	}
-	// A node that starts now reads one record, which holds the index.
+	// A new node reads the one remaining record, which determines the index of the team.
 	fresh := New(testLimits, s)
 	for k, w := range s.keys {
 		if err := fresh.handleWrite(w, s.revisions[k]); err != nil {
@@ -176,14 +181,15 @@
 		}
 	}
 	if i := fresh.TeamIndex("blue"); i != r.TeamIndex("blue") || i != s.revision {
-		t.Errorf("the index was %d and is %d at a new node", r.TeamIndex("blue"), i)
+		t.Errorf("the index was %d, and is %d on a new node", r.TeamIndex("blue"), i)
 	}
 	if g := r.Purged("blue", 0); len(g) != 1 || g[0].Index != s.revision || len(r.Purged("blue", s.revision)) != 0 || len(r.Purged("green", 0)) != 0 {
 		t.Errorf("purged: %v", g)
 	}
 }
 
-// An index to enforce holds for a job as it is, and for a retry of what made it so.
+// An enforced index must be the current one. A retry of the registration that replaced it also
+// succeeds.
 func TestEnforceIndex(t *testing.T) {
 	s := newFakeStore()
 	r := New(testLimits, s)
@@ -192,13 +198,13 @@
 		g := newRegistration(source, "a="+source)
 		g.EnforceIndex, g.ExpectedIndex = true, index
 		from := len(s.writes)
-		ch, err := r.Register(g, s.newID, 0)
+		change, err := r.Register(g, s.newID, 0)
 		var ce *ConflictError
 		if errors.As(err, &ce) != conflict || err != nil && !conflict {
-			t.Fatalf("%s at %d: %v", source, index, err)
+			t.Fatalf("source %s at index %d: %v", source, index, err)
 		}
-		if err == nil && !ch.Empty() {
-			s.commit(ch)
+		if err == nil && !change.Empty() {
+			s.commit(change)
 			s.replay(t, r, from)
 		}
 		return s.revision
@@ -214,20 +220,20 @@
 	step("1", one, true)
 }
 
-// Of two changes that were worked out from the same state, one is written.
+// Of two changes that were computed from the same state, only the first is written.
 func TestConflict(t *testing.T) {
 	s := newFakeStore()
 	r := New(testLimits, s)
 	one, _ := r.Register(newRegistration("1", "a=1"), s.newID, 0)
 	two, _ := r.Register(newRegistration("2", "a=2"), s.newID, 0)
 	if !s.commit(one) || s.commit(two) {
-		t.Error("both were written, or none")
+		t.Error("want the first change written and the second refused")
 	}
 	s.replay(t, r, 0)
-	// Its own write, heard of again, is no change.
+	// A write that is received a second time is not a change.
 	for _, w := range s.keys {
 		if _, again, err := r.HandlePut(w.Put, w.Value, s.revisions[w.Put]); again || err != nil {
-			t.Errorf("%s: a change again, %v", w.Put, err)
+			t.Errorf("%s: changed again, error %v", w.Put, err)
 		}
 	}
 	version, _ := r.Register(newRegistration("2", "a=2"), s.newID, 0)
@@ -235,7 +241,7 @@
 	native := r.Get(Name{"blue", "j"}).Groups[0].Native
 	s.finish(native, core.Done)
 	if s.commit(version) || s.commit(stop) {
-		t.Error("a job that is done was ended")
+		t.Error("a change was written although a native job was completed in the meantime")
 	}
 }
 
@@ -243,9 +249,9 @@
 	s := newFakeStore()
 	r := New(testLimits, s)
 	noise := make([]byte, 4000)
-	dice := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range noise {
-		noise[i] = byte(dice.Uint32())
+		noise[i] = byte(rng.Uint32())
 	}
 	for _, c := range []struct {
 		reg  Registration
@@ -263,12 +269,13 @@
 	}
 }
 
-// change is what one transaction wrote of a job: a part of the store's log.
+// loggedChange is a transaction that changed a job: a range of the store's writes.
 type loggedChange struct {
 	job      Name
 	from, to int
 }
 
+// apply passes the writes of a change to a registry.
 func (c loggedChange) apply(t *testing.T, s *fakeStore, r *Registry) {
 	t.Helper()
 	for i := c.from; i < c.to; i++ {
@@ -278,39 +285,39 @@
 	}
 }
 
-// Two nodes hear of the same records, one of its own writes early, of some
-// twice, and by a whole list after a gap: they come to know the same.
+// A node that receives its own writes early, some writes twice and, after a gap, a complete list
+// reaches the same state as a node that receives all writes in order.
 func TestRecordOrder(t *testing.T) {
 	for seed := range uint64(50) {
-		dice := rand.New(rand.NewPCG(seed, 3))
+		rng := rand.New(rand.NewPCG(seed, 3))
 		s := newFakeStore()
 		writer := New(testLimits, s)
 		var changes []loggedChange
 		for range 30 {
-			n := Name{"blue", string(rune('a' + dice.IntN(3)))}
-			g := newRegistration(fmt.Sprint(dice.IntN(3)), fmt.Sprintf("x=%d", dice.IntN(2)), fmt.Sprintf("y=%d", dice.IntN(2)))
+			n := Name{"blue", string(rune('a' + rng.IntN(3)))}
+			g := newRegistration(fmt.Sprint(rng.IntN(3)), fmt.Sprintf("x=%d", rng.IntN(2)), fmt.Sprintf("y=%d", rng.IntN(2)))
 			g.Name = n
-			ch, err := writer.Register(g, s.newID, 0)
-			if dice.IntN(4) == 0 {
-				ch, err = writer.Deregister(n, dice.IntN(2) == 0)
+			change, err := writer.Register(g, s.newID, 0)
+			if rng.IntN(4) == 0 {
+				change, err = writer.Deregister(n, rng.IntN(2) == 0)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 			from := len(s.writes)
-			if ch == nil || ch.Empty() {
+			if change == nil || change.Empty() {
 				continue
 			}
-			s.commit(ch)
+			s.commit(change)
 			s.replay(t, writer, from)
 			changes = append(changes, loggedChange{n, from, len(s.writes)})
 		}
-		other, inOrder := New(testLimits, s), New(testLimits, s)
+		shuffled, inOrder := New(testLimits, s), New(testLimits, s)
 		same := func(a, b *Registry) {
 			t.Helper()
 			x, y := a.List("blue", ""), b.List("blue", "")
 			if len(x) != len(y) {
-				t.Fatalf("seed %d: %d jobs and %d", seed, len(x), len(y))
+				t.Fatalf("seed %d: %d and %d jobs", seed, len(x), len(y))
 			}
 			for i := range x {
 				if !reflect.DeepEqual(x[i], y[i]) {
@@ -318,39 +325,39 @@
 				}
 			}
 			if a.TeamIndex("blue") != b.TeamIndex("blue") || len(a.byNative) != len(b.byNative) {
-				t.Errorf("seed %d: index %d and %d, %d natives and %d", seed, a.TeamIndex("blue"), b.TeamIndex("blue"), len(a.byNative), len(b.byNative))
+				t.Errorf("seed %d: indexes %d and %d, %d and %d native jobs", seed, a.TeamIndex("blue"), b.TeamIndex("blue"), len(a.byNative), len(b.byNative))
 			}
 		}
-		cut := dice.IntN(len(changes) + 1)
-		for i := range cut {
-			// Its own write may come early, unless another change to the job is
-			// not known yet: it would not have been written then.
-			if k := i + 1 + dice.IntN(3); k < cut && dice.IntN(2) == 0 {
+		delivered := rng.IntN(len(changes) + 1)
+		for i := range delivered {
+			// The node's own write may come early, unless an earlier change to the same job is
+			// still missing: the node would not have made the write then.
+			if k := i + 1 + rng.IntN(3); k < delivered && rng.IntN(2) == 0 {
 				if !slices.ContainsFunc(changes[i:k], func(c loggedChange) bool { return c.job == changes[k].job }) {
-					changes[k].apply(t, s, other)
+					changes[k].apply(t, s, shuffled)
 				}
 			}
-			changes[i].apply(t, s, other)
-			if dice.IntN(3) == 0 {
-				changes[i].apply(t, s, other)
+			changes[i].apply(t, s, shuffled)
+			if rng.IntN(3) == 0 {
+				changes[i].apply(t, s, shuffled)
 			}
 			changes[i].apply(t, s, inOrder)
 		}
-		same(inOrder, other)
-		have := map[string]bool{}
+		same(inOrder, shuffled)
+		listed := map[string]bool{}
 		keys := make([]string, 0, len(s.keys))
 		for k := range s.keys {
-			have[k] = true
+			listed[k] = true
 			keys = append(keys, k)
 		}
 		slices.Sort(keys)
-		dice.Shuffle(len(keys), func(i, k int) { keys[i], keys[k] = keys[k], keys[i] })
+		rng.Shuffle(len(keys), func(i, k int) { keys[i], keys[k] = keys[k], keys[i] })
 		for _, k := range keys {
-			if err := other.handleWrite(s.keys[k], s.revisions[k]); err != nil {
+			if err := shuffled.handleWrite(s.keys[k], s.revisions[k]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		other.HandleKeyList(have, s.revision+100)
-		same(writer, other)
+		shuffled.HandleKeyList(listed, s.revision+100)
+		same(writer, shuffled)
 	}
 }
--- a/internal/notify/outbox.go
+++ b/internal/notify/outbox.go
@@ -17,163 +17,167 @@
 	"aspenstall/internal/core"
 )
 
-// Config is what an outbox knows from the settings.
+// Config holds the settings of an outbox.
 type Config struct {
-	TermStart     core.Micros // of this leader's term, on its steady clock
+	TermStart     core.Micros // start of this leader's term, monotonic clock
 	Subscriptions []Subscription
 	Receivers     []Receiver
-	// Window is how many events of a subscription are held at once; the others
-	// are asked for when there is room again.
+	// MaxBuffered limits the events of a subscription that are kept in memory. The
+	// others are requested by FetchEvents when there is room again.
 	MaxBuffered int
-	// SaveGap is the least time between two writes, so that acknowledgements
-	// share one. What is put aside does not wait for it, since an attempt may.
+	// MinSaveInterval is the minimum time between two writes, so that several
+	// acknowledgements share one. Dead letters do not wait for it, since a delivery
+	// attempt may be waiting for their write.
 	MinSaveInterval core.Micros
-	// ChunkGap is how long the mark has to catch up before a bitmap is written.
+	// ChunkSaveDelay is how long a changed bitmap waits before it is written. If the
+	// watermark passes the chunk in that time, the write is not needed.
 	ChunkSaveDelay core.Micros
-	MaxOpsPerSave  int // parts of one write
+	MaxOpsPerSave  int // operations in one write; all watermarks count as one
 	InitialBackoff core.Micros
-	MaxBackoff     core.Micros // the longest pause between attempts
+	MaxBackoff     core.Micros // limit of the exponential delay, before the spread of retryDelay
 }
 
-// Outbox is what one leader knows of undelivered notifications.
+// Outbox is one leader's state of undelivered notifications.
 type Outbox struct {
 	cfg                  Config
 	subscriptions        map[string]*subscriptionState
 	subscriptionsInOrder []*subscriptionState
 	receivers            map[string]*receiverState
 	nextID               uint64
-	inFlight             map[uint64]*jobQueue
-	pendingSave          *pendingSave // the write under way
-	nextSaveAt           core.Micros
+	inFlight             map[uint64]*jobQueue // by the ID of the Send
+	pendingSave          *pendingSave         // the write in progress, or nil
+	nextSaveAt           core.Micros          // no write before this time, except for dead letters
 	actions              []Action
 }
 
-// sub is a subscription's state.
+// subscriptionState is the delivery state of one subscription.
 type subscriptionState struct {
 	Subscription
 	receiver            *receiverState
-	watermark           uint64 // all up to here are settled
-	settled             map[uint64]*roaring.Bitmap
-	unsettled           map[uint64]int // unsettled events by revision
-	awaitingComplete    []uint64       // revisions of which more may come, and all so far is settled
-	revisionHeap        revisionHeap   // their revisions, the lowest first; some may be settled
-	buffered            map[string]bool
-	queues              map[string]*jobQueue // by job
-	ready               queueHeap
-	loadedThrough       uint64 // all events up to here were taken or are settled
-	lastBuffered        uint64 // the last revision of which events were taken
-	overflowed          bool   // those after it are left out until there is room
-	fetching            bool
-	dirtyChunks         map[uint64]bool // chunks that changed since they were written
-	dirtySince          core.Micros     // since when there are any
-	storedChunks        map[uint64]bool // chunks that have a record
-	savedWatermark      uint64
-	deadLettersToPut    []DeadLetter          // to be written
-	deadLettersToDelete []DeadLetter          // whose records are to go
-	deadLetters         map[string]DeadLetter // all that are put aside, written or not
-	sendAfterSave       map[string]*jobQueue  // to be sent once they are written as put aside
-}
-
-// lane is a job's undelivered events in their order: one is sent at a time.
+	watermark           uint64                     // all revisions up to this one are settled
+	settled             map[uint64]*roaring.Bitmap // settled revisions above the watermark, by chunk
+	unsettled           map[uint64]int             // number of events by revision
+	awaitingComplete    []uint64                   // settled so far, but more events may follow
+	revisionHeap        revisionHeap               // of unsettled; may include settled ones
+	buffered            map[string]bool            // IDs of the events in the queues
+	queues              map[string]*jobQueue       // by job
+	ready               queueHeap                  // queues that are not busy
+	loadedThrough       uint64                     // events up to here were buffered or are settled
+	lastBuffered        uint64                     // the last revision of which events were buffered
+	overflowed          bool                       // later events are ignored until there is room
+	fetching            bool                       // a FetchEvents is in progress
+	dirtyChunks         map[uint64]bool            // chunks that changed since they were last written
+	dirtySince          core.Micros                // when dirtyChunks last became non-empty
+	storedChunks        map[uint64]bool            // chunks that have a record in the store
+	savedWatermark      uint64                     // the watermark that was last written
+	deadLettersToPut    []DeadLetter               // their records must be written
+	deadLettersToDelete []DeadLetter               // their records must be deleted
+	deadLetters         map[string]DeadLetter      // all dead letters by event ID, whether written or not
+	sendAfterSave       map[string]*jobQueue       // by event ID; sent once the dead letter is written
+}
+
+// jobQueue holds the undelivered events of one job for one subscription, in order. They
+// are sent one at a time.
 type jobQueue struct {
 	sub               *subscriptionState
-	job               string
+	job               string // ID
 	events            []queuedEvent
 	attempts          int
-	possiblyDelivered bool        // an attempt may have had its effect
-	busy              bool        // the first event is on its way, or being claimed
-	nextAttemptAt     core.Micros // steady clock; not before
-	heapIndex         int         // in the heap, -1 if it is not
+	possiblyDelivered bool        // an attempt for the first event may have taken effect
+	busy              bool        // the first event is being sent, or its dead letter is being written
+	nextAttemptAt     core.Micros // monotonic clock
+	heapIndex         int         // index in ready, or -1
 }
 
-// item is an event in a lane.
+// queuedEvent is an event in a jobQueue.
 type queuedEvent struct {
 	Event
-	// counted: it counts as settled already, since it is put aside; it is sent all
-	// the same.
+	// settled is set for an event that is already settled as a dead letter and is
+	// nevertheless sent.
 	settled bool
 }
 
-// receiver is a receiver's state.
+// receiverState holds the use of one receiver, against its limits.
 type receiverState struct {
 	Receiver
 	inFlight        int
-	tokens          float64
+	tokens          float64 // of the token bucket for PerSecond
 	refilledAt      core.Micros
-	sendingStartsAt core.Micros // nothing is sent before
+	sendingStartsAt core.Micros // no attempt is made before this time
 }
 
-// saving is a write under way and what it settles.
+// pendingSave is a write in progress, with the state that it stores.
 type pendingSave struct {
 	id                 uint64
 	watermarks         map[*subscriptionState]uint64
 	putChunks          []ChunkKey
 	deletedChunks      []ChunkKey
-	putDeadLetters     map[*subscriptionState]int
-	deletedDeadLetters map[*subscriptionState]int
+	putDeadLetters     map[*subscriptionState]int // number of entries of deadLettersToPut
+	deletedDeadLetters map[*subscriptionState]int // number of entries of deadLettersToDelete
 }
 
-// New returns an outbox that knows of nothing settled.
+// New returns an outbox without settled revisions; the Load methods add the stored ones.
 func New(cfg Config) *Outbox {
 	o := &Outbox{cfg: cfg, subscriptions: map[string]*subscriptionState{}, receivers: map[string]*receiverState{}, inFlight: map[uint64]*jobQueue{}}
 	for _, r := range cfg.Receivers {
 		o.receivers[r.Name] = &receiverState{Receiver: r, tokens: max(r.PerSecond, 1), sendingStartsAt: cfg.TermStart + r.MaxMessageAge}
 	}
 	for _, s := range cfg.Subscriptions {
-		k := &subscriptionState{
+		state := &subscriptionState{
 			Subscription: s, receiver: o.receivers[s.Receiver], settled: map[uint64]*roaring.Bitmap{}, unsettled: map[uint64]int{}, buffered: map[string]bool{},
 			queues: map[string]*jobQueue{}, dirtyChunks: map[uint64]bool{}, storedChunks: map[uint64]bool{},
 			deadLetters: map[string]DeadLetter{}, sendAfterSave: map[string]*jobQueue{},
 		}
-		o.subscriptions[s.Name] = k
-		o.subscriptionsInOrder = append(o.subscriptionsInOrder, k)
+		o.subscriptions[s.Name] = state
+		o.subscriptionsInOrder = append(o.subscriptionsInOrder, state)
 	}
 	return o
 }
 
-// LoadMark takes over a subscription's mark, as it was written.
+// LoadWatermark restores a subscription's stored watermark. It ignores unknown subscriptions.
 func (o *Outbox) LoadWatermark(m Watermark) {
 	if s := o.subscriptions[m.Subscription]; s != nil {
 		s.watermark, s.savedWatermark, s.loadedThrough = m.Revision, m.Revision, m.Revision
 	}
 }
 
-// From is the revision up to which all is settled of every subscription: what
-// is older need not be told.
+// MinWatermark returns the revision up to which all events of all subscriptions are
+// settled. Older events need not be passed to HandleEvent.
 func (o *Outbox) MinWatermark() uint64 {
-	from := uint64(math.MaxUint64)
+	lowest := uint64(math.MaxUint64)
 	for _, s := range o.subscriptionsInOrder {
-		from = min(from, s.watermark)
+		lowest = min(lowest, s.watermark)
 	}
-	return from
+	return lowest
 }
 
-// LoadChunk takes over a part of a subscription's bitmap, as it was written.
+// LoadChunk restores a stored chunk of a subscription's bitmap. It returns an error if the
+// bitmap cannot be decoded.
 func (o *Outbox) LoadChunk(c Chunk) error {
 	s := o.subscriptions[c.Subscription]
 	if s == nil {
-		return nil // a subscription that is no more
+		return nil // the subscription no longer exists
 	}
 	b, err := base64.StdEncoding.DecodeString(c.Bitmap)
 	if err != nil {
-		return fmt.Errorf("settled of %s: %w", c.Subscription, err)
+		return fmt.Errorf("settled revisions of subscription %s: %w", c.Subscription, err)
 	}
 	bm := roaring.New()
 	if err := bm.UnmarshalBinary(b); err != nil {
-		return fmt.Errorf("settled of %s: %w", c.Subscription, err)
+		return fmt.Errorf("settled revisions of subscription %s: %w", c.Subscription, err)
 	}
 	s.settled[c.Chunk], s.storedChunks[c.Chunk] = bm, true
 	return nil
 }
 
-// LoadDead takes over a dead letter, as it was written.
+// LoadDeadLetter restores a stored dead letter. It ignores unknown subscriptions.
 func (o *Outbox) LoadDeadLetter(d DeadLetter) {
 	if s := o.subscriptions[d.Subscription]; s != nil {
 		s.deadLetters[eventID(&d.Event)] = d
 	}
 }
 
-// Dead lists the dead letters of a subscription.
+// DeadLetters returns the dead letters of a subscription, ordered by revision, job and kind.
 func (o *Outbox) DeadLetters(name string) []DeadLetter {
 	s := o.subscriptions[name]
 	if s == nil {
@@ -189,8 +193,9 @@
 	return out
 }
 
-// Retry has a dead letter sent again, behind what its job's lane holds; false if
-// there is none, it is on its way, or its record is not written yet. Drop forgets one.
+// RetryDeadLetter queues a dead letter to be sent again, behind the event of its job that
+// is being sent. It returns false if there is no such dead letter, if it is already queued,
+// or if its record is not written yet.
 func (o *Outbox) RetryDeadLetter(now core.Micros, name, job string, kind Kind) bool {
 	e := Event{Job: job, Kind: kind}
 	s := o.subscriptions[name]
@@ -206,7 +211,8 @@
 	return true
 }
 
-// Drop forgets a dead letter.
+// DeleteDeadLetter deletes a dead letter. It returns false if there is none, if it is queued
+// to be sent again, or if its record is not written yet.
 func (o *Outbox) DeleteDeadLetter(name, job string, kind Kind) bool {
 	e := Event{Job: job, Kind: kind}
 	s := o.subscriptions[name]
@@ -216,12 +222,13 @@
 	return s.deleteDeadLetter(&e)
 }
 
-// unwritten reports whether a dead letter's record is still to be written.
+// deadLetterUnsaved reports whether the record of an event's dead letter is not written yet.
 func (s *subscriptionState) deadLetterUnsaved(e *Event) bool {
 	return slices.ContainsFunc(s.deadLettersToPut, func(d DeadLetter) bool { return d.Event.Job == e.Job && d.Event.Kind == e.Kind })
 }
 
-// revive ends a dead letter's record.
+// deleteDeadLetter removes an event's dead letter and schedules the deletion of its record.
+// It reports whether there was one.
 func (s *subscriptionState) deleteDeadLetter(e *Event) bool {
 	d, ok := s.deadLetters[eventID(e)]
 	if ok {
@@ -231,6 +238,7 @@
 	return ok
 }
 
+// isSettled reports whether a revision is settled.
 func (s *subscriptionState) isSettled(rev uint64) bool {
 	if rev <= s.watermark {
 		return true
@@ -239,15 +247,15 @@
 	return bm != nil && bm.Contains(uint32(rev%ChunkSize))
 }
 
-// Event takes an event that is new. Events come in the order of their
-// revisions, and all of one revision before Complete.
+// HandleEvent processes a new event. Events must be passed in the order of their
+// revisions, and all events of a revision before HandleEventsComplete for it.
 func (o *Outbox) HandleEvent(now core.Micros, e Event) {
 	for _, s := range o.subscriptionsInOrder {
 		if !s.matches(&e) {
 			continue
 		}
-		// A revision is taken whole or left out whole: it is settled once all that
-		// was taken of it is.
+		// Either all events of a revision are buffered or none, since a revision counts as
+		// settled when all of its buffered events are.
 		if !s.overflowed && len(s.buffered) >= o.cfg.MaxBuffered && e.Revision > s.lastBuffered {
 			s.loadedThrough = max(s.loadedThrough, s.lastBuffered)
 			s.overflowed = true
@@ -260,7 +268,7 @@
 	}
 }
 
-// Complete says that every event up to a revision has come.
+// HandleEventsComplete records that all events up to a revision have been passed in.
 func (o *Outbox) HandleEventsComplete(rev uint64) {
 	for _, s := range o.subscriptionsInOrder {
 		if !s.overflowed {
@@ -270,8 +278,9 @@
 	}
 }
 
-// Events is the answer to Page: the subscription's events after the revision
-// that was asked for, in order; upTo is the last revision that they cover.
+// HandleFetchedEvents processes the result of FetchEvents: the subscription's events after
+// the requested revision, in order. upTo is the last revision that they cover, and all
+// reports whether there are no later events.
 func (o *Outbox) HandleFetchedEvents(now core.Micros, name string, events []Event, upTo uint64, all bool) {
 	s := o.subscriptions[name]
 	if s == nil || !s.fetching {
@@ -288,12 +297,13 @@
 	s.advanceWatermark()
 }
 
+// eventID returns the ID of an event within a subscription.
 func eventID(e *Event) string { return e.Job + "/" + e.Kind.String() }
 
-// take holds an event unless it is settled or held.
+// buffer queues an event unless it is settled, already queued or a dead letter.
 func (s *subscriptionState) buffer(now core.Micros, e Event) {
-	_, aside := s.deadLetters[eventID(&e)]
-	if s.isSettled(e.Revision) || s.buffered[eventID(&e)] || aside {
+	_, isDeadLetter := s.deadLetters[eventID(&e)]
+	if s.isSettled(e.Revision) || s.buffered[eventID(&e)] || isDeadLetter {
 		return
 	}
 	s.buffered[eventID(&e)] = true
@@ -304,44 +314,45 @@
 	s.enqueue(now, queuedEvent{e, false})
 }
 
-// lane puts an event into its job's lane, in the order of revisions and kinds,
-// but behind one that is on its way.
+// enqueue adds an event to its job's queue, in the order of revisions and kinds, but behind
+// a first event that is being sent or has been attempted.
 func (s *subscriptionState) enqueue(now core.Micros, e queuedEvent) {
-	l := s.queues[e.Job]
-	if l == nil {
-		l = &jobQueue{sub: s, job: e.Job, heapIndex: -1, nextAttemptAt: now}
-		s.queues[e.Job] = l
+	q := s.queues[e.Job]
+	if q == nil {
+		q = &jobQueue{sub: s, job: e.Job, heapIndex: -1, nextAttemptAt: now}
+		s.queues[e.Job] = q
 	}
-	l.events = append(l.events, e)
+	q.events = append(q.events, e)
 	first := 0
-	if l.busy || l.attempts > 0 {
+	if q.busy || q.attempts > 0 {
 		first = 1
 	}
-	slices.SortStableFunc(l.events[first:], func(a, b queuedEvent) int {
+	slices.SortStableFunc(q.events[first:], func(a, b queuedEvent) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Kind, b.Kind))
 	})
-	if l.heapIndex < 0 && !l.busy {
-		heap.Push(&s.ready, l)
+	if q.heapIndex < 0 && !q.busy {
+		heap.Push(&s.ready, q)
 	}
 }
 
-// settle ends the lane's first event.
-func (o *Outbox) removeFirst(now core.Micros, l *jobQueue) {
-	s, e := l.sub, l.events[0]
+// removeFirst settles and removes the first event of a queue, and makes the queue ready for
+// the next event.
+func (o *Outbox) removeFirst(now core.Micros, q *jobQueue) {
+	s, e := q.sub, q.events[0]
 	if !e.settled {
 		s.settleEvent(&e.Event)
 	}
-	l.events = l.events[1:]
-	l.attempts, l.possiblyDelivered, l.busy, l.nextAttemptAt = 0, false, false, now
+	q.events = q.events[1:]
+	q.attempts, q.possiblyDelivered, q.busy, q.nextAttemptAt = 0, false, false, now
 	delete(s.buffered, eventID(&e.Event))
-	if len(l.events) == 0 {
-		delete(s.queues, l.job)
+	if len(q.events) == 0 {
+		delete(s.queues, q.job)
 	} else {
-		heap.Push(&s.ready, l)
+		heap.Push(&s.ready, q)
 	}
 }
 
-// count counts an event as settled.
+// settleEvent counts an event as settled, and settles its revision if it was the last one.
 func (s *subscriptionState) settleEvent(e *Event) {
 	if s.unsettled[e.Revision]--; s.unsettled[e.Revision] > 0 {
 		return
@@ -354,7 +365,7 @@
 	s.advanceWatermark()
 }
 
-// close settles a revision.
+// settleRevision adds a revision to the bitmap of settled revisions.
 func (s *subscriptionState) settleRevision(rev uint64) {
 	delete(s.unsettled, rev)
 	c := rev / ChunkSize
@@ -365,11 +376,12 @@
 	s.dirtyChunks[c] = true
 }
 
-// advance moves the mark up to before the first event that is not settled.
+// advanceWatermark moves the watermark up to the revision before the first unsettled one,
+// and removes the chunks below it.
 func (s *subscriptionState) advanceWatermark() {
 	s.awaitingComplete = slices.DeleteFunc(s.awaitingComplete, func(rev uint64) bool {
 		if n, ok := s.unsettled[rev]; rev > s.loadedThrough || ok && n > 0 {
-			return ok && n > 0 // it is open again, and comes back here
+			return ok && n > 0 // more events of it were buffered: settleEvent adds it again
 		}
 		s.settleRevision(rev)
 		return true
@@ -390,7 +402,7 @@
 	}
 }
 
-// Step returns what is to be done now. wall is the time of day.
+// Step returns the actions that are due at the monotonic time now. wall is the wall-clock time.
 func (o *Outbox) Step(now, wall core.Micros) []Action {
 	for _, s := range o.subscriptionsInOrder {
 		o.sendDue(now, wall, s)
@@ -405,19 +417,20 @@
 	return out
 }
 
-// send sends what is due of a subscription, as far as its receiver's limits go.
+// sendDue emits Send actions for a subscription's queues that are due, as far as the limits
+// of its receiver allow.
 func (o *Outbox) sendDue(now, wall core.Micros, s *subscriptionState) {
 	for len(s.ready) > 0 && s.ready[0].nextAttemptAt <= now {
-		l := s.ready[0]
-		e := &l.events[0]
+		q := s.ready[0]
+		e := &q.events[0]
 		if s.Deadline > 0 && !e.settled && wall > e.At+s.Deadline {
 			heap.Pop(&s.ready)
-			o.deadLetterFirst(now, l, "its deadline is over")
+			o.deadLetterFirst(now, q, "its deadline is over")
 			continue
 		}
 		if s.DeliveryGuarantee == AtMostOnce && !e.settled {
 			heap.Pop(&s.ready)
-			o.deadLetterBeforeSend(l)
+			o.deadLetterBeforeSend(q)
 			continue
 		}
 		if now < s.receiver.sendingStartsAt || !s.receiver.allowAttempt(now) {
@@ -425,29 +438,31 @@
 		}
 		heap.Pop(&s.ready)
 		o.nextID++
-		l.attempts++
-		l.busy = true
-		o.inFlight[o.nextID] = l
-		o.actions = append(o.actions, Send{ID: o.nextID, Subscription: s.Name, Event: e.Event, Key: IdempotencyKey(s.Name, &e.Event), Attempt: l.attempts, PossiblyDelivered: l.possiblyDelivered || l.attempts == 1})
+		q.attempts++
+		q.busy = true
+		o.inFlight[o.nextID] = q
+		o.actions = append(o.actions, Send{ID: o.nextID, Subscription: s.Name, Event: e.Event, Key: IdempotencyKey(s.Name, &e.Event), Attempt: q.attempts, PossiblyDelivered: q.possiblyDelivered || q.attempts == 1})
 	}
 }
 
-// claim puts the lane's first event aside, to be sent once that is written.
-func (o *Outbox) deadLetterBeforeSend(l *jobQueue) {
-	s, e := l.sub, &l.events[0]
+// deadLetterBeforeSend makes the first event of a queue a dead letter; the event is sent once
+// that is written. With AtMostOnce, a new leader then does not send it again.
+func (o *Outbox) deadLetterBeforeSend(q *jobQueue) {
+	s, e := q.sub, &q.events[0]
 	s.addDeadLetter(&e.Event, "it is sent once at most, and it is not known whether it was delivered")
 	s.settleEvent(&e.Event)
-	e.settled, l.busy = true, true
-	s.sendAfterSave[eventID(&e.Event)] = l
+	e.settled, q.busy = true, true
+	s.sendAfterSave[eventID(&e.Event)] = q
 }
 
-func (s *subscriptionState) addDeadLetter(e *Event, why string) {
-	d := DeadLetter{Subscription: s.Name, Event: *e, Reason: why}
+// addDeadLetter makes an event a dead letter and schedules the write of its record.
+func (s *subscriptionState) addDeadLetter(e *Event, reason string) {
+	d := DeadLetter{Subscription: s.Name, Event: *e, Reason: reason}
 	s.deadLetters[eventID(e)] = d
 	s.deadLettersToPut = append(s.deadLettersToPut, d)
 }
 
-// admit takes one attempt from the receiver's limits.
+// allowAttempt reports whether the receiver's limits allow an attempt now, and if so counts it.
 func (r *receiverState) allowAttempt(now core.Micros) bool {
 	if r.MaxInFlight > 0 && r.inFlight >= r.MaxInFlight {
 		return false
@@ -464,64 +479,66 @@
 	return true
 }
 
-// Sent is the result of Send. after is when the receiver wants to be asked
-// again, 0 if it does not say.
-func (o *Outbox) HandleSendResult(now core.Micros, sent uint64, out Outcome, after core.Micros) {
-	l := o.inFlight[sent]
-	if l == nil {
+// HandleSendResult processes the outcome of the Send with an ID. after is the delay that the
+// receiver requested before the next attempt, or 0.
+func (o *Outbox) HandleSendResult(now core.Micros, id uint64, out Outcome, after core.Micros) {
+	q := o.inFlight[id]
+	if q == nil {
 		return
 	}
-	delete(o.inFlight, sent)
-	l.busy = false
-	l.sub.receiver.inFlight--
+	delete(o.inFlight, id)
+	q.busy = false
+	q.sub.receiver.inFlight--
 	switch {
 	case out == Delivered:
-		l.sub.deleteDeadLetter(&l.events[0].Event)
-		o.removeFirst(now, l)
+		q.sub.deleteDeadLetter(&q.events[0].Event)
+		o.removeFirst(now, q)
 	case out == Rejected:
-		o.deadLetterFirst(now, l, "its receiver refused it")
-	case out == Unknown && l.sub.DeliveryGuarantee == AtMostOnce:
-		o.removeFirst(now, l) // it stays aside
+		o.deadLetterFirst(now, q, "its receiver refused it")
+	case out == Unknown && q.sub.DeliveryGuarantee == AtMostOnce:
+		o.removeFirst(now, q) // it remains a dead letter
 	default:
 		if out == Unknown {
-			l.possiblyDelivered = true
-			after = max(after, l.sub.receiver.MaxMessageAge)
+			q.possiblyDelivered = true
+			after = max(after, q.sub.receiver.MaxMessageAge)
 		}
-		l.nextAttemptAt = now + max(o.retryDelay(l), after)
-		heap.Push(&l.sub.ready, l)
+		q.nextAttemptAt = now + max(o.retryDelay(q), after)
+		heap.Push(&q.sub.ready, q)
 	}
 }
 
-// putAside settles the lane's first event as a dead letter.
-func (o *Outbox) deadLetterFirst(now core.Micros, l *jobQueue, why string) {
-	l.sub.addDeadLetter(&l.events[0].Event, why)
-	o.removeFirst(now, l)
+// deadLetterFirst makes the first event of a queue a dead letter and removes it from the queue.
+func (o *Outbox) deadLetterFirst(now core.Micros, q *jobQueue, reason string) {
+	q.sub.addDeadLetter(&q.events[0].Event, reason)
+	o.removeFirst(now, q)
 }
 
-// pause is how long a lane waits after a failed attempt: doubled each time, and
-// spread by its key, so that not all come back at once.
-func (o *Outbox) retryDelay(l *jobQueue) core.Micros {
+// retryDelay returns the delay of a queue after a failed attempt. It doubles with each attempt,
+// and is multiplied by a factor of 0.5 to 1.5 that is derived from the key and the attempt, so
+// that retries are spread over time.
+func (o *Outbox) retryDelay(q *jobQueue) core.Micros {
 	b := backoff.ExponentialBackOff{
 		InitialInterval: time.Duration(o.cfg.InitialBackoff) * time.Microsecond, Multiplier: 2, RandomizationFactor: 0,
 		MaxInterval: time.Duration(o.cfg.MaxBackoff) * time.Microsecond,
 	}
 	b.Reset()
 	var d time.Duration
-	for range min(l.attempts, 40) {
+	for range min(q.attempts, 40) {
 		d = b.NextBackOff()
 	}
 	h := fnv.New64a()
 	var n [8]byte
-	binary.BigEndian.PutUint64(n[:], uint64(l.attempts))
-	_, _ = h.Write([]byte(IdempotencyKey(l.sub.Name, &l.events[0].Event)))
+	binary.BigEndian.PutUint64(n[:], uint64(q.attempts))
+	_, _ = h.Write([]byte(IdempotencyKey(q.sub.Name, &q.events[0].Event)))
 	_, _ = h.Write(n[:])
 	spread := float64(h.Sum64()>>11) / (1 << 53) // 0 to 1
 	return core.Micros(float64(d/time.Microsecond) * (0.5 + spread))
 }
 
-// save writes what has been settled since the last write, once in a while.
+// saveDue emits a Save with the changes since the last write, if one is due.
 //
-// What is put aside is settled with its own record or after it.
+// An event that becomes a dead letter is written as settled together with the record of the
+// dead letter or after it, never before.
 func (o *Outbox) saveDue(now core.Micros) {
 	for _, s := range o.subscriptionsInOrder {
 		if len(s.dirtyChunks) == 0 {
@@ -532,69 +549,69 @@
 		return
 	}
 	o.nextID++
-	w := &pendingSave{id: o.nextID, watermarks: map[*subscriptionState]uint64{}, putDeadLetters: map[*subscriptionState]int{}, deletedDeadLetters: map[*subscriptionState]int{}}
-	a := Save{ID: w.id}
-	marks := 0
+	pending := &pendingSave{id: o.nextID, watermarks: map[*subscriptionState]uint64{}, putDeadLetters: map[*subscriptionState]int{}, deletedDeadLetters: map[*subscriptionState]int{}}
+	a := Save{ID: pending.id}
+	watermarkOps := 0
 	room := func() bool {
-		return marks+len(a.DeleteChunks)+len(a.PutChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters) < o.cfg.MaxOpsPerSave
+		return watermarkOps+len(a.DeleteChunks)+len(a.PutChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters) < o.cfg.MaxOpsPerSave
 	}
 	for _, s := range o.subscriptionsInOrder {
 		for i := 0; i < len(s.deadLettersToPut) && room(); i++ {
 			a.PutDeadLetters = append(a.PutDeadLetters, s.deadLettersToPut[i])
-			w.putDeadLetters[s]++
+			pending.putDeadLetters[s]++
 		}
-		if marks == 0 && s.watermark > s.savedWatermark && room() {
-			marks = 1
+		if watermarkOps == 0 && s.watermark > s.savedWatermark && room() {
+			watermarkOps = 1
 		}
 	}
-	if marks > 0 {
+	if watermarkOps > 0 {
 		for _, s := range o.subscriptionsInOrder {
-			// A mark does not pass what is put aside and not written yet.
+			// The watermark must not pass a dead letter that is not written yet.
 			to := s.watermark
-			if w.putDeadLetters[s] < len(s.deadLettersToPut) {
+			if pending.putDeadLetters[s] < len(s.deadLettersToPut) {
 				to = s.savedWatermark
 			}
 			a.Watermarks = append(a.Watermarks, Watermark{s.Name, to})
-			w.watermarks[s] = to
+			pending.watermarks[s] = to
 		}
 	}
 	for _, s := range o.subscriptionsInOrder {
-		// If not all that is put aside did fit, there is no room for this either.
+		// If not all dead letters fitted into this write, there is no room for a chunk either.
 		for _, c := range sortedKeys(s.dirtyChunks) {
 			if !room() || now-s.dirtySince < o.cfg.ChunkSaveDelay {
 				break
 			}
 			b, err := s.settled[c].ToBytes()
 			if err != nil {
-				continue // into memory: it does not fail
+				continue // writing to memory does not fail
 			}
-			k := ChunkKey{s.Name, c}
-			a.PutChunks = append(a.PutChunks, Chunk{k, base64.StdEncoding.EncodeToString(b)})
-			w.putChunks = append(w.putChunks, k)
+			state := ChunkKey{s.Name, c}
+			a.PutChunks = append(a.PutChunks, Chunk{state, base64.StdEncoding.EncodeToString(b)})
+			pending.putChunks = append(pending.putChunks, state)
 			delete(s.dirtyChunks, c)
 		}
-		to := max(s.savedWatermark, w.watermarks[s]) // what is the mark once this is written
+		to := max(s.savedWatermark, pending.watermarks[s]) // the stored watermark after this write
 		for _, c := range sortedKeys(s.storedChunks) {
 			if s.settled[c] == nil && to >= s.watermark && room() {
 				a.DeleteChunks = append(a.DeleteChunks, ChunkKey{s.Name, c})
-				w.deletedChunks = append(w.deletedChunks, ChunkKey{s.Name, c})
+				pending.deletedChunks = append(pending.deletedChunks, ChunkKey{s.Name, c})
 			}
 		}
-		// A record of what is put aside goes only when that is written as settled:
-		// nothing else would say so to the next leader.
-		for len(s.deadLettersToDelete) > w.deletedDeadLetters[s] && room() && s.settlementSaved(s.deadLettersToDelete[w.deletedDeadLetters[s]].Event.Revision, to) {
-			a.DeleteDeadLetters = append(a.DeleteDeadLetters, s.deadLettersToDelete[w.deletedDeadLetters[s]])
-			w.deletedDeadLetters[s]++
+		// The record of a dead letter is deleted only when its event is stored as settled.
+		// Otherwise the next leader would send the event again.
+		for len(s.deadLettersToDelete) > pending.deletedDeadLetters[s] && room() && s.settlementSaved(s.deadLettersToDelete[pending.deletedDeadLetters[s]].Event.Revision, to) {
+			a.DeleteDeadLetters = append(a.DeleteDeadLetters, s.deadLettersToDelete[pending.deletedDeadLetters[s]])
+			pending.deletedDeadLetters[s]++
 		}
 	}
 	if len(a.Watermarks)+len(a.DeleteChunks)+len(a.PutChunks)+len(a.PutDeadLetters)+len(a.DeleteDeadLetters) == 0 {
 		return
 	}
-	o.pendingSave, o.nextSaveAt = w, now+o.cfg.MinSaveInterval
+	o.pendingSave, o.nextSaveAt = pending, now+o.cfg.MinSaveInterval
 	o.actions = append(o.actions, a)
 }
 
-// saveDue is when there is next something to write, given what is known now.
+// nextSave returns when the next write is due if nothing changes, or MaxMicros.
 func (o *Outbox) nextSave(now core.Micros) core.Micros {
 	at := core.MaxMicros
 	if o.pendingSave != nil {
@@ -613,7 +630,7 @@
 	return at
 }
 
-// passed reports whether a bitmap has a record that the mark has passed.
+// hasObsoleteChunk reports whether a stored chunk is below the watermark.
 func (s *subscriptionState) hasObsoleteChunk() bool {
 	for c := range s.storedChunks {
 		if s.settled[c] == nil {
@@ -623,73 +640,76 @@
 	return false
 }
 
-// written reports whether a revision is written as settled, given the mark.
-func (s *subscriptionState) settlementSaved(rev, mark uint64) bool {
-	if rev <= mark {
+// settlementSaved reports whether a revision is stored as settled, given the stored watermark.
+func (s *subscriptionState) settlementSaved(rev, watermark uint64) bool {
+	if rev <= watermark {
 		return true
 	}
 	c := rev / ChunkSize
 	return s.settled[c] != nil && s.settled[c].Contains(uint32(rev%ChunkSize)) && !s.dirtyChunks[c]
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys(m map[uint64]bool) []uint64 {
 	out := make([]uint64, 0, len(m))
-	for k := range m {
-		out = append(out, k)
+	for state := range m {
+		out = append(out, state)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Saved is the result of Save. What was not stored, or may not have been, is
-// written again: the records say the same whoever writes them twice.
+// HandleSaveResult processes the result of the Save with an ID. Changes that were not stored,
+// or may not have been, are written again: the writes are idempotent.
 func (o *Outbox) HandleSaveResult(now core.Micros, save uint64, ok bool) {
-	w := o.pendingSave
-	if w == nil || w.id != save {
+	pending := o.pendingSave
+	if pending == nil || pending.id != save {
 		return
 	}
 	o.pendingSave = nil
 	if !ok {
-		for _, k := range w.putChunks {
-			if s := o.subscriptions[k.Subscription]; s.settled[k.Chunk] != nil {
-				s.dirtyChunks[k.Chunk] = true
+		for _, state := range pending.putChunks {
+			if s := o.subscriptions[state.Subscription]; s.settled[state.Chunk] != nil {
+				s.dirtyChunks[state.Chunk] = true
 			}
 		}
 		o.nextSaveAt = now + core.Second
 		return
 	}
-	for s, n := range w.putDeadLetters {
+	for s, n := range pending.putDeadLetters {
 		for _, d := range s.deadLettersToPut[:n] {
-			if l := s.sendAfterSave[eventID(&d.Event)]; l != nil {
+			if q := s.sendAfterSave[eventID(&d.Event)]; q != nil {
 				delete(s.sendAfterSave, eventID(&d.Event))
-				l.busy = false
-				heap.Push(&s.ready, l)
+				q.busy = false
+				heap.Push(&s.ready, q)
 			}
 		}
 		s.deadLettersToPut = s.deadLettersToPut[n:]
 	}
-	for s, n := range w.deletedDeadLetters {
+	for s, n := range pending.deletedDeadLetters {
 		s.deadLettersToDelete = s.deadLettersToDelete[n:]
 	}
-	for s, to := range w.watermarks {
+	for s, to := range pending.watermarks {
 		s.savedWatermark = max(s.savedWatermark, to)
 	}
-	for _, k := range w.putChunks {
-		o.subscriptions[k.Subscription].storedChunks[k.Chunk] = true
+	for _, state := range pending.putChunks {
+		o.subscriptions[state.Subscription].storedChunks[state.Chunk] = true
 	}
-	for _, k := range w.deletedChunks {
-		delete(o.subscriptions[k.Subscription].storedChunks, k.Chunk)
+	for _, state := range pending.deletedChunks {
+		delete(o.subscriptions[state.Subscription].storedChunks, state.Chunk)
 	}
 }
 
-// Wake is when Step is wanted next if nothing happens before.
+// NextStepAt returns when Step must be called next if nothing happens before then.
 func (o *Outbox) NextStepAt(now core.Micros) core.Micros {
 	at := o.nextSave(now)
 	for _, s := range o.subscriptionsInOrder {
 		if len(s.ready) > 0 {
 			next := max(s.ready[0].nextAttemptAt, s.receiver.sendingStartsAt)
 			if r := s.receiver; next <= now {
-				// Its receiver's limits hold it: in flight is an event, tokens come.
+				// The receiver's limits delay the queue. If the limit is MaxInFlight, the
+				// result of an attempt triggers the next step; if it is the rate, wait for a
+				// token.
 				next = core.MaxMicros
 				if r.PerSecond > 0 && (r.MaxInFlight == 0 || r.inFlight < r.MaxInFlight) {
 					next = now + core.Micros(math.Ceil(float64(core.Second)/r.PerSecond))
@@ -701,9 +721,9 @@
 	return at
 }
 
-// Undelivered counts a subscription's events that are held, and says whether
-// there are more that are not.
-func (o *Outbox) Undelivered(name string) (held int, more bool) {
+// Undelivered returns the number of a subscription's undelivered events in memory, and whether
+// there are more outside.
+func (o *Outbox) Undelivered(name string) (buffered int, more bool) {
 	s := o.subscriptions[name]
 	if s == nil {
 		return 0, false
@@ -711,41 +731,41 @@
 	return len(s.buffered), s.overflowed
 }
 
-// revisions is a heap of revisions, the lowest first.
+// revisionHeap is a heap of revisions, the lowest first.
 type revisionHeap []uint64
 
-func (h revisionHeap) Len() int           { return len(h) }
-func (h revisionHeap) Less(i, k int) bool { return h[i] < h[k] }
-func (h revisionHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
-func (h *revisionHeap) Push(v any)        { *h = append(*h, v.(uint64)) }
+func (h revisionHeap) Len() int               { return len(h) }
+func (h revisionHeap) Less(i, state int) bool { return h[i] < h[state] }
+func (h revisionHeap) Swap(i, state int)      { h[i], h[state] = h[state], h[i] }
+func (h *revisionHeap) Push(v any)            { *h = append(*h, v.(uint64)) }
 func (h *revisionHeap) Pop() any {
 	v := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return v
 }
 
-// lanes is a heap of lanes that wait, the first due first.
+// queueHeap is a heap of queues by the time of their next attempt, the earliest first.
 type queueHeap []*jobQueue
 
 func (h queueHeap) Len() int { return len(h) }
-func (h queueHeap) Less(i, k int) bool {
-	if h[i].nextAttemptAt != h[k].nextAttemptAt {
-		return h[i].nextAttemptAt < h[k].nextAttemptAt
+func (h queueHeap) Less(i, state int) bool {
+	if h[i].nextAttemptAt != h[state].nextAttemptAt {
+		return h[i].nextAttemptAt < h[state].nextAttemptAt
 	}
-	return h[i].events[0].Revision < h[k].events[0].Revision
+	return h[i].events[0].Revision < h[state].events[0].Revision
 }
-func (h queueHeap) Swap(i, k int) {
-	h[i], h[k] = h[k], h[i]
-	h[i].heapIndex, h[k].heapIndex = i, k
+func (h queueHeap) Swap(i, state int) {
+	h[i], h[state] = h[state], h[i]
+	h[i].heapIndex, h[state].heapIndex = i, state
 }
 func (h *queueHeap) Push(v any) {
-	l := v.(*jobQueue)
-	l.heapIndex = len(*h)
-	*h = append(*h, l)
+	q := v.(*jobQueue)
+	q.heapIndex = len(*h)
+	*h = append(*h, q)
 }
 func (h *queueHeap) Pop() any {
-	l := (*h)[len(*h)-1]
-	l.heapIndex = -1
+	q := (*h)[len(*h)-1]
+	q.heapIndex = -1
 	*h = (*h)[:len(*h)-1]
-	return l
+	return q
 }
