--- a/internal/simulator/nomad_bench_test.go
+++ b/internal/simulator/nomad_bench_test.go
@@ -19,7 +19,7 @@
 )
 
 // benchSite is a world in real time; its limits are out of the way.
-func benchSite(b *testing.B) *simulator.World {
+func newBenchWorld(b *testing.B) *simulator.World {
 	p := platform()
 	p.Params.Zones = []string{"a", "b", "c"}
 	p.Params.State.RPS, p.Params.State.WriteRPS, p.Params.State.ValueKB = 1e6, 1e6, 16
@@ -38,7 +38,7 @@
 	return w
 }
 
-func benchBody(b *testing.B, name string) []byte {
+func registerBody(b *testing.B, name string) []byte {
 	f, err := jobfile.Parse("f", []byte(fmt.Sprintf(`
 job %q {
   type = "batch"
@@ -66,10 +66,10 @@
 func BenchmarkNomadRegister(b *testing.B) {
 	for _, clients := range []int{1, 16} {
 		b.Run(fmt.Sprintf("clients=%d", clients), func(b *testing.B) {
-			w := benchSite(b)
+			w := newBenchWorld(b)
 			bodies := make(chan []byte, b.N)
 			for i := range b.N {
-				bodies <- benchBody(b, fmt.Sprintf("job-%d", i))
+				bodies <- registerBody(b, fmt.Sprintf("job-%d", i))
 			}
 			close(bodies)
 			b.ResetTimer()
@@ -78,7 +78,7 @@
 				wg.Go(func() {
 					c := w.Net.Client("10.9.0.1:1")
 					for body := range bodies {
-						if err := put(c, w.NomadAddr(0), body); err != nil {
+						if err := registerJob(c, w.NomadAddr(0), body); err != nil {
 							b.Error(err)
 						}
 					}
@@ -91,7 +91,7 @@
 }
 
 // put registers a job.
-func put(c *http.Client, at string, body []byte) error {
+func registerJob(c *http.Client, at string, body []byte) error {
 	req, err := http.NewRequest(http.MethodPut, "http://"+at+"/v1/jobs", bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 func BenchmarkNomadWatchers(b *testing.B) {
 	for _, n := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := benchSite(b)
+			w := newBenchWorld(b)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -122,7 +122,7 @@
 			srv := &http.Server{Handler: w.NomadHandler(1)}
 			go func() { _ = srv.Serve(l) }()
 			defer srv.Close()
-			held := func() float64 {
+			memoryInUse := func() float64 {
 				runtime.GC()
 				runtime.GC()
 				var m runtime.MemStats
@@ -130,13 +130,13 @@
 				return float64(m.HeapAlloc + m.StackInuse)
 			}
 			var bytesEach, wakeMS float64
-			if err := put(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), benchBody(b, "first")); err != nil {
+			if err := registerJob(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), registerBody(b, "first")); err != nil {
 				b.Fatal(err)
 			}
 			time.Sleep(time.Second)
 			for i := range b.N {
-				index := jobIndex(b, w)
-				before := held()
+				index := jobModifyIndex(b, w)
+				before := memoryInUse()
 				conns := make([]net.Conn, n)
 				for k := range conns {
 					if conns[k], err = net.Dial("tcp", l.Addr().String()); err != nil {
@@ -150,12 +150,12 @@
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				bytesEach += (held() - before) / float64(n)
-				begun := time.Now()
+				bytesEach += (memoryInUse() - before) / float64(n)
+				started := time.Now()
 				// Another version of the job wakes them all.
-				f := benchBody(b, "first")
+				f := registerBody(b, "first")
 				f = bytes.Replace(f, []byte(`"Count":1`), []byte(fmt.Sprintf(`"Count":%d`, 2+i%9)), 1)
-				if err := put(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), f); err != nil {
+				if err := registerJob(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), f); err != nil {
 					b.Fatal(err)
 				}
 				one := make([]byte, 1)
@@ -164,7 +164,7 @@
 						b.Fatal(err)
 					}
 				}
-				wakeMS += float64(time.Since(begun).Microseconds()) / 1000
+				wakeMS += float64(time.Since(started).Microseconds()) / 1000
 				for _, c := range conns {
 					_ = c.Close()
 				}
@@ -176,7 +176,7 @@
 	}
 }
 
-func jobIndex(b *testing.B, w *simulator.World) uint64 {
+func jobModifyIndex(b *testing.B, w *simulator.World) uint64 {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+w.NomadAddr(1)+"/v1/job/first", nil)
 	req.Header.Set("X-Nomad-Token", "token of blue")
 	resp, err := w.Net.Client("10.9.0.1:1").Do(req)
--- a/internal/simulator/nomad_test.go
+++ b/internal/simulator/nomad_test.go
@@ -24,13 +24,13 @@
 )
 
 // nomadSite is a world whose controllers serve Nomad's clients.
-type nomadSite struct {
+type nomadWorld struct {
 	*testing.T
 	*simulator.World
 }
 
 // playNomad plays a day with three controllers, and holds it to the rules.
-func playNomad(t *testing.T, seed uint64, day func(t *testing.T, s *nomadSite)) {
+func runNomadScenario(t *testing.T, seed uint64, play func(t *testing.T, s *nomadWorld)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
 		p.Params.Zones = []string{"a", "b", "c"}
@@ -48,7 +48,7 @@
 		w.Settings.PriorityCaps = map[string]core.Priority{"guests": core.Normal}
 		startAllNodes(w)
 		time.Sleep(15 * time.Second) // a leader, and the catalog
-		day(t, &nomadSite{t, w})
+		play(t, &nomadWorld{t, w})
 		time.Sleep(60 * time.Second)
 		for _, b := range w.Violations() {
 			t.Error(b)
@@ -57,7 +57,7 @@
 }
 
 // client is the published client, of a team, at a node.
-func (s *nomadSite) client(team string, at int) *api.Client {
+func (s *nomadWorld) client(team string, at int) *api.Client {
 	c, err := api.NewClient(&api.Config{Address: "http://" + s.NomadAddr(at), SecretID: "token of " + team, HttpClient: s.Net.Client("10.9.0.1:1")})
 	if err != nil {
 		s.Fatal(err)
@@ -66,7 +66,7 @@
 }
 
 // raw sends one request and returns status, body and headers.
-func (s *nomadSite) raw(method, team string, at int, path string, body any) (int, string, http.Header) {
+func (s *nomadWorld) rawRequest(method, team string, at int, path string, body any) (int, string, http.Header) {
 	b, _ := json.Marshal(body)
 	req, err := http.NewRequest(method, "http://"+s.NomadAddr(at)+path, bytes.NewReader(b))
 	if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // sampleFile is a job file of the translator's samples.
-func (s *nomadSite) sampleFile(name string) string {
+func (s *nomadWorld) sampleFile(name string) string {
 	b, err := os.ReadFile("../nomad/translate/testdata/" + name + ".nomad.hcl")
 	if err != nil {
 		s.Fatal(err)
@@ -93,7 +93,7 @@
 }
 
 // job has a node parse a job file.
-func (s *nomadSite) job(src string) *api.Job {
+func (s *nomadWorld) parseJob(src string) *api.Job {
 	s.Helper()
 	j, err := s.client("blue", 0).Jobs().ParseHCL(src, true)
 	if err != nil {
@@ -103,8 +103,8 @@
 }
 
 // simple is a batch job of one group.
-func (s *nomadSite) simple(name string, count int, seconds float64) *api.Job {
-	return s.job(fmt.Sprintf(`
+func (s *nomadWorld) batchJob(name string, count int, seconds float64) *api.Job {
+	return s.parseJob(fmt.Sprintf(`
 job %q {
   type = "batch"
   group "g" {
@@ -123,7 +123,7 @@
 }
 
 // await asks with a blocking query until the job is as wanted.
-func (s *nomadSite) await(c *api.Client, id, status string) {
+func (s *nomadWorld) awaitStatus(c *api.Client, id, status string) {
 	s.Helper()
 	index := uint64(0)
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); {
@@ -144,7 +144,7 @@
 
 // The published client does all that a user does with it.
 func TestNomadClient(t *testing.T) {
-	playNomad(t, 51, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 51, func(t *testing.T, s *nomadWorld) {
 		blue, green := s.client("blue", 0), s.client("green", 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -164,7 +164,7 @@
 		}()
 		time.Sleep(time.Second)
 
-		job := s.job(s.sampleFile("frost-ensemble"))
+		job := s.parseJob(s.sampleFile("frost-ensemble"))
 		p, _, err := blue.Jobs().Plan(job, true, nil)
 		if err != nil || p.Diff.Type != "Added" || p.Annotations.DesiredTGUpdates["members"].Place != 6 {
 			t.Fatalf("plan: %+v %v", p, err)
@@ -186,7 +186,7 @@
 		if err != nil || again.JobModifyIndex != r.JobModifyIndex || again.EvalID != r.EvalID {
 			t.Errorf("again: %+v %v, first %+v", again, err, r)
 		}
-		s.await(s.client("blue", 1), "frost-ensemble", "running")
+		s.awaitStatus(s.client("blue", 1), "frost-ensemble", "running")
 		allocs, _, err := blue.Jobs().Allocations("frost-ensemble", true, nil)
 		if err != nil || len(allocs) == 0 || allocs[0].NodeName == "" || allocs[0].TaskGroup != "members" {
 			t.Errorf("allocations: %+v %v", allocs, err)
@@ -197,7 +197,7 @@
 		if err != nil || len(nodes) == 0 || nodes[0].NodeClass == "" {
 			t.Errorf("nodes: %+v %v", nodes, err)
 		}
-		s.await(s.client("blue", 2), "frost-ensemble", "dead")
+		s.awaitStatus(s.client("blue", 2), "frost-ensemble", "dead")
 		sum, _, err := blue.Jobs().Summary("frost-ensemble", nil)
 		if err != nil || sum.Summary["members"].Complete != 6 {
 			t.Errorf("summary: %+v %v", sum, err)
@@ -221,7 +221,7 @@
 		if _, _, err := green.Jobs().Register(job, nil); err == nil || !strings.Contains(err.Error(), "another team's") {
 			t.Errorf("green registers blue's: %v", err)
 		}
-		if status, body, _ := s.raw("GET", "nobody", 0, "/v1/jobs", nil); status != http.StatusForbidden || body != "Permission denied" {
+		if status, body, _ := s.rawRequest("GET", "nobody", 0, "/v1/jobs", nil); status != http.StatusForbidden || body != "Permission denied" {
 			t.Errorf("without a token: %d %q", status, body)
 		}
 
@@ -231,7 +231,7 @@
 		}
 
 		// A new version ends what differs and keeps what does not.
-		two := s.job(s.sampleFile("two-groups"))
+		two := s.parseJob(s.sampleFile("two-groups"))
 		if _, _, err := blue.Jobs().Register(two, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -248,7 +248,7 @@
 		if err != nil || len(vs) != 2 || *vs[0].Version != 1 || *vs[0].TaskGroups[0].Count != 3 || *vs[1].TaskGroups[0].Count != 5 {
 			t.Errorf("versions: %+v %v", vs, err)
 		}
-		s.await(blue, "passages", "dead")
+		s.awaitStatus(blue, "passages", "dead")
 		indexes := map[string]bool{}
 		for q := (&api.QueryOptions{PerPage: 3}); ; {
 			l, m, err := blue.Allocations().List(q)
@@ -288,9 +288,9 @@
 }
 
 // A guest with priority 100 is refused in either form, and told why.
-func TestNomadGuest(t *testing.T) {
-	playNomad(t, 52, func(t *testing.T, s *nomadSite) {
-		job := s.simple("warning", 1, 5)
+func TestNomadPriorityCap(t *testing.T) {
+	runNomadScenario(t, 52, func(t *testing.T, s *nomadWorld) {
+		job := s.batchJob("warning", 1, 5)
 		high := 100
 		job.Priority = &high
 		_, _, err := s.client("guests", 0).Jobs().Register(job, nil)
@@ -306,17 +306,17 @@
 		if _, _, err := s.client("guests", 0).Jobs().Register(job, nil); err != nil {
 			t.Error(err)
 		}
-		s.await(s.client("guests", 1), "warning", "dead")
+		s.awaitStatus(s.client("guests", 1), "warning", "dead")
 	})
 }
 
 // A registration whose answer was lost while the leader ended is the same job
 // when it is retried elsewhere, with or without an index to enforce.
-func TestNomadLostReply(t *testing.T) {
-	playNomad(t, 53, func(t *testing.T, s *nomadSite) {
+func TestNomadRetryAfterLostResponse(t *testing.T) {
+	runNomadScenario(t, 53, func(t *testing.T, s *nomadWorld) {
 		for i, enforce := range []bool{false, true} {
 			name := fmt.Sprintf("lost-%d", i)
-			job := s.simple(name, 3, 20)
+			job := s.batchJob(name, 3, 20)
 			register := func(at int) (*api.JobRegisterResponse, error) {
 				c := s.client("blue", at).Jobs()
 				if enforce {
@@ -337,7 +337,7 @@
 				t.Errorf("%s: %+v after %+v: %v", name, second, first, err)
 			}
 			s.StartNode(at)
-			s.await(s.client("blue", (at+2)%3), name, "dead")
+			s.awaitStatus(s.client("blue", (at+2)%3), name, "dead")
 			if n := s.NativeJobs("blue", name); len(n) != 1 {
 				t.Errorf("%s became %d native jobs", name, len(n))
 			}
@@ -347,9 +347,9 @@
 
 // Of two versions that two nodes register at once, one wins; the other gets the
 // published error if it named an index, and is a later version if not.
-func TestNomadTwoVersionsAtOnce(t *testing.T) {
-	playNomad(t, 54, func(t *testing.T, s *nomadSite) {
-		first, _, err := s.client("blue", 0).Jobs().Register(s.simple("twice", 1, 100), nil)
+func TestNomadConcurrentVersions(t *testing.T) {
+	runNomadScenario(t, 54, func(t *testing.T, s *nomadWorld) {
+		first, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("twice", 1, 100), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -358,7 +358,7 @@
 			var wg sync.WaitGroup
 			errs := make([]error, 2)
 			for i := range 2 {
-				job := s.simple("twice", 2+i, 100)
+				job := s.batchJob("twice", 2+i, 100)
 				wg.Go(func() {
 					if enforce {
 						_, _, errs[i] = s.client("blue", i).Jobs().EnforceRegister(job, first.JobModifyIndex, nil)
@@ -396,14 +396,14 @@
 			t.Error(err)
 		}
 		s.NoteCancelled(s.NativeJobs("blue", "twice"))
-		s.await(s.client("blue", 1), "twice", "dead")
+		s.awaitStatus(s.client("blue", 1), "twice", "dead")
 	})
 }
 
 // A version that replaces one of the team's whole maximum starts as the old
 // tasks leave, and never beside them: the stand-ins' checker watches the use.
-func TestNomadReplaceHoldsMax(t *testing.T) {
-	playNomad(t, 61, func(t *testing.T, s *nomadSite) {
+func TestNomadReplacementKeepsQuotaMax(t *testing.T) {
+	runNomadScenario(t, 61, func(t *testing.T, s *nomadWorld) {
 		c := s.client("guests", 0)
 		running := func(want int) {
 			t.Helper()
@@ -419,7 +419,7 @@
 		}
 		for version := range 3 {
 			old := s.NativeJobs("guests", "all")
-			if _, _, err := c.Jobs().Register(s.simple("all", 8, 400+float64(version)), nil); err != nil {
+			if _, _, err := c.Jobs().Register(s.batchJob("all", 8, 400+float64(version)), nil); err != nil {
 				t.Fatal(err)
 			}
 			s.NoteCancelled(old)
@@ -438,23 +438,23 @@
 // Jobs are deregistered around the moment at which they complete: they end one
 // way or the other, and nothing of them runs on.
 func TestNomadDeregisterRacesCompletion(t *testing.T) {
-	playNomad(t, 55, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 55, func(t *testing.T, s *nomadWorld) {
 		var wg sync.WaitGroup
 		for i := range 12 {
 			name := fmt.Sprintf("race-%02d", i)
-			job := s.simple(name, 2, 8)
+			job := s.batchJob(name, 2, 8)
 			if _, _, err := s.client("blue", i%3).Jobs().Register(job, nil); err != nil {
 				t.Fatal(err)
 			}
 			wg.Go(func() {
 				c := s.client("blue", (i+1)%3)
-				s.await(c, name, "running")
+				s.awaitStatus(c, name, "running")
 				time.Sleep(7*time.Second + time.Duration(i)*250*time.Millisecond)
 				if _, _, err := c.Jobs().Deregister(name, false, nil); err != nil {
 					t.Errorf("%s: %v", name, err)
 				}
 				s.NoteCancelled(s.NativeJobs("blue", name))
-				s.await(c, name, "dead")
+				s.awaitStatus(c, name, "dead")
 			})
 		}
 		wg.Wait()
@@ -472,8 +472,8 @@
 // A blocking query outlasts a takeover, and a watch that has to read all again;
 // what happened meanwhile wakes it, a purge too.
 func TestNomadBlockingQuery(t *testing.T) {
-	playNomad(t, 56, func(t *testing.T, s *nomadSite) {
-		r, _, err := s.client("blue", 0).Jobs().Register(s.simple("watched", 1, 500), nil)
+	runNomadScenario(t, 56, func(t *testing.T, s *nomadWorld) {
+		r, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("watched", 1, 500), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -483,12 +483,12 @@
 			after time.Duration
 			err   error
 		}
-		ask := func(at int, index uint64) chan answer {
+		listAsync := func(at int, index uint64) chan answer {
 			out := make(chan answer, 1)
 			go func() {
-				begun := time.Now()
+				started := time.Now()
 				l, m, err := s.client("blue", at).Jobs().List(&api.QueryOptions{WaitIndex: index, WaitTime: 2 * time.Minute})
-				a := answer{err: err, after: time.Since(begun), jobs: len(l)}
+				a := answer{err: err, after: time.Since(started), jobs: len(l)}
 				if m != nil {
 					a.index = m.LastIndex
 				}
@@ -500,7 +500,7 @@
 		other := (leader + 1) % 3
 		// A node that has not read the registration yet is woken by that, and rightly.
 		time.Sleep(time.Second)
-		waiting := ask(other, r.JobModifyIndex)
+		waiting := listAsync(other, r.JobModifyIndex)
 		time.Sleep(5 * time.Second)
 		s.Kill(leader)
 		time.Sleep(20 * time.Second)
@@ -510,7 +510,7 @@
 		default:
 		}
 		s.StartNode(leader)
-		second, _, err := s.client("blue", (leader+2)%3).Jobs().Register(s.simple("second", 1, 500), nil)
+		second, _, err := s.client("blue", (leader+2)%3).Jobs().Register(s.batchJob("second", 1, 500), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -519,7 +519,7 @@
 		}
 		// While the node is cut off the state service forgets what it missed,
 		// the purge among it.
-		waiting = ask(other, second.JobModifyIndex)
+		waiting = listAsync(other, second.JobModifyIndex)
 		time.Sleep(time.Second)
 		s.Net.BlockLink(s.NodeAddr(other), s.StateAddr(), true)
 		if _, _, err := s.client("blue", leader).Jobs().Deregister("second", true, nil); err != nil {
@@ -543,26 +543,26 @@
 		}
 		// A client that goes away leaves nothing behind.
 		ctx, cancel := context.WithCancel(t.Context())
-		gone := make(chan error)
+		returned := make(chan error)
 		go func() {
 			q := (&api.QueryOptions{WaitIndex: before.LastIndex, WaitTime: time.Minute}).WithContext(ctx)
 			_, _, err := s.client("blue", leader).Jobs().List(q)
-			gone <- err
+			returned <- err
 		}()
 		time.Sleep(time.Second)
 		if n := s.BlockingQueries(leader); n != 1 {
 			t.Errorf("%d wait", n)
 		}
 		cancel()
-		<-gone
+		<-returned
 		time.Sleep(time.Second)
 		if n := s.BlockingQueries(leader); n != 0 {
 			t.Errorf("%d wait for a client that has gone", n)
 		}
 		// Time that is over: the same index, and no error.
-		begun := time.Now()
+		started := time.Now()
 		l, m, err := s.client("blue", leader).Jobs().List(&api.QueryOptions{WaitIndex: 1 << 40, WaitTime: 3 * time.Second})
-		if d := time.Since(begun); err != nil || len(l) != 1 || m.LastIndex != 1<<40 || d < 3*time.Second || d > 4*time.Second {
+		if d := time.Since(started); err != nil || len(l) != 1 || m.LastIndex != 1<<40 || d < 3*time.Second || d > 4*time.Second {
 			t.Errorf("after %v: %d jobs, %+v, %v", d, len(l), m, err)
 		}
 		if _, _, err := s.client("blue", leader).Jobs().Deregister("watched", false, nil); err != nil {
@@ -574,17 +574,17 @@
 
 // A query for a job is answered as its tasks begin to run, at the leader and at
 // others, though no record changes then.
-func TestNomadProgressWakes(t *testing.T) {
-	playNomad(t, 60, func(t *testing.T, s *nomadSite) {
-		r, _, err := s.client("blue", 0).Jobs().Register(s.simple("starts", 9, 400), nil)
+func TestNomadProgressWakesQueries(t *testing.T) {
+	runNomadScenario(t, 60, func(t *testing.T, s *nomadWorld) {
+		r, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("starts", 9, 400), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var wg sync.WaitGroup
 		for at := range 3 {
 			wg.Go(func() {
-				begun, running := time.Now(), 0
-				for running < 9 && time.Since(begun) < 2*time.Minute {
+				started, running := time.Now(), 0
+				for running < 9 && time.Since(started) < 2*time.Minute {
 					sum, m, err := s.client("blue", at).Jobs().Summary("starts", &api.QueryOptions{WaitIndex: r.JobModifyIndex, WaitTime: 5 * time.Minute})
 					if err != nil || m.LastIndex != r.JobModifyIndex {
 						t.Errorf("node %d: %+v %v", at, m, err)
@@ -593,22 +593,22 @@
 					running = sum.Summary["g"].Running
 				}
 				if running != 9 {
-					t.Errorf("node %d: %d run after %v", at, running, time.Since(begun))
+					t.Errorf("node %d: %d run after %v", at, running, time.Since(started))
 				}
 			})
 		}
 		wg.Wait()
 		// A change between two queries of a client is not missed: no index tells it.
 		time.Sleep(10 * time.Second)
-		for _, k := range s.Cloud.Workers() {
-			if len(k.RunningTasks()) > 0 {
-				k.SetSpotNotice(1)
+		for _, worker := range s.Cloud.Workers() {
+			if len(worker.RunningTasks()) > 0 {
+				worker.SetSpotNotice(1)
 			}
 		}
 		time.Sleep(3 * time.Second)
-		begun := time.Now()
+		started := time.Now()
 		sum, _, err := s.client("blue", s.Leader()).Jobs().Summary("starts", &api.QueryOptions{WaitIndex: r.JobModifyIndex, WaitTime: 5 * time.Minute})
-		if d := time.Since(begun); err != nil || d > 5*time.Second || sum.Summary["g"].Running == 9 {
+		if d := time.Since(started); err != nil || d > 5*time.Second || sum.Summary["g"].Running == 9 {
 			t.Errorf("after %v: %+v %v", d, sum, err)
 		}
 		// A stream that is resumed goes on though nothing happens for long.
@@ -618,15 +618,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := make(chan *api.Events, 10)
+		received := make(chan *api.Events, 10)
 		go func() {
-			defer close(told)
+			defer close(received)
 			for e := range stream {
 				if e.Err != nil {
 					return
 				}
 				if !e.IsHeartbeat() {
-					told <- e
+					received <- e
 				}
 			}
 		}()
@@ -635,7 +635,7 @@
 			t.Error(err)
 		}
 		s.NoteCancelled(s.NativeJobs("blue", "starts"))
-		if e, ok := <-told; !ok || e.Events[0].Type != "JobDeregistered" {
+		if e, ok := <-received; !ok || e.Events[0].Type != "JobDeregistered" {
 			t.Errorf("told %+v", e)
 		}
 	})
@@ -644,7 +644,7 @@
 // Reads of the state service overlap, and some come late: what was dropped does
 // not come back by them.
 func TestNomadOverlappingReads(t *testing.T) {
-	playNomad(t, 62, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 62, func(t *testing.T, s *nomadWorld) {
 		s.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 400 * time.Millisecond })
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
@@ -658,7 +658,7 @@
 		c := s.client("blue", 0).Jobs()
 		for range 25 {
 			for _, count := range []int{1, 2, 3} {
-				if _, _, err := c.Register(s.simple("again", count, 900), nil); err != nil {
+				if _, _, err := c.Register(s.batchJob("again", count, 900), nil); err != nil {
 					t.Error(err)
 				}
 			}
@@ -666,7 +666,7 @@
 				t.Error(err)
 			}
 			s.NoteCancelled(s.NativeJobs("blue", "again"))
-			if _, _, err := c.Register(s.simple("again", 4, 900), nil); err != nil {
+			if _, _, err := c.Register(s.batchJob("again", 4, 900), nil); err != nil {
 				t.Error(err)
 			}
 			time.Sleep(time.Second)
@@ -688,10 +688,10 @@
 // Names differ by their case, hold slashes, and hold no spaces; large bodies
 // are taken up to a limit, and then refused plainly.
 func TestNomadNamesAndBodies(t *testing.T) {
-	playNomad(t, 57, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 57, func(t *testing.T, s *nomadWorld) {
 		c := s.client("blue", 0).Jobs()
 		for _, name := range []string{"Frost", "frost", "frost/plan", "frost/ü%2F"} {
-			if _, _, err := c.Register(s.simple(name, 1, 400), nil); err != nil {
+			if _, _, err := c.Register(s.batchJob(name, 1, 400), nil); err != nil {
 				t.Errorf("%q: %v", name, err)
 			}
 		}
@@ -701,7 +701,7 @@
 				t.Errorf("%q: %v", name, err)
 			}
 		}
-		if _, _, err := c.Register(s.simple("a b", 1, 400), nil); err == nil || !strings.Contains(err.Error(), "holds a space") {
+		if _, _, err := c.Register(s.batchJob("a b", 1, 400), nil); err == nil || !strings.Contains(err.Error(), "holds a space") {
 			t.Errorf("a space: %v", err)
 		}
 		if _, _, err := c.Deregister("frost/plan", true, nil); err != nil {
@@ -731,13 +731,13 @@
 			random bool
 			want   string
 		}{{100_000, false, ""}, {6_000, true, "413"}, {700_000, false, "413"}} {
-			job := s.simple("large", 1, 400)
+			job := s.batchJob("large", 1, 400)
 			v := strings.Repeat("x", b.env)
 			if b.random {
 				r := []byte(v)
-				dice := rand.New(rand.NewPCG(1, 2))
+				random := rand.New(rand.NewPCG(1, 2))
 				for i := range r {
-					r[i] = byte('!' + dice.IntN(90))
+					r[i] = byte('!' + random.IntN(90))
 				}
 				v = string(r)
 			}
@@ -753,7 +753,7 @@
 			}
 			s.NoteCancelled(s.NativeJobs("blue", name))
 		}
-		for _, k := range []struct {
+		for _, tc := range []struct {
 			method, path string
 			status       int
 		}{
@@ -762,8 +762,8 @@
 			{"GET", "/v1/status/leader", 200}, {"GET", "/v1/status/peers", 200}, {"GET", "/v1/agent/health", 200}, {"GET", "/v1/agent/self", 200},
 			{"GET", "/v1/namespaces", 200}, {"GET", "/v1/namespace/green", 404}, {"GET", "/v1/evaluations", 200}, {"GET", "/v1/aspenstall/task/job-1", 403},
 		} {
-			if status, body, _ := s.raw(k.method, "blue", 0, k.path, nil); status != k.status || strings.Count(body, "\n") > 1 {
-				t.Errorf("%s %s: %d %q", k.method, k.path, status, body)
+			if status, body, _ := s.rawRequest(tc.method, "blue", 0, tc.path, nil); status != tc.status || strings.Count(body, "\n") > 1 {
+				t.Errorf("%s %s: %d %q", tc.method, tc.path, status, body)
 			}
 		}
 	})
@@ -772,12 +772,12 @@
 // While the state service is down, a registration is answered at once with when
 // to come back, and is not half done.
 func TestNomadStateDown(t *testing.T) {
-	playNomad(t, 58, func(t *testing.T, s *nomadSite) {
-		job := s.simple("later", 1, 5)
+	runNomadScenario(t, 58, func(t *testing.T, s *nomadWorld) {
+		job := s.batchJob("later", 1, 5)
 		s.StateFaults.Update(func(f *simulator.Faults) { f.Down = true })
-		begun := time.Now()
-		status, body, h := s.raw("PUT", "blue", 0, "/v1/jobs", map[string]any{"Job": job})
-		if d := time.Since(begun); status != http.StatusServiceUnavailable || h.Get("Retry-After") != "1" || d > time.Second {
+		started := time.Now()
+		status, body, h := s.rawRequest("PUT", "blue", 0, "/v1/jobs", map[string]any{"Job": job})
+		if d := time.Since(started); status != http.StatusServiceUnavailable || h.Get("Retry-After") != "1" || d > time.Second {
 			t.Errorf("%d %q after %v", status, body, d)
 		}
 		s.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
@@ -789,15 +789,15 @@
 		if _, _, err := s.client("blue", 0).Jobs().Register(job, nil); err != nil {
 			t.Error(err)
 		}
-		s.await(s.client("blue", 2), "later", "dead")
+		s.awaitStatus(s.client("blue", 2), "later", "dead")
 	})
 }
 
 // A file of which one group is refused writes nothing at all.
-func TestNomadRefusedWhole(t *testing.T) {
-	playNomad(t, 59, func(t *testing.T, s *nomadSite) {
-		job := s.job(s.sampleFile("two-groups"))
-		before, _, _ := s.raw("GET", "blue", 0, "/v1/jobs", nil)
+func TestNomadRefusalWritesNothing(t *testing.T) {
+	runNomadScenario(t, 59, func(t *testing.T, s *nomadWorld) {
+		job := s.parseJob(s.sampleFile("two-groups"))
+		before, _, _ := s.rawRequest("GET", "blue", 0, "/v1/jobs", nil)
 		job.TaskGroups[1].Networks = []*api.NetworkResource{{Mode: "host"}}
 		_, _, err := s.client("blue", 0).Jobs().Register(job, nil)
 		if err == nil || !strings.Contains(err.Error(), "group.network: ports are not handed out") || !strings.Contains(err.Error(), "job:1:") {
@@ -821,7 +821,7 @@
 
 // persist repeats a request as a client's user would, at one node after the
 // other, until it is answered.
-func (s *nomadSite) persist(team string, what string, request func(c *api.Client) error) {
+func (s *nomadWorld) retryUntilAnswered(team string, what string, request func(c *api.Client) error) {
 	s.Helper()
 	for try := range 60 {
 		err := request(s.client(team, try%3))
@@ -841,12 +841,12 @@
 // while services fail and controllers end. Whatever was answered holds: what was
 // registered is done in the end, by as many native jobs as there were contents,
 // what was deregistered is gone, and no index goes back on any node.
-func TestNomadDays(t *testing.T) {
+func TestNomadFaultScenarios(t *testing.T) {
 	const sec = time.Second
-	for i, day := range []struct {
-		name  string
-		setup func(w *simulator.World)
-		acts  []action
+	for i, sc := range []struct {
+		name    string
+		setup   func(w *simulator.World)
+		actions []action
 	}{
 		{"answers lost", func(w *simulator.World) {
 			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest = 0.05, 0.05
@@ -870,38 +870,38 @@
 			{45 * sec, func(w *simulator.World) { w.State.CompactLog() }},
 		}},
 	} {
-		t.Run(day.name, func(t *testing.T) {
-			playNomad(t, 70+uint64(i), func(t *testing.T, s *nomadSite) {
-				if day.setup != nil {
-					s.StateFaults.Update(func(*simulator.Faults) { day.setup(s.World) })
+		t.Run(sc.name, func(t *testing.T) {
+			runNomadScenario(t, 70+uint64(i), func(t *testing.T, s *nomadWorld) {
+				if sc.setup != nil {
+					s.StateFaults.Update(func(*simulator.Faults) { sc.setup(s.World) })
 				}
 				var wg sync.WaitGroup
-				for _, a := range day.acts {
+				for _, a := range sc.actions {
 					wg.Go(func() { time.Sleep(a.at); a.do(s.World) })
 				}
-				dice := rand.New(rand.NewPCG(uint64(i), 9))
+				random := rand.New(rand.NewPCG(uint64(i), 9))
 				for k := range 12 {
-					name, begin := fmt.Sprintf("job-%02d", k), time.Duration(dice.IntN(60))*sec
-					jobs := []*api.Job{s.simple(name, 1+dice.IntN(4), 5+5*dice.Float64())}
+					name, startDelay := fmt.Sprintf("job-%02d", k), time.Duration(random.IntN(60))*sec
+					jobs := []*api.Job{s.batchJob(name, 1+random.IntN(4), 5+5*random.Float64())}
 					if k%3 == 1 {
-						jobs = append(jobs, s.simple(name, 5, 8))
+						jobs = append(jobs, s.batchJob(name, 5, 8))
 					}
 					wg.Go(func() {
-						time.Sleep(begin)
+						time.Sleep(startDelay)
 						for _, job := range jobs {
-							s.persist("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Register(job, nil); return err })
+							s.retryUntilAnswered("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Register(job, nil); return err })
 							time.Sleep(3 * sec)
 						}
 						if k%3 == 2 {
-							s.persist("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Deregister(name, false, nil); return err })
+							s.retryUntilAnswered("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Deregister(name, false, nil); return err })
 							s.NoteCancelled(s.NativeJobs("blue", name))
 						}
-						s.await(s.client("blue", k%3), name, "dead")
+						s.awaitStatus(s.client("blue", k%3), name, "dead")
 						if k%3 == 2 {
 							return
 						}
 						last := *jobs[len(jobs)-1].TaskGroups[0].Count
-						s.persist("blue", name, func(c *api.Client) error {
+						s.retryUntilAnswered("blue", name, func(c *api.Client) error {
 							sum, _, err := c.Jobs().Summary(name, nil)
 							if err == nil && sum.Summary["g"].Complete != last {
 								t.Errorf("%s: %+v, want %d complete", name, sum.Summary, last)
@@ -913,13 +913,13 @@
 						}
 					})
 				}
-				over := make(chan struct{})
+				done := make(chan struct{})
 				for at := range 3 { // readers of nodes 1 and 2, and one that goes from node to node
 					go func() {
-						var seen uint64
+						var lastIndex uint64
 						for n := 0; ; n++ {
 							select {
-							case <-over:
+							case <-done:
 								return
 							case <-time.After(700 * time.Millisecond):
 							}
@@ -928,17 +928,17 @@
 								node = n % 3
 							}
 							_, m, err := s.client("blue", node).Jobs().List(nil)
-							if err == nil && m.LastIndex < seen {
-								t.Errorf("node %d: the index went back from %d to %d", node, seen, m.LastIndex)
+							if err == nil && m.LastIndex < lastIndex {
+								t.Errorf("node %d: the index went back from %d to %d", node, lastIndex, m.LastIndex)
 							}
 							if err == nil {
-								seen = m.LastIndex
+								lastIndex = m.LastIndex
 							}
 						}
 					}()
 				}
 				wg.Wait()
-				close(over)
+				close(done)
 				time.Sleep(3 * sec)
 			})
 		})
--- a/internal/simulator/notify_test.go
+++ b/internal/simulator/notify_test.go
@@ -20,12 +20,12 @@
 // TestNotifyDays plays days on which jobs are accepted, done and cancelled while
 // controllers end, services fail and receivers fail: the ledger of a receiver
 // that keeps keys has each event of each job once, in its order, and no other.
-func TestNotifyDays(t *testing.T) {
+func TestNotifyFaultScenarios(t *testing.T) {
 	const s = time.Second
-	for i, day := range []struct {
-		name  string
-		setup func(w *simulator.World)
-		acts  []action
+	for i, sc := range []struct {
+		name    string
+		setup   func(w *simulator.World)
+		actions []action
 	}{
 		{"receivers fail", nil, nil},
 		{"controllers end in mid-delivery", nil, []action{
@@ -50,45 +50,45 @@
 			}},
 		}},
 	} {
-		t.Run(day.name, func(t *testing.T) {
+		t.Run(sc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := simulator.NewWorld(80+uint64(i), platform(), machineTypes)
 				defer w.Close()
 				all := []notify.Kind{notify.Accepted, notify.Done, notify.Cancelled}
-				hooks := map[string]*simulator.Receiver{"desk": simulator.NewReceiver(uint64(i)), "billing": simulator.NewReceiver(uint64(i) + 50)}
-				hooks["desk"].LoseResponse, hooks["desk"].Refuse, hooks["desk"].Slow = 0.15, 0.1, 0.1
-				hooks["billing"].Refuse = 0.3
+				receivers := map[string]*simulator.Receiver{"desk": simulator.NewReceiver(uint64(i)), "billing": simulator.NewReceiver(uint64(i) + 50)}
+				receivers["desk"].LoseResponse, receivers["desk"].Refuse, receivers["desk"].Slow = 0.15, 0.1, 0.1
+				receivers["billing"].Refuse = 0.3
 				w.Settings.Notify = &config.Notify{Subscriptions: []notify.Subscription{
 					{Name: "all", Receiver: "desk", Kinds: all, Deadline: 3600 * core.Second},
 					{Name: "blue-done", Receiver: "billing", Kinds: []notify.Kind{notify.Done}, Team: "blue", Deadline: 3600 * core.Second},
 				}}
 				for n, name := range []string{"billing", "desk"} {
 					at := fmt.Sprintf("10.3.0.%d:80", n+1)
-					w.Net.Serve(at, hooks[name])
+					w.Net.Serve(at, receivers[name])
 					w.Settings.Notify.Receivers = append(w.Settings.Notify.Receivers, config.NotifyReceiver{
 						Limits: notify.Receiver{Name: name, MaxInFlight: 4}, Delivery: deliver.Receiver{Name: name, URL: "http://" + at + "/hook"}, KeepsKeys: true,
 					})
 				}
-				if day.setup != nil {
-					w.StateFaults.Update(func(*simulator.Faults) { day.setup(w) })
+				if sc.setup != nil {
+					w.StateFaults.Update(func(*simulator.Faults) { sc.setup(w) })
 				}
 				startAllNodes(w)
 				time.Sleep(15 * s) // the subscriptions begin
 				var wg sync.WaitGroup
-				for _, a := range day.acts {
+				for _, a := range sc.actions {
 					wg.Go(func() { time.Sleep(max(a.at-15*s, 0)); a.do(w) })
 				}
-				dice := rand.New(rand.NewPCG(uint64(i), 21))
-				end := map[string]string{}
+				random := rand.New(rand.NewPCG(uint64(i), 21))
+				finalStates := map[string]string{}
 				var mu sync.Mutex
 				for k := range 40 {
-					job := array(700+k, 1+dice.IntN(3), 3+4*dice.Float64())
+					job := array(700+k, 1+random.IntN(3), 3+4*random.Float64())
 					if k%2 == 1 {
 						job.Team = "green"
 					}
-					after := time.Duration(dice.IntN(70)) * s
+					delay := time.Duration(random.IntN(70)) * s
 					wg.Go(func() {
-						time.Sleep(after)
+						time.Sleep(delay)
 						if !w.Submit(job) {
 							t.Errorf("%s is not accepted", job.ID)
 							return
@@ -101,23 +101,23 @@
 							t.Errorf("%s is not done", job.ID)
 						}
 						mu.Lock()
-						end[job.ID] = map[string]string{"done": "done", "aborted": "cancelled"}[state]
+						finalStates[job.ID] = map[string]string{"done": "done", "aborted": "cancelled"}[state]
 						mu.Unlock()
 					})
 				}
 				wg.Wait()
 				time.Sleep(5 * time.Minute)
-				for id, last := range end {
+				for id, last := range finalStates {
 					for _, kind := range []string{"accepted", "done", "cancelled"} {
 						want := 0
 						if kind == "accepted" || kind == last {
 							want = 1
 						}
-						if n, _ := hooks["desk"].EffectCounts(kind, id); n != want {
+						if n, _ := receivers["desk"].EffectCounts(kind, id); n != want {
 							t.Errorf("%s %s: %d effects at the desk, want %d", id, kind, n, want)
 						}
 					}
-					if order, _ := hooks["desk"].EventOrder(id); len(order) == 2 && !strings.HasSuffix(order[0], "accepted") {
+					if order, _ := receivers["desk"].EventOrder(id); len(order) == 2 && !strings.HasSuffix(order[0], "accepted") {
 						t.Errorf("%s: in the order %v", id, order)
 					}
 					blue := int(id[len(id)-1]-'0')%2 == 0
@@ -125,11 +125,11 @@
 					if blue && last == "done" {
 						want = 1
 					}
-					if n, _ := hooks["billing"].EffectCounts("done", id); n != want {
+					if n, _ := receivers["billing"].EffectCounts("done", id); n != want {
 						t.Errorf("%s: %d effects at billing, want %d", id, n, want)
 					}
 				}
-				if _, n := hooks["desk"].EffectCounts("", ""); n != 80 {
+				if _, n := receivers["desk"].EffectCounts("", ""); n != 80 {
 					t.Errorf("%d events had effects, of 80", n)
 				}
 				for _, b := range w.Violations() {
@@ -142,25 +142,25 @@
 
 // refusing is a world with one subscription, to acceptances, whose receiver
 // refuses all until it is told to accept.
-func refusing(seed uint64, deadline core.Micros) (*simulator.World, *simulator.Receiver) {
+func newRefusingWorld(seed uint64, deadline core.Micros) (*simulator.World, *simulator.Receiver) {
 	w := simulator.NewWorld(seed, platform(), machineTypes)
-	hook := simulator.NewReceiver(1)
-	hook.Refuse = 1
-	w.Net.Serve("10.3.0.1:80", hook)
+	receiver := simulator.NewReceiver(1)
+	receiver.Refuse = 1
+	w.Net.Serve("10.3.0.1:80", receiver)
 	w.Settings.Notify = &config.Notify{
 		Subscriptions: []notify.Subscription{{Name: "all", Receiver: "desk", Kinds: []notify.Kind{notify.Accepted}, Deadline: deadline}},
 		Receivers: []config.NotifyReceiver{{
 			Limits: notify.Receiver{Name: "desk", MaxInFlight: 4}, Delivery: deliver.Receiver{Name: "desk", URL: "http://10.3.0.1:80/"}, KeepsKeys: true,
 		}},
 	}
-	return w, hook
+	return w, receiver
 }
 
 // What happens right before a leader ends is told by the next, and what happens
 // while its watch has a gap is told, too.
-func TestNotifyGaps(t *testing.T) {
+func TestNotifyAcrossTakeoverAndWatchGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, hook := refusing(90, 3600*core.Second)
+		w, receiver := newRefusingWorld(90, 3600*core.Second)
 		defer w.Close()
 		startAllNodes(w)
 		time.Sleep(15 * time.Second)
@@ -170,7 +170,7 @@
 		killAllNodes(w)
 		startAllNodes(w)
 		time.Sleep(20 * time.Second)
-		hook.StopFaults()
+		receiver.StopFaults()
 		leader := w.Leader()
 		w.Net.BlockLink(w.NodeAddr(leader), w.StateAddr(), true)
 		if status := w.PostJob((leader+1)%3, &second); status != 201 {
@@ -181,7 +181,7 @@
 		w.Net.BlockLink(w.NodeAddr(leader), w.StateAddr(), false)
 		time.Sleep(3 * time.Minute)
 		for _, job := range []string{first.ID, second.ID} {
-			if n, _ := hook.EffectCounts("accepted", job); n != 1 {
+			if n, _ := receiver.EffectCounts("accepted", job); n != 1 {
 				t.Errorf("%s: %d effects", job, n)
 			}
 		}
@@ -197,16 +197,16 @@
 func TestNotifyCost(t *testing.T) {
 	type cost struct {
 		requests, changes int
-		took              time.Duration // of all jobs, from submission to being told done
-		late              []time.Duration
+		jobTime           time.Duration // of all jobs, from submission to being told done
+		latencies         []time.Duration
 	}
 	const jobs = 100
-	day := func(t *testing.T, subs, down int) (c cost) {
+	measure := func(t *testing.T, subs, down int) (c cost) {
 		synctest.Test(t, func(t *testing.T) {
 			w := simulator.NewWorld(95, platform(), machineTypes)
 			defer w.Close()
-			hook := simulator.NewReceiver(1)
-			w.Net.Serve("10.3.0.1:80", hook)
+			receiver := simulator.NewReceiver(1)
+			w.Net.Serve("10.3.0.1:80", receiver)
 			w.Settings.Notify = &config.Notify{}
 			for i := range subs {
 				name, url := fmt.Sprintf("s%d", i), "http://10.3.0.1:80/"
@@ -229,51 +229,51 @@
 				job := array(600+k, 1, 5)
 				wg.Go(func() {
 					time.Sleep(time.Duration(k) * 1500 * time.Millisecond) // 40 a minute
-					begun := time.Now()
+					started := time.Now()
 					if !w.Submit(job) || !w.AwaitState(job.ID, "done", 4*time.Minute) {
 						t.Errorf("%s is not done", job.ID)
 					}
 					mu.Lock()
-					c.took += time.Since(begun)
+					c.jobTime += time.Since(started)
 					mu.Unlock()
 				})
 			}
 			wg.Wait()
 			r, ch := w.State.RequestCounts()
-			c.requests, c.changes, c.late = r-requests, ch-changes, hook.Latencies()
+			c.requests, c.changes, c.latencies = r-requests, ch-changes, receiver.Latencies()
 			for _, b := range w.Violations() {
 				t.Error(b)
 			}
 		})
 		return c
 	}
-	none := day(t, 0, 0)
-	for _, k := range []struct {
-		subs, down  int
-		extra, most float64 // changes a job besides, and the 99th percentile in seconds
+	none := measure(t, 0, 0)
+	for _, tc := range []struct {
+		subs, down                   int
+		maxExtraChanges, maxLatencyS float64 // changes a job besides, and the 99th percentile in seconds
 	}{{1, 0, 0.8, 1}, {5, 0, 0.8, 1}, {5, 2, 0.8, 1}, {100, 30, 1, 1}} {
-		c := day(t, k.subs, k.down)
-		if n, want := len(c.late), 2*jobs*(k.subs-k.down); n < want*95/100 {
-			t.Errorf("%d subscriptions: %d effects of %d", k.subs, n, want)
+		c := measure(t, tc.subs, tc.down)
+		if n, want := len(c.latencies), 2*jobs*(tc.subs-tc.down); n < want*95/100 {
+			t.Errorf("%d subscriptions: %d effects of %d", tc.subs, n, want)
 			continue
 		}
-		median, last := c.late[len(c.late)/2], c.late[len(c.late)*99/100]
+		median, last := c.latencies[len(c.latencies)/2], c.latencies[len(c.latencies)*99/100]
 		extra := float64(c.changes-none.changes) / jobs
 		t.Logf("%d subscriptions, %d down: %.2f changes and %.2f requests a job besides %.2f and %.2f; %v and %v late (median, 99%%); jobs took %.3f of the time",
-			k.subs, k.down, extra, float64(c.requests-none.requests)/jobs, float64(none.changes)/jobs, float64(none.requests)/jobs,
-			median, last, float64(c.took)/float64(none.took))
+			tc.subs, tc.down, extra, float64(c.requests-none.requests)/jobs, float64(none.changes)/jobs, float64(none.requests)/jobs,
+			median, last, float64(c.jobTime)/float64(none.jobTime))
 		// The order of goroutines moves how long jobs take by 3% from run to run.
-		if extra > k.extra || last.Seconds() > k.most || float64(c.took) > 1.1*float64(none.took) {
-			t.Errorf("%d subscriptions, %d down: %.2f changes a job besides, %v late, jobs took %v after %v", k.subs, k.down, extra, last, c.took, none.took)
+		if extra > tc.maxExtraChanges || last.Seconds() > tc.maxLatencyS || float64(c.jobTime) > 1.1*float64(none.jobTime) {
+			t.Errorf("%d subscriptions, %d down: %.2f changes a job besides, %v late, jobs took %v after %v", tc.subs, tc.down, extra, last, c.jobTime, none.jobTime)
 		}
 	}
 }
 
 // Operators see at any node what was put aside, send it again once its receiver
 // is well, and drop what nobody needs; a new leader knows what was.
-func TestNotifyOperators(t *testing.T) {
+func TestNotifyOperatorRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, hook := refusing(91, 20*core.Second)
+		w, receiver := newRefusingWorld(91, 20*core.Second)
 		defer w.Close()
 		startAllNodes(w)
 		time.Sleep(15 * time.Second)
@@ -281,7 +281,7 @@
 			w.Submit(array(820+k, 1, 5))
 		}
 		time.Sleep(2 * time.Minute)
-		ask := func(i int, a control.Request) *control.Response {
+		request := func(i int, a control.Request) *control.Response {
 			t.Helper()
 			out, err := w.SendOperatorRequest(i, &a)
 			if err != nil {
@@ -291,24 +291,24 @@
 			return out
 		}
 		for i := range 3 {
-			if out := ask(i, control.Request{Op: control.List}); len(out.Subscriptions) != 1 || out.Subscriptions[0].DeadLetters != 3 || out.Subscriptions[0].Waiting != 0 {
+			if out := request(i, control.Request{Op: control.List}); len(out.Subscriptions) != 1 || out.Subscriptions[0].DeadLetters != 3 || out.Subscriptions[0].Waiting != 0 {
 				t.Errorf("node %d: %+v", i, out)
 			}
 		}
 		killed := w.Leader()
 		w.Kill(killed)
 		time.Sleep(20 * time.Second)
-		if len(ask(w.Leader(), control.Request{Op: control.Show, Subscription: "all"}).DeadLetters) != 3 {
+		if len(request(w.Leader(), control.Request{Op: control.Show, Subscription: "all"}).DeadLetters) != 3 {
 			t.Error("the new leader does not know what was put aside")
 		}
 		w.StartNode(killed)
 		time.Sleep(10 * time.Second)
-		hook.StopFaults()
+		receiver.StopFaults()
 		leader := w.Leader()
-		for k, c := range []struct {
-			ask  control.Request
-			done bool
-			err  string
+		for k, tc := range []struct {
+			request   control.Request
+			succeeded bool
+			err       string
 		}{
 			{control.Request{Op: control.Retry, Subscription: "all", Job: "job-000820", Kind: "accepted"}, true, ""},
 			{control.Request{Op: control.Drop, Subscription: "all", Job: "job-000821", Kind: "accepted"}, true, ""},
@@ -318,16 +318,16 @@
 			{control.Request{Op: control.Show, Subscription: "none"}, false, "there is no subscription"},
 			{control.Request{Op: "burn"}, false, "there is no operation"},
 		} {
-			out, err := w.SendOperatorRequest((leader+k)%3, &c.ask)
-			if c.err == "" && (err != nil || out.Succeeded != c.done) || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
-				t.Errorf("%+v: %+v %v", c.ask, out, err)
+			out, err := w.SendOperatorRequest((leader+k)%3, &tc.request)
+			if tc.err == "" && (err != nil || out.Succeeded != tc.succeeded) || tc.err != "" && (err == nil || !strings.Contains(err.Error(), tc.err)) {
+				t.Errorf("%+v: %+v %v", tc.request, out, err)
 			}
 		}
 		time.Sleep(time.Minute)
-		if n, all := hook.EffectCounts("accepted", "job-000820"); n != 1 || all != 1 {
+		if n, all := receiver.EffectCounts("accepted", "job-000820"); n != 1 || all != 1 {
 			t.Errorf("%d effects, %d in all", n, all)
 		}
-		if out := ask(0, control.Request{Op: control.Show}); len(out.DeadLetters) != 1 || out.DeadLetters[0].Job != "job-000822" {
+		if out := request(0, control.Request{Op: control.Show}); len(out.DeadLetters) != 1 || out.DeadLetters[0].Job != "job-000822" {
 			t.Errorf("left: %+v", out)
 		}
 	})
