--- a/internal/simulator/notify_test.go
+++ b/internal/simulator/notify_test.go
@@ -17,9 +17,9 @@
 	"aspenstall/internal/simulator"
 )
 
-// TestNotifyDays plays days on which jobs are accepted, done and cancelled while
-// controllers end, services fail and receivers fail: the ledger of a receiver
-// that keeps keys has each event of each job once, in its order, and no other.
+// TestNotifyFaultScenarios accepts, completes and cancels jobs while controllers crash, services
+// fail and receivers fail. It checks that a receiver that keeps idempotency keys applies each event
+// of each job exactly once and in order, and no other event.
 func TestNotifyFaultScenarios(t *testing.T) {
 	const s = time.Second
 	for i, sc := range []struct {
@@ -28,11 +28,11 @@
 		actions []action
 	}{
 		{"receivers fail", nil, nil},
-		{"controllers end in mid-delivery", nil, []action{
+		{"controllers crash during deliveries", nil, []action{
 			{20 * s, killNode(0)}, {24 * s, startNode(0)}, {31 * s, killNode(1)}, {32 * s, killNode(2)}, {37 * s, startNode(1)}, {39 * s, startNode(2)},
 			{50 * s, killAllNodes}, {54 * s, startAllNodes}, {63 * s, killAllNodes}, {66 * s, startAllNodes}, {75 * s, killAllNodes}, {77 * s, startAllNodes},
 		}},
-		{"the state service is down, and loses answers", func(w *simulator.World) {
+		{"the state service is down and loses responses", func(w *simulator.World) {
 			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest, w.StateFaults.ExecuteLate, w.StateFaults.LateDelay = 0.05, 0.05, 0.03, 9*s
 		}, []action{
 			{30 * s, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
@@ -42,7 +42,7 @@
 			}},
 			{60 * s, func(w *simulator.World) { w.State.CompactLog() }},
 		}},
-		{"a frozen leader wakes and sends", nil, []action{
+		{"a frozen leader resumes and sends", nil, []action{
 			{25 * s, func(w *simulator.World) { w.Freeze(max(w.Leader(), 0), true) }}, {50 * s, func(w *simulator.World) {
 				for i := range 3 {
 					w.Freeze(i, false)
@@ -73,7 +73,7 @@
 					w.StateFaults.Update(func(*simulator.Faults) { sc.setup(w) })
 				}
 				startAllNodes(w)
-				time.Sleep(15 * s) // the subscriptions begin
+				time.Sleep(15 * s) // the subscriptions start
 				var wg sync.WaitGroup
 				for _, a := range sc.actions {
 					wg.Go(func() { time.Sleep(max(a.at-15*s, 0)); a.do(w) })
@@ -90,7 +90,7 @@
 					wg.Go(func() {
 						time.Sleep(delay)
 						if !w.Submit(job) {
-							t.Errorf("%s is not accepted", job.ID)
+							t.Errorf("%s was not accepted", job.ID)
 							return
 						}
 						state := "done"
@@ -98,7 +98,7 @@
 							time.Sleep(2 * s)
 							state = w.Cancel(job.ID)
 						} else if !w.AwaitState(job.ID, "done", 4*time.Minute) {
-							t.Errorf("%s is not done", job.ID)
+							t.Errorf("%s did not complete", job.ID)
 						}
 						mu.Lock()
 						finalStates[job.ID] = map[string]string{"done": "done", "aborted": "cancelled"}[state]
@@ -114,11 +114,11 @@
 							want = 1
 						}
 						if n, _ := receivers["desk"].EffectCounts(kind, id); n != want {
-							t.Errorf("%s %s: %d effects at the desk, want %d", id, kind, n, want)
+							t.Errorf("%s %s: receiver desk applied %d events, want %d", id, kind, n, want)
 						}
 					}
 					if order, _ := receivers["desk"].EventOrder(id); len(order) == 2 && !strings.HasSuffix(order[0], "accepted") {
-						t.Errorf("%s: in the order %v", id, order)
+						t.Errorf("%s: events applied in the order %v", id, order)
 					}
 					blue := int(id[len(id)-1]-'0')%2 == 0
 					want := 0
@@ -126,11 +126,11 @@
 						want = 1
 					}
 					if n, _ := receivers["billing"].EffectCounts("done", id); n != want {
-						t.Errorf("%s: %d effects at billing, want %d", id, n, want)
+						t.Errorf("%s: receiver billing applied %d events, want %d", id, n, want)
 					}
 				}
 				if _, n := receivers["desk"].EffectCounts("", ""); n != 80 {
-					t.Errorf("%d events had effects, of 80", n)
+					t.Errorf("receiver desk applied %d distinct events, want 80", n)
 				}
 				for _, b := range w.Violations() {
 					t.Error(b)
@@ -140,8 +140,8 @@
 	}
 }
 
-// refusing is a world with one subscription, to acceptances, whose receiver
-// refuses all until it is told to accept.
+// newRefusingWorld returns a world with one subscription, to accepted events, and its receiver, which
+// refuses every request until StopFaults is called.
 func newRefusingWorld(seed uint64, deadline core.Micros) (*simulator.World, *simulator.Receiver) {
 	w := simulator.NewWorld(seed, platform(), machineTypes)
 	receiver := simulator.NewReceiver(1)
@@ -156,8 +156,9 @@
 	return w, receiver
 }
 
-// What happens right before a leader ends is told by the next, and what happens
-// while its watch has a gap is told, too.
+// TestNotifyAcrossTakeoverAndWatchGap checks that the next leader sends the notification of an event
+// that precedes a crash of all controllers, and that a leader sends the notification of an event
+// that it missed while its watch had a gap.
 func TestNotifyAcrossTakeoverAndWatchGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, receiver := newRefusingWorld(90, 3600*core.Second)
@@ -174,7 +175,7 @@
 		leader := w.Leader()
 		w.Net.BlockLink(w.NodeAddr(leader), w.StateAddr(), true)
 		if status := w.PostJob((leader+1)%3, &second); status != 201 {
-			t.Errorf("answered %d", status)
+			t.Errorf("submission was answered with status %d", status)
 		}
 		w.State.CompactLog()
 		time.Sleep(500 * time.Millisecond)
@@ -182,22 +183,23 @@
 		time.Sleep(3 * time.Minute)
 		for _, job := range []string{first.ID, second.ID} {
 			if n, _ := receiver.EffectCounts("accepted", job); n != 1 {
-				t.Errorf("%s: %d effects", job, n)
+				t.Errorf("%s: applied %d times, want 1", job, n)
 			}
 		}
 		if w.Leader() != leader {
-			t.Error("the leader was to stay")
+			t.Error("the leader changed")
 		}
 	})
 }
 
-// TestNotifyCost plays the same day with no subscription, one, five, and five of
-// which some receivers are down: what it costs the state service and the jobs,
-// and how late effects come. docs/design/notifications.md has its figures.
+// TestNotifyCost runs the same workload with different numbers of subscriptions, some with receivers
+// that are down, and compares it with a run without subscriptions. It bounds the extra changes in
+// the state service, the latency of notifications and the extra time that jobs take.
+// docs/design/notifications.md has its figures.
 func TestNotifyCost(t *testing.T) {
 	type cost struct {
 		requests, changes int
-		jobTime           time.Duration // of all jobs, from submission to being told done
+		jobTime           time.Duration // sum over all jobs, from submission until a poll returns "done"
 		latencies         []time.Duration
 	}
 	const jobs = 100
@@ -211,7 +213,7 @@
 			for i := range subs {
 				name, url := fmt.Sprintf("s%d", i), "http://10.3.0.1:80/"
 				if i < down {
-					url = "http://10.3.0.9:80/" // nobody is there
+					url = "http://10.3.0.9:80/" // no server listens there
 				}
 				w.Settings.Notify.Subscriptions = append(w.Settings.Notify.Subscriptions, notify.Subscription{
 					Name: name, Receiver: name, Kinds: []notify.Kind{notify.Accepted, notify.Done}, Deadline: 86400 * core.Second,
@@ -228,10 +230,10 @@
 			for k := range jobs {
 				job := array(600+k, 1, 5)
 				wg.Go(func() {
-					time.Sleep(time.Duration(k) * 1500 * time.Millisecond) // 40 a minute
+					time.Sleep(time.Duration(k) * 1500 * time.Millisecond) // 40 jobs per minute
 					started := time.Now()
 					if !w.Submit(job) || !w.AwaitState(job.ID, "done", 4*time.Minute) {
-						t.Errorf("%s is not done", job.ID)
+						t.Errorf("%s did not complete", job.ID)
 					}
 					mu.Lock()
 					c.jobTime += time.Since(started)
@@ -250,27 +252,27 @@
 	none := measure(t, 0, 0)
 	for _, tc := range []struct {
 		subs, down                   int
-		maxExtraChanges, maxLatencyS float64 // changes a job besides, and the 99th percentile in seconds
+		maxExtraChanges, maxLatencyS float64 // extra changes per job; 99th percentile of latencies, in seconds
 	}{{1, 0, 0.8, 1}, {5, 0, 0.8, 1}, {5, 2, 0.8, 1}, {100, 30, 1, 1}} {
 		c := measure(t, tc.subs, tc.down)
 		if n, want := len(c.latencies), 2*jobs*(tc.subs-tc.down); n < want*95/100 {
-			t.Errorf("%d subscriptions: %d effects of %d", tc.subs, n, want)
+			t.Errorf("%d subscriptions: %d events applied, want %d", tc.subs, n, want)
 			continue
 		}
 		median, last := c.latencies[len(c.latencies)/2], c.latencies[len(c.latencies)*99/100]
 		extra := float64(c.changes-none.changes) / jobs
-		t.Logf("%d subscriptions, %d down: %.2f changes and %.2f requests a job besides %.2f and %.2f; %v and %v late (median, 99%%); jobs took %.3f of the time",
+		t.Logf("%d subscriptions, %d receivers down: %.2f changes and %.2f requests per job on top of %.2f and %.2f; latency %v and %v (median, 99%%); jobs took %.3f of the time without subscriptions",
 			tc.subs, tc.down, extra, float64(c.requests-none.requests)/jobs, float64(none.changes)/jobs, float64(none.requests)/jobs,
 			median, last, float64(c.jobTime)/float64(none.jobTime))
-		// The order of goroutines moves how long jobs take by 3% from run to run.
+		// The order of goroutines varies the time that jobs take by 3% between runs.
 		if extra > tc.maxExtraChanges || last.Seconds() > tc.maxLatencyS || float64(c.jobTime) > 1.1*float64(none.jobTime) {
-			t.Errorf("%d subscriptions, %d down: %.2f changes a job besides, %v late, jobs took %v after %v", tc.subs, tc.down, extra, last, c.jobTime, none.jobTime)
+			t.Errorf("%d subscriptions, %d receivers down: %.2f extra changes per job, latency %v (99%%), jobs took %v, %v without subscriptions", tc.subs, tc.down, extra, last, c.jobTime, none.jobTime)
 		}
 	}
 }
 
-// Operators see at any node what was put aside, send it again once its receiver
-// is well, and drop what nobody needs; a new leader knows what was.
+// TestNotifyOperatorRequests checks that operators can list dead letters at any node, retry one once
+// its receiver works again and drop one, and that a new leader has the earlier dead letters.
 func TestNotifyOperatorRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, receiver := newRefusingWorld(91, 20*core.Second)
@@ -299,7 +301,7 @@
 		w.Kill(killed)
 		time.Sleep(20 * time.Second)
 		if len(request(w.Leader(), control.Request{Op: control.Show, Subscription: "all"}).DeadLetters) != 3 {
-			t.Error("the new leader does not know what was put aside")
+			t.Error("the new leader does not have the 3 dead letters")
 		}
 		w.StartNode(killed)
 		time.Sleep(10 * time.Second)
@@ -325,10 +327,10 @@
 		}
 		time.Sleep(time.Minute)
 		if n, all := receiver.EffectCounts("accepted", "job-000820"); n != 1 || all != 1 {
-			t.Errorf("%d effects, %d in all", n, all)
+			t.Errorf("applied %d times, %d events in all; want 1 and 1", n, all)
 		}
 		if out := request(0, control.Request{Op: control.Show}); len(out.DeadLetters) != 1 || out.DeadLetters[0].Job != "job-000822" {
-			t.Errorf("left: %+v", out)
+			t.Errorf("dead letters left: %+v", out)
 		}
 	})
 }
