--- a/internal/simulator/nomad_bench_test.go
+++ b/internal/simulator/nomad_bench_test.go
@@ -18,13 +18,14 @@
 	"aspenstall/internal/simulator"
 )
 
-// benchSite is a world in real time; its limits are out of the way.
+// newBenchWorld starts a world in real time, with limits that the benchmarks don't reach, and waits
+// for a leader.
 func newBenchWorld(b *testing.B) *simulator.World {
 	p := platform()
 	p.Params.Zones = []string{"a", "b", "c"}
 	p.Params.State.RPS, p.Params.State.WriteRPS, p.Params.State.ValueKB = 1e6, 1e6, 16
 	w := simulator.NewWorld(1, p, machineTypes)
-	key := []byte("the key of the stand-ins' hashes")
+	key := []byte("the key for the simulator hashes")
 	n := config.DefaultNomad()
 	n.TokenHashKey, n.MaxWatchers, n.MaxConns, n.RequestsPerS = key, 10_000, 10_000, 1_000_000
 	n.Tokens = map[string][]config.Hash{"blue": {nomadapi.HashToken(key, "token of blue")}}
@@ -38,6 +39,7 @@
 	return w
 }
 
+// registerBody returns the JSON body of a registration of a batch job with one group.
 func registerBody(b *testing.B, name string) []byte {
 	f, err := jobfile.Parse("f", []byte(fmt.Sprintf(`
 job %q {
@@ -60,9 +62,8 @@
 	return out
 }
 
-// BenchmarkNomadRegister measures registrations, each of a new job, through
-// HTTP, the node and the stand-in of the state service, by one client and by
-// several at once; docs/design/nomad.md has the figures.
+// BenchmarkNomadRegister measures registrations of new jobs through HTTP, the node and the simulated
+// state service, with one client and with several at once. docs/design/nomad.md has the figures.
 func BenchmarkNomadRegister(b *testing.B) {
 	for _, clients := range []int{1, 16} {
 		b.Run(fmt.Sprintf("clients=%d", clients), func(b *testing.B) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// put registers a job.
+// registerJob registers a job at an address. A status other than 200 is an error.
 func registerJob(c *http.Client, at string, body []byte) error {
 	req, err := http.NewRequest(http.MethodPut, "http://"+at+"/v1/jobs", bytes.NewReader(body))
 	if err != nil {
@@ -108,9 +109,8 @@
 	return nil
 }
 
-// BenchmarkNomadWatchers measures what a blocking query holds, with both ends of
-// its loopback connection in this process, and how long a change takes to reach
-// all of them.
+// BenchmarkNomadWatchers measures the memory that a blocking query takes, with both ends of its
+// loopback connection in this process, and how long a change takes to wake all queries.
 func BenchmarkNomadWatchers(b *testing.B) {
 	for _, n := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -146,13 +146,13 @@
 				}
 				for end := time.Now().Add(10 * time.Second); w.BlockingQueries(1) < n; {
 					if time.Now().After(end) {
-						b.Fatalf("%d of %d wait", w.BlockingQueries(1), n)
+						b.Fatalf("%d of %d queries are blocked", w.BlockingQueries(1), n)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
 				bytesEach += (memoryInUse() - before) / float64(n)
 				started := time.Now()
-				// Another version of the job wakes them all.
+				// A new version of the job wakes all queries.
 				f := registerBody(b, "first")
 				f = bytes.Replace(f, []byte(`"Count":1`), []byte(fmt.Sprintf(`"Count":%d`, 2+i%9)), 1)
 				if err := registerJob(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), f); err != nil {
@@ -176,6 +176,7 @@
 	}
 }
 
+// jobModifyIndex returns the modify index of the job "first".
 func jobModifyIndex(b *testing.B, w *simulator.World) uint64 {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+w.NomadAddr(1)+"/v1/job/first", nil)
 	req.Header.Set("X-Nomad-Token", "token of blue")
--- a/internal/simulator/nomad_test.go
+++ b/internal/simulator/nomad_test.go
@@ -23,13 +23,14 @@
 	"aspenstall/internal/simulator"
 )
 
-// nomadSite is a world whose controllers serve Nomad's clients.
+// nomadWorld is a world whose controllers serve Nomad's clients.
 type nomadWorld struct {
 	*testing.T
 	*simulator.World
 }
 
-// playNomad plays a day with three controllers, and holds it to the rules.
+// runNomadScenario runs a scenario under fake time with three controllers that serve Nomad's API, and
+// fails the test for each invariant that was violated.
 func runNomadScenario(t *testing.T, seed uint64, play func(t *testing.T, s *nomadWorld)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
@@ -37,7 +38,7 @@
 		addTeam(&p, "guests", 0, 8, 0, 0)
 		w := simulator.NewWorld(seed, p, machineTypes)
 		defer w.Close()
-		key := []byte("the key of the stand-ins' hashes")
+		key := []byte("the key for the simulator hashes")
 		n := config.DefaultNomad()
 		n.TokenHashKey, n.Tokens = key, map[string][]config.Hash{}
 		for _, team := range []string{"blue", "green", "guests"} {
@@ -47,7 +48,7 @@
 		w.Settings.Nomad = &n
 		w.Settings.PriorityCaps = map[string]core.Priority{"guests": core.Normal}
 		startAllNodes(w)
-		time.Sleep(15 * time.Second) // a leader, and the catalog
+		time.Sleep(15 * time.Second) // a leader is elected and has the catalog
 		play(t, &nomadWorld{t, w})
 		time.Sleep(60 * time.Second)
 		for _, b := range w.Violations() {
@@ -56,7 +57,7 @@
 	})
 }
 
-// client is the published client, of a team, at a node.
+// client returns Nomad's published client with a team's token, for the node numbered at.
 func (s *nomadWorld) client(team string, at int) *api.Client {
 	c, err := api.NewClient(&api.Config{Address: "http://" + s.NomadAddr(at), SecretID: "token of " + team, HttpClient: s.Net.Client("10.9.0.1:1")})
 	if err != nil {
@@ -65,7 +66,8 @@
 	return c
 }
 
-// raw sends one request and returns status, body and headers.
+// rawRequest sends one request and returns status, body and headers. Without a response the status
+// is 0 and the body is the error.
 func (s *nomadWorld) rawRequest(method, team string, at int, path string, body any) (int, string, http.Header) {
 	b, _ := json.Marshal(body)
 	req, err := http.NewRequest(method, "http://"+s.NomadAddr(at)+path, bytes.NewReader(b))
@@ -83,7 +85,7 @@
 	return resp.StatusCode, string(out), resp.Header
 }
 
-// sampleFile is a job file of the translator's samples.
+// sampleFile returns the content of a sample job file of the translator.
 func (s *nomadWorld) sampleFile(name string) string {
 	b, err := os.ReadFile("../nomad/translate/testdata/" + name + ".nomad.hcl")
 	if err != nil {
@@ -92,7 +94,7 @@
 	return string(b)
 }
 
-// job has a node parse a job file.
+// parseJob has node 0 parse a job file and returns the job.
 func (s *nomadWorld) parseJob(src string) *api.Job {
 	s.Helper()
 	j, err := s.client("blue", 0).Jobs().ParseHCL(src, true)
@@ -102,7 +104,7 @@
 	return j
 }
 
-// simple is a batch job of one group.
+// batchJob returns a batch job with one group of count tasks that run for so many seconds.
 func (s *nomadWorld) batchJob(name string, count int, seconds float64) *api.Job {
 	return s.parseJob(fmt.Sprintf(`
 job %q {
@@ -122,7 +124,8 @@
 }`, name, count, seconds))
 }
 
-// await asks with a blocking query until the job is as wanted.
+// awaitStatus waits with blocking queries until the job has the status, for up to 3 minutes. It fails
+// the test if the index decreases.
 func (s *nomadWorld) awaitStatus(c *api.Client, id, status string) {
 	s.Helper()
 	index := uint64(0)
@@ -132,17 +135,17 @@
 		case err != nil:
 			time.Sleep(time.Second)
 		case m.LastIndex < index:
-			s.Fatalf("the index went back from %d to %d", index, m.LastIndex)
+			s.Fatalf("the index decreased from %d to %d", index, m.LastIndex)
 		case *j.Status == status:
 			return
 		default:
 			index = m.LastIndex
 		}
 	}
-	s.Errorf("%s is not %s", id, status)
+	s.Errorf("%s did not reach the status %s", id, status)
 }
 
-// The published client does all that a user does with it.
+// TestNomadClient uses Nomad's published client for every operation that users need.
 func TestNomadClient(t *testing.T) {
 	runNomadScenario(t, 51, func(t *testing.T, s *nomadWorld) {
 		blue, green := s.client("blue", 0), s.client("green", 1)
@@ -181,10 +184,10 @@
 		if err != nil || e.Status != "complete" || e.JobID != "frost-ensemble" {
 			t.Errorf("evaluation: %+v %v", e, err)
 		}
-		// The same again, elsewhere, is the same.
+		// Registering the same content at another node returns the same index and evaluation.
 		again, _, err := s.client("blue", 2).Jobs().Register(job, nil)
 		if err != nil || again.JobModifyIndex != r.JobModifyIndex || again.EvalID != r.EvalID {
-			t.Errorf("again: %+v %v, first %+v", again, err, r)
+			t.Errorf("registered again: %+v %v, first %+v", again, err, r)
 		}
 		s.awaitStatus(s.client("blue", 1), "frost-ensemble", "running")
 		allocs, _, err := blue.Jobs().Allocations("frost-ensemble", true, nil)
@@ -206,7 +209,7 @@
 			t.Errorf("all allocations: %d %v", len(all), err)
 		}
 
-		// Another team's is as if it did not exist.
+		// A job of another team looks as if it did not exist.
 		if list, _, err := green.Jobs().List(&api.QueryOptions{Namespace: "*"}); err != nil || len(list) != 0 {
 			t.Errorf("green sees %+v %v", list, err)
 		}
@@ -215,22 +218,22 @@
 				t.Errorf("green reads it in %q: %v", ns, err)
 			}
 			if _, _, err := green.Jobs().Deregister("frost-ensemble", true, &api.WriteOptions{Namespace: ns}); err == nil || !strings.Contains(err.Error(), "404") {
-				t.Errorf("green ends it in %q: %v", ns, err)
+				t.Errorf("green deregisters it in %q: %v", ns, err)
 			}
 		}
 		if _, _, err := green.Jobs().Register(job, nil); err == nil || !strings.Contains(err.Error(), "another team's") {
-			t.Errorf("green registers blue's: %v", err)
+			t.Errorf("green registers blue's job: %v", err)
 		}
 		if status, body, _ := s.rawRequest("GET", "nobody", 0, "/v1/jobs", nil); status != http.StatusForbidden || body != "Permission denied" {
 			t.Errorf("without a token: %d %q", status, body)
 		}
 
-		// In another team's namespace one's own is not there either.
+		// A team's own job does not exist in another team's namespace either.
 		if _, _, err := blue.Jobs().Info("frost-ensemble", &api.QueryOptions{Namespace: "green"}); err == nil || !strings.Contains(err.Error(), "404") {
 			t.Errorf("blue reads it in green: %v", err)
 		}
 
-		// A new version ends what differs and keeps what does not.
+		// A new version stops the tasks of changed groups and keeps those of unchanged groups.
 		two := s.parseJob(s.sampleFile("two-groups"))
 		if _, _, err := blue.Jobs().Register(two, nil); err != nil {
 			t.Fatal(err)
@@ -253,7 +256,7 @@
 		for q := (&api.QueryOptions{PerPage: 3}); ; {
 			l, m, err := blue.Allocations().List(q)
 			if err != nil || len(l) > 3 {
-				t.Fatalf("a page of %d: %v", len(l), err)
+				t.Fatalf("a page with %d entries: %v", len(l), err)
 			}
 			for _, a := range l {
 				indexes[a.Name] = true
@@ -262,8 +265,8 @@
 				break
 			}
 		}
-		if len(indexes) != 10 { // 6 of the ensemble, 3 and 1 of this job
-			t.Errorf("by pages: %v", indexes)
+		if len(indexes) != 10 { // 6 of frost-ensemble, 3 and 1 of passages
+			t.Errorf("allocations by pages: %v", indexes)
 		}
 		list, _, err := blue.Jobs().PrefixList("pass")
 		if err != nil || len(list) != 1 || list[0].Status != "dead" || list[0].JobSummary.Summary["gantries"].Complete != 3 {
@@ -274,7 +277,7 @@
 				t.Error(err)
 			}
 			if _, _, err := s.client("blue", 1).Jobs().Info(id, nil); err == nil || !strings.Contains(err.Error(), "404") {
-				t.Errorf("%s is purged: %v", id, err)
+				t.Errorf("%s after its purge: %v", id, err)
 			}
 		}
 		time.Sleep(2 * time.Second)
@@ -287,7 +290,8 @@
 	})
 }
 
-// A guest with priority 100 is refused in either form, and told why.
+// TestNomadPriorityCap checks that a job above its team's priority cap is refused as a job file, with
+// the reason, and as a native job.
 func TestNomadPriorityCap(t *testing.T) {
 	runNomadScenario(t, 52, func(t *testing.T, s *nomadWorld) {
 		job := s.batchJob("warning", 1, 5)
@@ -300,7 +304,7 @@
 		native := array(900, 1, 5)
 		native.Team, native.Urgency = "guests", "production"
 		if status := s.PostJob(0, &native); status != http.StatusUnprocessableEntity {
-			t.Errorf("natively: %d", status)
+			t.Errorf("as a native job: status %d", status)
 		}
 		high = 74
 		if _, _, err := s.client("guests", 0).Jobs().Register(job, nil); err != nil {
@@ -310,8 +314,8 @@
 	})
 }
 
-// A registration whose answer was lost while the leader ended is the same job
-// when it is retried elsewhere, with or without an index to enforce.
+// TestNomadRetryAfterLostResponse checks that a registration whose response is lost as the leader
+// crashes is the same job when it is retried at another node, with or without an index to enforce.
 func TestNomadRetryAfterLostResponse(t *testing.T) {
 	runNomadScenario(t, 53, func(t *testing.T, s *nomadWorld) {
 		for i, enforce := range []bool{false, true} {
@@ -327,7 +331,7 @@
 				return r, err
 			}
 			at := max(s.Leader(), 0)
-			first, err := register(at) // its answer is thrown away
+			first, err := register(at) // the response counts as lost
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -345,8 +349,9 @@
 	})
 }
 
-// Of two versions that two nodes register at once, one wins; the other gets the
-// published error if it named an index, and is a later version if not.
+// TestNomadConcurrentVersions registers two versions of a job at two nodes at once. With an index to
+// enforce, one succeeds and the other gets Nomad's published error. Without an index both succeed, one
+// as the later version.
 func TestNomadConcurrentVersions(t *testing.T) {
 	runNomadScenario(t, 54, func(t *testing.T, s *nomadWorld) {
 		first, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("twice", 1, 100), nil)
@@ -373,7 +378,7 @@
 				if err != nil {
 					failed++
 					if !strings.Contains(err.Error(), api.RegisterEnforceIndexErrPrefix) {
-						t.Errorf("got %v", err)
+						t.Errorf("refused with %v", err)
 					}
 				}
 			}
@@ -386,8 +391,8 @@
 			}
 			first.JobModifyIndex = *j.JobModifyIndex
 		}
-		// One of the two unenforced ones has the same content as the winner
-		// before, and changed nothing, or both are versions: 2 or 3 in all.
+		// One of the two registrations without an index has the content of the version that was
+		// enforced. It creates no version if it comes first, so there are 3 or 4 versions in all.
 		vs, _, _, err := s.client("blue", 0).Jobs().Versions("twice", false, nil)
 		if err != nil || len(vs) < 3 || len(vs) > 4 {
 			t.Errorf("%d versions: %v", len(vs), err)
@@ -400,8 +405,9 @@
 	})
 }
 
-// A version that replaces one of the team's whole maximum starts as the old
-// tasks leave, and never beside them: the stand-ins' checker watches the use.
+// TestNomadReplacementKeepsQuotaMax replaces a job that uses its team's whole maximum. The tasks of
+// the new version start only as the old tasks end: the simulator's checker verifies that the team's
+// usage stays within the maximum.
 func TestNomadReplacementKeepsQuotaMax(t *testing.T) {
 	runNomadScenario(t, 61, func(t *testing.T, s *nomadWorld) {
 		c := s.client("guests", 0)
@@ -413,7 +419,7 @@
 					return
 				}
 				if time.Now().After(end) {
-					t.Fatalf("%+v %v, want %d running", sum, err, want)
+					t.Fatalf("summary: %+v %v, want %d running", sum, err, want)
 				}
 			}
 		}
@@ -435,8 +441,8 @@
 	})
 }
 
-// Jobs are deregistered around the moment at which they complete: they end one
-// way or the other, and nothing of them runs on.
+// TestNomadDeregisterRacesCompletion deregisters jobs around the time at which they complete. Each
+// job must end, cancelled or complete, and none of its tasks may keep running.
 func TestNomadDeregisterRacesCompletion(t *testing.T) {
 	runNomadScenario(t, 55, func(t *testing.T, s *nomadWorld) {
 		var wg sync.WaitGroup
@@ -462,15 +468,15 @@
 		for i := range 12 {
 			for _, id := range s.NativeJobs("blue", fmt.Sprintf("race-%02d", i)) {
 				if n := s.RunningTasks(id); n > 0 {
-					t.Errorf("%d tasks of %s run on", n, id)
+					t.Errorf("%d tasks of %s are still running", n, id)
 				}
 			}
 		}
 	})
 }
 
-// A blocking query outlasts a takeover, and a watch that has to read all again;
-// what happened meanwhile wakes it, a purge too.
+// TestNomadBlockingQuery checks that a blocking query survives a takeover, and a watch that has to
+// read all records again, and that changes made in between, also a purge, wake it.
 func TestNomadBlockingQuery(t *testing.T) {
 	runNomadScenario(t, 56, func(t *testing.T, s *nomadWorld) {
 		r, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("watched", 1, 500), nil)
@@ -498,7 +504,7 @@
 		}
 		leader := max(s.Leader(), 0)
 		other := (leader + 1) % 3
-		// A node that has not read the registration yet is woken by that, and rightly.
+		// Until the node has read the registration, that change may rightly wake the query.
 		time.Sleep(time.Second)
 		waiting := listAsync(other, r.JobModifyIndex)
 		time.Sleep(5 * time.Second)
@@ -506,7 +512,7 @@
 		time.Sleep(20 * time.Second)
 		select {
 		case a := <-waiting:
-			t.Fatalf("woken by a takeover: %+v", a)
+			t.Fatalf("a takeover woke the query: %+v", a)
 		default:
 		}
 		s.StartNode(leader)
@@ -517,8 +523,8 @@
 		if a := <-waiting; a.err != nil || a.jobs != 2 || a.index < second.JobModifyIndex || a.after > 30*time.Second {
 			t.Errorf("got %+v, want index %d", a, second.JobModifyIndex)
 		}
-		// While the node is cut off the state service forgets what it missed,
-		// the purge among it.
+		// The node is partitioned from the state service, which compacts the changes that the node
+		// misses, the purge among them.
 		waiting = listAsync(other, second.JobModifyIndex)
 		time.Sleep(time.Second)
 		s.Net.BlockLink(s.NodeAddr(other), s.StateAddr(), true)
@@ -530,18 +536,18 @@
 		time.Sleep(2 * time.Second)
 		s.Net.BlockLink(s.NodeAddr(other), s.StateAddr(), false)
 		if a := <-waiting; a.err != nil || a.jobs != 1 || a.index <= second.JobModifyIndex || a.after > 30*time.Second {
-			t.Errorf("after the gap: %+v", a)
+			t.Errorf("after the gap in the watch: %+v", a)
 		}
-		// A node that starts anew has the same index, though the purge is history.
+		// A restarted node has the same index, although the log has no record of the purge any more.
 		_, before, err := s.client("blue", leader).Jobs().List(nil)
 		s.Kill(other)
 		s.StartNode(other)
 		time.Sleep(10 * time.Second)
 		_, after, err2 := s.client("blue", other).Jobs().List(nil)
 		if err != nil || err2 != nil || after.LastIndex != before.LastIndex {
-			t.Errorf("index %+v, at a new node %+v; %v %v", before, after, err, err2)
+			t.Errorf("index %+v, at the restarted node %+v; %v %v", before, after, err, err2)
 		}
-		// A client that goes away leaves nothing behind.
+		// A query ends when its client disconnects.
 		ctx, cancel := context.WithCancel(t.Context())
 		returned := make(chan error)
 		go func() {
@@ -551,15 +557,15 @@
 		}()
 		time.Sleep(time.Second)
 		if n := s.BlockingQueries(leader); n != 1 {
-			t.Errorf("%d wait", n)
+			t.Errorf("%d queries are blocked, want 1", n)
 		}
 		cancel()
 		<-returned
 		time.Sleep(time.Second)
 		if n := s.BlockingQueries(leader); n != 0 {
-			t.Errorf("%d wait for a client that has gone", n)
+			t.Errorf("%d queries are blocked after the client disconnected", n)
 		}
-		// Time that is over: the same index, and no error.
+		// A query whose wait time ends returns the same index and no error.
 		started := time.Now()
 		l, m, err := s.client("blue", leader).Jobs().List(&api.QueryOptions{WaitIndex: 1 << 40, WaitTime: 3 * time.Second})
 		if d := time.Since(started); err != nil || len(l) != 1 || m.LastIndex != 1<<40 || d < 3*time.Second || d > 4*time.Second {
@@ -572,8 +578,8 @@
 	})
 }
 
-// A query for a job is answered as its tasks begin to run, at the leader and at
-// others, though no record changes then.
+// TestNomadProgressWakesQueries checks that a blocking query for a job returns when its tasks start to
+// run, at the leader and at followers, although no record changes then.
 func TestNomadProgressWakesQueries(t *testing.T) {
 	runNomadScenario(t, 60, func(t *testing.T, s *nomadWorld) {
 		r, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("starts", 9, 400), nil)
@@ -593,12 +599,12 @@
 					running = sum.Summary["g"].Running
 				}
 				if running != 9 {
-					t.Errorf("node %d: %d run after %v", at, running, time.Since(started))
+					t.Errorf("node %d: %d tasks run after %v", at, running, time.Since(started))
 				}
 			})
 		}
 		wg.Wait()
-		// A change between two queries of a client is not missed: no index tells it.
+		// A change of progress between two queries of a client is not missed, although the index stays.
 		time.Sleep(10 * time.Second)
 		for _, worker := range s.Cloud.Workers() {
 			if len(worker.RunningTasks()) > 0 {
@@ -611,7 +617,7 @@
 		if d := time.Since(started); err != nil || d > 5*time.Second || sum.Summary["g"].Running == 9 {
 			t.Errorf("after %v: %+v %v", d, sum, err)
 		}
-		// A stream that is resumed goes on though nothing happens for long.
+		// A resumed event stream stays open when there are no events for a long time.
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		stream, err := s.client("blue", 1).EventStream().Stream(ctx, nil, r.JobModifyIndex, nil)
@@ -636,13 +642,13 @@
 		}
 		s.NoteCancelled(s.NativeJobs("blue", "starts"))
 		if e, ok := <-received; !ok || e.Events[0].Type != "JobDeregistered" {
-			t.Errorf("told %+v", e)
+			t.Errorf("received %+v", e)
 		}
 	})
 }
 
-// Reads of the state service overlap, and some come late: what was dropped does
-// not come back by them.
+// TestNomadOverlappingReads checks that job versions which were dropped do not come back when reads
+// of the state service overlap and some responses are late.
 func TestNomadOverlappingReads(t *testing.T) {
 	runNomadScenario(t, 62, func(t *testing.T, s *nomadWorld) {
 		s.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 400 * time.Millisecond })
@@ -685,8 +691,9 @@
 	})
 }
 
-// Names differ by their case, hold slashes, and hold no spaces; large bodies
-// are taken up to a limit, and then refused plainly.
+// TestNomadNamesAndBodies checks that job names are case-sensitive, may contain slashes and may not
+// contain spaces, that bodies over the limit are refused with status 413, and the status of requests
+// that are not served.
 func TestNomadNamesAndBodies(t *testing.T) {
 	runNomadScenario(t, 57, func(t *testing.T, s *nomadWorld) {
 		c := s.client("blue", 0).Jobs()
@@ -702,7 +709,7 @@
 			}
 		}
 		if _, _, err := c.Register(s.batchJob("a b", 1, 400), nil); err == nil || !strings.Contains(err.Error(), "holds a space") {
-			t.Errorf("a space: %v", err)
+			t.Errorf("a name with a space: %v", err)
 		}
 		if _, _, err := c.Deregister("frost/plan", true, nil); err != nil {
 			t.Error(err)
@@ -714,7 +721,7 @@
 		for q := (&api.QueryOptions{PerPage: 2}); ; {
 			l, m, err := c.List(q)
 			if err != nil || len(l) == 0 || len(l) > 2 {
-				t.Fatalf("a page of %d: %v", len(l), err)
+				t.Fatalf("a page with %d entries: %v", len(l), err)
 			}
 			for _, j := range l {
 				paged = append(paged, j.ID)
@@ -724,7 +731,7 @@
 			}
 		}
 		if got := strings.Join(paged, " "); got != "Frost frost frost/ü%2F" {
-			t.Errorf("by pages: %s", got)
+			t.Errorf("jobs by pages: %s", got)
 		}
 		for _, b := range []struct {
 			env    int
@@ -769,8 +776,8 @@
 	})
 }
 
-// While the state service is down, a registration is answered at once with when
-// to come back, and is not half done.
+// TestNomadStateDown checks that a registration while the state service is down is answered within a
+// second with status 503 and Retry-After, and writes nothing.
 func TestNomadStateDown(t *testing.T) {
 	runNomadScenario(t, 58, func(t *testing.T, s *nomadWorld) {
 		job := s.batchJob("later", 1, 5)
@@ -784,7 +791,7 @@
 		s.State.RenewLeases()
 		time.Sleep(5 * time.Second)
 		if l, _, err := s.client("blue", 1).Jobs().List(nil); err != nil || len(l) != 0 {
-			t.Errorf("half done: %+v %v", l, err)
+			t.Errorf("partly registered: %+v %v", l, err)
 		}
 		if _, _, err := s.client("blue", 0).Jobs().Register(job, nil); err != nil {
 			t.Error(err)
@@ -793,7 +800,7 @@
 	})
 }
 
-// A file of which one group is refused writes nothing at all.
+// TestNomadRefusalWritesNothing checks that a job file with one refused group writes no record.
 func TestNomadRefusalWritesNothing(t *testing.T) {
 	runNomadScenario(t, 59, func(t *testing.T, s *nomadWorld) {
 		job := s.parseJob(s.sampleFile("two-groups"))
@@ -811,16 +818,16 @@
 			t.Errorf("got %v", err)
 		}
 		if l, _, err := s.client("blue", 1).Jobs().List(nil); err != nil || len(l) != 0 || before != 200 {
-			t.Errorf("%+v %v", l, err)
+			t.Errorf("jobs after the refusal: %+v %v", l, err)
 		}
 		if _, ok := s.State.Get("c/nomad/"); ok {
-			t.Error("something was written")
+			t.Error("a record was written")
 		}
 	})
 }
 
-// persist repeats a request as a client's user would, at one node after the
-// other, until it is answered.
+// retryUntilAnswered retries a request at one node after the other, every second, until it succeeds.
+// Status 400, 404 or 409 fails the test, and so do 60 attempts without success.
 func (s *nomadWorld) retryUntilAnswered(team string, what string, request func(c *api.Client) error) {
 	s.Helper()
 	for try := range 60 {
@@ -834,13 +841,12 @@
 		}
 		time.Sleep(time.Second)
 	}
-	s.Errorf("%s: no answer", what)
+	s.Errorf("%s: no success in 60 attempts", what)
 }
 
-// TestNomadDays plays days on which job files are registered, changed and ended
-// while services fail and controllers end. Whatever was answered holds: what was
-// registered is done in the end, by as many native jobs as there were contents,
-// what was deregistered is gone, and no index goes back on any node.
+// TestNomadFaultScenarios registers, changes and deregisters jobs while services fail and controllers
+// crash. Every confirmed request must hold: registered jobs complete, with at most one native job per
+// distinct content, deregistered jobs end, and no node's index decreases.
 func TestNomadFaultScenarios(t *testing.T) {
 	const sec = time.Second
 	for i, sc := range []struct {
@@ -848,18 +854,18 @@
 		setup   func(w *simulator.World)
 		actions []action
 	}{
-		{"answers lost", func(w *simulator.World) {
+		{"responses lost", func(w *simulator.World) {
 			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest = 0.05, 0.05
 			w.WorkerFaults.LoseResponse, w.WorkerFaults.LoseRequest = 0.1, 0.1
 		}, nil},
 		{"late transactions", func(w *simulator.World) {
 			w.StateFaults.ExecuteLate, w.StateFaults.LateDelay, w.StateFaults.MaxDelay = 0.04, 9*sec, 300*time.Millisecond
 		}, nil},
-		{"controllers end", nil, []action{
+		{"controllers crash", nil, []action{
 			{10 * sec, killNode(0)}, {14 * sec, startNode(0)}, {25 * sec, killNode(1)}, {26 * sec, killNode(2)}, {33 * sec, startNode(1)}, {35 * sec, startNode(2)},
 			{50 * sec, killAllNodes}, {54 * sec, startAllNodes},
 		}},
-		{"outages, and a watch that has to read again", nil, []action{
+		{"outages, and a watch that has to read all records again", nil, []action{
 			{12 * sec, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
 			{20 * sec, func(w *simulator.World) {
 				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
@@ -909,12 +915,12 @@
 							return err
 						})
 						if n := len(s.NativeJobs("blue", name)); n > len(jobs) {
-							t.Errorf("%s ran as %d native jobs, of %d contents", name, n, len(jobs))
+							t.Errorf("%s ran as %d native jobs, want at most %d", name, n, len(jobs))
 						}
 					})
 				}
 				done := make(chan struct{})
-				for at := range 3 { // readers of nodes 1 and 2, and one that goes from node to node
+				for at := range 3 { // readers of nodes 1 and 2, and one that alternates between all nodes
 					go func() {
 						var lastIndex uint64
 						for n := 0; ; n++ {
@@ -929,7 +935,7 @@
 							}
 							_, m, err := s.client("blue", node).Jobs().List(nil)
 							if err == nil && m.LastIndex < lastIndex {
-								t.Errorf("node %d: the index went back from %d to %d", node, lastIndex, m.LastIndex)
+								t.Errorf("node %d: the index decreased from %d to %d", node, lastIndex, m.LastIndex)
 							}
 							if err == nil {
 								lastIndex = m.LastIndex
