--- a/internal/simulator/config_test.go
+++ b/internal/simulator/config_test.go
@@ -22,9 +22,9 @@
 	"aspenstall/internal/wire"
 )
 
-var randomConfigRuns = flag.Int("drawn-config", 6, "how many drawn days TestConfigDrawn plays")
+var randomConfigRuns = flag.Int("drawn-config", 6, "number of random scenarios in TestConfigRandomScenarios")
 
-// operator changes the configuration of a world and remembers what was in force when.
+// operator changes the configuration of a world and records which configuration was in force when.
 type operator struct {
 	t      *testing.T
 	w      *simulator.World
@@ -33,23 +33,24 @@
 
 	mu              sync.Mutex
 	history         []configPeriod
-	maxInForceDelay time.Duration // until a change was in force
-	inForceCount    int
-	versions        []uint64 // of the versions that were made, in their order
+	maxInForceDelay time.Duration // from the response to a write until the change was in force
+	inForceCount    int           // changes that came into force
+	versions        []uint64      // of the changes that came into force, in the order in which they were made
 }
 
-// inForce is a configuration and since when it was replaced; zero: it was not.
+// configPeriod is a configuration and the time at which a later one had replaced it everywhere; the
+// time is zero if none has.
 type configPeriod struct {
 	config   *clusterconfig.Config
 	replaced time.Time
 }
 
-// lateStart is how long after a decision its task can be on a machine: its command is late
-// and the image is fetched.
+// maxStartDelay bounds the time from a placement decision until its task runs on a machine: the
+// command may be delayed and the image has to be fetched.
 const maxStartDelay = 45 * time.Second
 
-// newOperator follows a world from its beginning: a team's limit is the highest of the
-// versions that a start which is seen now can have been decided by.
+// newOperator returns an operator for a world that has not started yet, and sets the limits that the
+// world checks to the operator's teamLimit.
 func newOperator(t *testing.T, w *simulator.World, p config.Platform) *operator {
 	o := &operator{t: t, w: w, base: config.ClusterConfigBase(&p, w.Settings)}
 	o.client = o.newClient("operator", p)
@@ -58,6 +59,7 @@
 	return o
 }
 
+// newClient returns a configuration client that connects to the state service under a name.
 func (o *operator) newClient(name string, p config.Platform) *configclient.Client {
 	return &configclient.Client{
 		Store: statestore.New(o.w.StateAddr(), 0, 0, 2, o.w.Net.Dialer(name)),
@@ -65,6 +67,8 @@
 	}
 }
 
+// teamLimit returns the highest limit of a team among the configurations by which a task start that
+// is observed now can have been decided. 0 means no limit.
 func (o *operator) teamLimit(team string) simulator.Limit {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -86,7 +90,8 @@
 	return highest
 }
 
-// change makes a configuration of the one that there is and waits until it is in force.
+// change edits the current configuration, applies it and waits until it is in force everywhere. It
+// gives up after the time within, and returns the errors of configclient.
 func (o *operator) change(id string, within time.Duration, edit func(c *clusterconfig.Config)) (*configclient.Rollout, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -97,7 +102,7 @@
 	}
 	next := before.Config.Clone()
 	edit(next)
-	// From here on it may be made, whatever is answered.
+	// From here on the change may be executed, whatever the response is.
 	o.mu.Lock()
 	o.history = append(o.history, configPeriod{config: next})
 	index := len(o.history) - 1
@@ -123,7 +128,8 @@
 	return rollout, nil
 }
 
-// team edits one team's quota, from the base if it has none of its own.
+// editTeam returns an edit of one team's quota. It starts from the base's quota if the configuration
+// has none for the team.
 func (o *operator) editTeam(name string, edit func(t *clusterconfig.Team)) func(*clusterconfig.Config) {
 	return func(c *clusterconfig.Config) {
 		t, ok := c.Teams[name]
@@ -138,11 +144,12 @@
 	}
 }
 
+// setMaxCPUs returns an edit that sets a team's maximum to n CPUs, and its minimum to at most that.
 func setMaxCPUs(n int64) func(*clusterconfig.Team) {
 	return func(t *clusterconfig.Team) { t.Max.CPU, t.Min.CPU = 1000*n, min(t.Min.CPU, 1000*n) }
 }
 
-// playConfig plays a day with an operator.
+// runConfigScenario runs a scenario with an operator and users.
 func runConfigScenario(t *testing.T, sc scenario, p config.Platform, act func(t *testing.T, o *operator, u *users)) {
 	t.Helper()
 	var o *operator
@@ -157,10 +164,10 @@
 	runScenario(t, sc, p, machineTypes[:1], func(t *testing.T, u *users) { act(t, o, u) })
 }
 
-// tight is a platform whose state service takes few changes.
+// lowWriteBudgetPlatform returns a platform whose state service accepts few changes per second.
 func lowWriteBudgetPlatform() config.Platform { return stateBudgets[1].platform() }
 
-// TestConfigMeaning: what each kind of change does to running and waiting work.
+// TestConfigChangeEffects checks what each kind of change does to running and waiting tasks.
 func TestConfigChangeEffects(t *testing.T) {
 	const s = time.Second
 	runningTasks := func(w *simulator.World, id string) int { return w.RunningTasks(id) }
@@ -168,7 +175,7 @@
 		name string
 		act  func(t *testing.T, o *operator, u *users)
 	}{
-		{"a max that is raised lets more tasks start", func(t *testing.T, o *operator, u *users) {
+		{"a raised max lets more tasks start", func(t *testing.T, o *operator, u *users) {
 			mustChange(t, o, "low", o.editTeam("blue", setMaxCPUs(8)))
 			u.w.Submit(array(1, 20, 150))
 			time.Sleep(60 * s)
@@ -181,7 +188,7 @@
 				t.Errorf("%d tasks of 2 CPUs run under a limit of 32", n)
 			}
 		}},
-		{"a max that is lowered below what is used stops nothing and starts nothing", func(t *testing.T, o *operator, u *users) {
+		{"a max lowered below the usage stops nothing and starts nothing", func(t *testing.T, o *operator, u *users) {
 			u.w.Submit(array(1, 40, 100))
 			time.Sleep(70 * s)
 			before := runningTasks(u.w, "job-000001")
@@ -189,7 +196,7 @@
 			starts := u.w.TaskStarts()
 			time.Sleep(10 * s)
 			if n := runningTasks(u.w, "job-000001"); n != before || before <= 10 {
-				t.Errorf("%d tasks ran before, %d after", before, n)
+				t.Errorf("%d tasks ran before, %d after; want the same, more than 10", before, n)
 			}
 			if n := u.w.TaskStarts(); n != starts {
 				t.Errorf("%d tasks were started over the limit", n-starts)
@@ -200,7 +207,7 @@
 			}
 			mustChange(t, o, "back", o.editTeam("blue", setMaxCPUs(60)))
 		}},
-		{"a min that is raised is reclaimed, one that is lowered is not protected", func(t *testing.T, o *operator, u *users) {
+		{"a raised min is reclaimed, a lowered one is not protected", func(t *testing.T, o *operator, u *users) {
 			u.w.Cloud.Capacity = 4 // 16 CPUs
 			for _, name := range []string{"blue", "green"} {
 				mustChange(t, o, "min-"+name, o.editTeam(name, func(t *clusterconfig.Team) { t.Min.CPU = 0 }))
@@ -212,7 +219,7 @@
 			u.w.Submit(other)
 			time.Sleep(30 * s)
 			if n := runningTasks(u.w, other.ID); n != 0 {
-				t.Errorf("%d tasks of a team without a min are given room", n)
+				t.Errorf("%d tasks of a team without a min were placed by reclaim", n)
 			}
 			mustChange(t, o, "raised", o.editTeam("green", func(t *clusterconfig.Team) { t.Min.CPU = 8000 }))
 			time.Sleep(45 * s)
@@ -221,15 +228,15 @@
 			}
 			u.w.Cancel("job-000001")
 		}},
-		{"a team that is added, drained and removed", func(t *testing.T, o *operator, u *users) {
+		{"a team is added, drained and removed", func(t *testing.T, o *operator, u *users) {
 			job := array(1, 2, 30)
 			job.Team = "red"
 			if got := u.w.PostJob(0, &job); got != http.StatusUnprocessableEntity {
-				t.Errorf("a job of a team that there is not is answered %d", got)
+				t.Errorf("a job of an unknown team is answered with status %d", got)
 			}
 			mustChange(t, o, "add", o.editTeam("red", setMaxCPUs(8)))
 			if got := u.w.PostJob(1, &job); got != http.StatusCreated {
-				t.Errorf("a job of the new team is answered %d", got)
+				t.Errorf("a job of the new team is answered with status %d", got)
 			}
 			u.w.Submit(job)
 			removeRed := func(c *clusterconfig.Config) { delete(c.Teams, "red") }
@@ -240,29 +247,29 @@
 			late := array(2, 1, 1)
 			late.Team = "red"
 			if got := u.w.PostJob(2, &late); got != http.StatusUnprocessableEntity {
-				t.Errorf("a job of a draining team is answered %d", got)
+				t.Errorf("a job of a draining team is answered with status %d", got)
 			}
 			if _, err := o.change("gone", 10*s, removeRed); !errors.Is(err, configclient.ErrTeamHasJobs) {
-				t.Errorf("removed with a job that runs: %v", err)
+				t.Errorf("removed with a running job: %v", err)
 			}
 			u.expectState(job.ID, "done")
 			mustChange(t, o, "gone", removeRed)
 			if got, state := u.w.Resubmit(0, job.ID, &job); got != http.StatusOK || state != "done" {
-				t.Errorf("a repeat of its job is answered %d, %q", got, state)
+				t.Errorf("a resubmission of its job is answered with status %d, state %q", got, state)
 			}
 		}},
-		{"a cap that is lowered refuses and is lifted", func(t *testing.T, o *operator, u *users) {
+		{"a lowered priority cap refuses jobs until it is raised", func(t *testing.T, o *operator, u *users) {
 			mustChange(t, o, "cap", o.editTeam("green", func(t *clusterconfig.Team) { t.PriorityCap = core.Normal }))
 			job := service(1, 1)
 			for i := range 3 {
 				if got := u.w.PostJob(i, &job); got != http.StatusUnprocessableEntity {
-					t.Errorf("node %d answers %d to a production job", i, got)
+					t.Errorf("node %d answers a production job with status %d", i, got)
 				}
 			}
 			mustChange(t, o, "lift", o.editTeam("green", func(t *clusterconfig.Team) { t.PriorityCap = core.Production }))
 			for i := range 3 {
 				if got := u.w.PostJob(i, &job); got != http.StatusCreated && got != http.StatusOK {
-					t.Errorf("node %d answers %d once it may", i, got)
+					t.Errorf("node %d answers with status %d after the cap is raised", i, got)
 				}
 			}
 			u.w.Submit(job)
@@ -284,7 +291,7 @@
 	}
 }
 
-// must makes a change and has it in force within four seconds.
+// mustChange makes a change and fails the test unless it is in force within 4 seconds.
 func mustChange(t *testing.T, o *operator, id string, edit func(*clusterconfig.Config)) {
 	t.Helper()
 	if _, err := o.change(id, 4*time.Second, edit); err != nil {
@@ -292,7 +299,8 @@
 	}
 }
 
-// TestConfigHardCases brings about what can come between a change and its being in force.
+// TestConfigChangesUnderFaults injects the faults that can occur between a change and its coming into
+// force, with each state service budget.
 func TestConfigChangesUnderFaults(t *testing.T) {
 	const s = time.Second
 	submitLoad := func(u *users) { submitShortJobs(u, 0, 80*s, 1500*time.Millisecond) }
@@ -328,11 +336,11 @@
 				}
 				wg.Wait()
 				if conflicts != 1 {
-					t.Errorf("%d of two lost", conflicts)
+					t.Errorf("%d of two concurrent changes conflicted, want 1", conflicts)
 				}
 				mustChange(t, o, "after", limitBlue(o, 40))
 			}},
-			{"the answer is lost after the write", func(t *testing.T, o *operator, u *users) {
+			{"the response is lost after the write", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				unanswered := 0
 				o.w.StateFaults.Update(func(f *simulator.Faults) {
@@ -350,10 +358,10 @@
 					t.Error(err)
 				}
 				if unanswered == 0 {
-					t.Error("no write of the head was carried out without an answer")
+					t.Error("no write of the head record was executed without a response")
 				}
 			}},
-			{"the write is carried out late", func(t *testing.T, o *operator, u *users) {
+			{"the write is executed late", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				var rejected int
 				o.w.StateFaults.Update(func(f *simulator.Faults) {
@@ -373,14 +381,14 @@
 				mustChange(t, o, "newer", limitBlue(o, 20))
 				time.Sleep(12 * s)
 				if rejected == 0 {
-					t.Error("no late write was void")
+					t.Error("no late write was rejected")
 				}
 				v, err := o.client.Read(context.Background())
 				if err != nil || v.Config.Teams["blue"].Max.CPU != 20_000 {
 					t.Errorf("after the late write: %+v, %v", v, err)
 				}
 			}},
-			{"the leader ends between write and force, and its successor too", func(t *testing.T, o *operator, u *users) {
+			{"the leader and its successor crash before the change is in force", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				leader := max(o.w.Leader(), 0)
 				o.w.OnUserState(nil)
@@ -414,7 +422,7 @@
 				}
 				rollout, err := o.client.AwaitInForce(ctx, v, applied, started)
 				if err != nil || len(rollout.Unconfirmed) == 0 || rollout.EverywhereAfter > 4*s {
-					t.Errorf("in force by %+v, %v", rollout, err)
+					t.Errorf("rollout %+v, %v", rollout, err)
 				}
 				o.mu.Lock()
 				for i := range o.history[:len(o.history)-1] {
@@ -424,9 +432,9 @@
 				time.Sleep(20 * s)
 				mustChange(t, o, "after", limitBlue(o, 30))
 			}},
-			{"a leader that writes and does not read", func(t *testing.T, o *operator, u *users) {
+			{"a leader whose reads are refused", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
-				many := array(900, 600, 4) // tasks end and begin all the time
+				many := array(900, 600, 4) // tasks complete and start all the time
 				many.DueS = nil
 				u.w.Submit(many)
 				time.Sleep(60 * s)
@@ -437,14 +445,15 @@
 				refuseReads(true)
 				rollout, err := o.change("unread", 4*s, limitBlue(o, 10))
 				if err != nil || len(rollout.Unconfirmed) != 1 {
-					t.Errorf("in force by %+v, %v", rollout, err)
+					t.Errorf("rollout %+v, %v", rollout, err)
 				}
-				// It still has the older version and leads on for a while: what ends is not replaced.
+				// The leader still has the older version and leads for a while: it must not replace tasks that
+				// complete.
 				time.Sleep(300 * time.Millisecond)
 				before, starts := u.w.RunningTasks(many.ID), u.w.TaskStarts()
 				time.Sleep(1200 * time.Millisecond)
 				if n := u.w.TaskStarts() - starts; n > 0 || before < 6 || o.w.Leader() != leader {
-					t.Errorf("%d tasks begin over a limit of 10 CPUs, %d ran before; leader %d, it was %d", n, before, o.w.Leader(), leader)
+					t.Errorf("%d tasks started over a limit of 10 CPUs, %d ran before; leader %d, it was %d", n, before, o.w.Leader(), leader)
 				}
 				time.Sleep(30 * s)
 				refuseReads(false)
@@ -452,7 +461,7 @@
 				mustChange(t, o, "after", limitBlue(o, 30))
 				u.w.Cancel(many.ID)
 			}},
-			{"a node that writes and does not read accepts nothing by an older version", func(t *testing.T, o *operator, u *users) {
+			{"a node whose reads are refused accepts nothing by an older version", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				other := (max(o.w.Leader(), 0) + 1) % 3
 				refuseReads := func(on bool) {
@@ -477,29 +486,29 @@
 					time.Sleep(50 * time.Millisecond)
 				}
 				if answers[http.StatusCreated] > 0 || answers[http.StatusServiceUnavailable] == 0 {
-					t.Errorf("jobs of a draining team are answered %v by a node that has not read that it is", answers)
+					t.Errorf("jobs of a draining team get the statuses %v from a node that has not read the change", answers)
 				}
 				refuseReads(false)
 				time.Sleep(8 * s)
 				mustChange(t, o, "open", o.editTeam("blue", func(t *clusterconfig.Team) { t.Draining = false }))
 			}},
-			{"the changes that a controller watches from are forgotten", func(t *testing.T, o *operator, u *users) {
+			{"the change log is compacted under the controllers' watches", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				o.w.State.CompactLog()
 				mustChange(t, o, "forgotten", limitBlue(o, 20))
 			}},
-			{"the state service refuses one, then all", func(t *testing.T, o *operator, u *users) {
+			{"the state service refuses one controller, then all", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				one := (max(o.w.Leader(), 0) + 1) % 3
 				setStateRefused(o.w, one, true)
 				if rollout, err := o.change("one", 4*s, limitBlue(o, 20)); err != nil || len(rollout.Unconfirmed) != 1 {
-					t.Errorf("one refused: in force by %+v, %v", rollout, err)
+					t.Errorf("with one controller refused: rollout %+v, %v", rollout, err)
 				}
 				setStateRefused(o.w, one, false)
 				time.Sleep(8 * s)
 				o.w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true })
 				if _, err := o.change("out", 4*s, limitBlue(o, 30)); err == nil {
-					t.Error("a change is made while the state service is out")
+					t.Error("a change succeeded while the state service was down")
 				}
 				o.w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
 				o.w.State.RenewLeases()
@@ -507,23 +516,23 @@
 				mustChange(t, o, "out", limitBlue(o, 30))
 				v, err := o.client.Read(context.Background())
 				if err != nil || v.Records.Head.Version != 3 {
-					t.Errorf("version %d after three changes, %v", v.Records.Head.Version, err)
+					t.Errorf("version %d after three changes, want 3; %v", v.Records.Head.Version, err)
 				}
 			}},
 			{"the state service is slow", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				o.w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 400 * time.Millisecond })
-				for i := range 8 { // the command itself reads three times before it writes
+				for i := range 8 { // the client itself reads three times before it writes
 					if _, err := o.change(fmt.Sprint("slow-", i), 10*s, limitBlue(o, int64(20+i))); err != nil {
 						t.Error(err)
 					}
 				}
 				if o.maxInForceDelay > 4*s {
-					t.Errorf("in force %v after the write", o.maxInForceDelay)
+					t.Errorf("a change was in force only %v after the write", o.maxInForceDelay)
 				}
 				o.w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 0 })
 			}},
-			{"quotas change as a gang is placed and room is taken back for it", func(t *testing.T, o *operator, u *users) {
+			{"quotas change while gangs are placed by reclaim", func(t *testing.T, o *operator, u *users) {
 				u.w.Cloud.Capacity = 8 // 32 CPUs
 				filler := array(700, 60, 25)
 				filler.DueS = nil
@@ -542,7 +551,7 @@
 				mustChange(t, o, "last", o.editTeam("green", func(t *clusterconfig.Team) { t.Min.CPU = 24_000 }))
 				u.expectState(filler.ID, "done")
 			}},
-			{"jobs of a team as it is added", func(t *testing.T, o *operator, u *users) {
+			{"jobs are submitted while their team is added", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				type refusal struct {
 					at   time.Time
@@ -570,15 +579,15 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if len(refused) == 0 || time.Since(inForce) > 6*s {
-					t.Error("none was refused before")
+					t.Error("no job was refused before the team was added")
 				}
 				for _, r := range refused {
 					if r.at.After(inForce) {
-						t.Errorf("node %d refuses %v after the team is there everywhere", r.node, r.at.Sub(inForce))
+						t.Errorf("node %d refused a job %v after the team was in force everywhere", r.node, r.at.Sub(inForce))
 					}
 				}
 			}},
-			{"a head of a newer format", func(t *testing.T, o *operator, u *users) {
+			{"a head record of a newer format", func(t *testing.T, o *operator, u *users) {
 				mustChange(t, o, "first", limitBlue(o, 50))
 				v, err := o.client.Read(context.Background())
 				if err != nil {
@@ -601,11 +610,11 @@
 				job := array(900, 1, 1)
 				for i := range 3 {
 					if got := u.w.PostJob(i, &job); got != http.StatusServiceUnavailable {
-						t.Errorf("node %d answers %d to a job under a configuration that it can't read", i, got)
+						t.Errorf("node %d answers a job with status %d under a configuration that it can't read", i, got)
 					}
 				}
 				if _, err := o.change("newer", 3*s, limitBlue(o, 20)); !errors.Is(err, clusterconfig.ErrNewerFormat) {
-					t.Errorf("a change over it: %v", err)
+					t.Errorf("a change on top of a newer format: %v", err)
 				}
 				time.Sleep(20 * s)
 				writeHead(clusterconfig.Format)
@@ -624,34 +633,35 @@
 				o.w.StartNode(other)
 				time.Sleep(5 * s)
 				mustChange(t, o, "with it", limitBlue(o, 40))
-				o.w.Kill(other) // what it has said ends with its lease
+				o.w.Kill(other) // its acknowledgement expires with its lease
 				time.Sleep(8 * s)
 				v, err := o.client.Read(context.Background())
 				if err != nil || !slices.Equal(o.client.NotReporting(v), []string{fmt.Sprint("node-", other)}) || len(o.client.NotReady(v)) > 0 {
-					t.Errorf("says nothing: %q, not ready: %q, %v", o.client.NotReporting(v), o.client.NotReady(v), err)
+					t.Errorf("not reporting: %q, not ready: %q, %v", o.client.NotReporting(v), o.client.NotReady(v), err)
 				}
 				if rollout, err := o.change("again", 4*s, limitBlue(o, 30)); err != nil || len(rollout.Unconfirmed) != 1 {
-					t.Errorf("a change without one that knew configuration and has ended: in force by %+v, %v", rollout, err)
+					t.Errorf("a change without a crashed controller that supported configuration records: rollout %+v, %v", rollout, err)
 				}
-				// It is of an earlier version now, says a peer.
+				// A peer now reports the controller as an earlier version of the program: it is not ready.
 				ack := v.Acks[fmt.Sprint("node-", (other+1)%3)]
 				ack.OlderPeers = []string{fmt.Sprint("node-", other)}
 				v.Acks[fmt.Sprint("node-", (other+1)%3)] = ack
 				if got := o.client.NotReady(v); !slices.Equal(got, ack.OlderPeers) {
-					t.Errorf("of an earlier version: not ready %q", got)
+					t.Errorf("reported as an earlier version: not ready %q", got)
 				}
-				// And where it leads, whoever says that it is down, if it never knew configuration.
+				// A controller that leads without recorded support is not ready, even if the operator lists
+				// it as absent.
 				v.Acks, v.Leader, v.SupportsConfig[ack.OlderPeers[0]] = map[string]clusterconfig.Ack{}, ack.OlderPeers[0], false
 				o.client.Absent = ack.OlderPeers
 				if got := o.client.NotReady(v); !slices.Equal(got, ack.OlderPeers) {
-					t.Errorf("an earlier version leads: not ready %q", got)
+					t.Errorf("a leader of an earlier version: not ready %q", got)
 				}
 				o.client.Absent = nil
 				o.w.StartNode(other)
 				time.Sleep(5 * s)
 				mustChange(t, o, "back", limitBlue(o, 30))
 			}},
-			{"limits of the state service that come", func(t *testing.T, o *operator, u *users) {
+			{"many teams under low limits of the state service", func(t *testing.T, o *operator, u *users) {
 				o.client.Limits = clusterconfig.Limits{ValueBytes: 1800, TxnOps: 4}
 				many := func(c *clusterconfig.Config) {
 					for i := range 150 {
@@ -678,8 +688,9 @@
 	}
 }
 
-// TestConfigBesideUsers: ten changes a second for a minute beside users' writes, with few
-// changes to be had: users are accepted as ever, and each change is in force in time.
+// TestConfigChangesDuringSubmissions makes 600 configuration changes, about ten a second, while users
+// submit jobs, with a state service that accepts few changes per second. Every submission must be
+// answered within a second, and every change must be in force within 4 seconds.
 func TestConfigChangesDuringSubmissions(t *testing.T) {
 	runConfigScenario(t, scenario{seed: 520}, lowWriteBudgetPlatform(), func(t *testing.T, o *operator, u *users) {
 		time.Sleep(20 * time.Second)
@@ -705,18 +716,18 @@
 			made++
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Logf("%d changes, the longest until in force %v; slowest submission %v", made, o.maxInForceDelay, slowest)
+		t.Logf("%d changes, the slowest in force after %v; slowest submission %v", made, o.maxInForceDelay, slowest)
 		if slowest > time.Second {
-			t.Errorf("a submission took %v beside changes of configuration", slowest)
+			t.Errorf("a submission took %v during configuration changes", slowest)
 		}
 	})
 }
 
-// TestConfigDrawn plays drawn troubles with changes of quotas all the time: versions have
-// one order, nothing starts over a limit that is in force, no rule is broken. The long form,
-// outside CI:
+// TestConfigRandomScenarios runs random fault scenarios while quotas change all the time. Versions
+// must increase, no task may start over a limit in force, and no invariant may be violated. The long
+// form, outside CI:
 //
-//	go test ./internal/simulator -run TestConfigDrawn -drawn-config 500
+//	go test ./internal/simulator -run TestConfigRandomScenarios -drawn-config 500
 func TestConfigRandomScenarios(t *testing.T) {
 	for seed := range *randomConfigRuns {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -739,13 +750,13 @@
 				<-changed
 				for i := 1; i < len(o.versions); i++ {
 					if o.versions[i] <= o.versions[i-1] {
-						t.Errorf("version %d came after %d", o.versions[i], o.versions[i-1])
+						t.Errorf("version %d was made after version %d", o.versions[i], o.versions[i-1])
 					}
 				}
 				if o.inForceCount < 10 {
-					t.Errorf("only %d changes were in force", o.inForceCount)
+					t.Errorf("only %d changes came into force, want at least 10", o.inForceCount)
 				}
-				// What waits is to end.
+				// Raise the limits, so that waiting jobs can complete.
 				for i, name := range []string{"blue", "green"} {
 					for try := 0; ; try++ {
 						_, err := o.change(fmt.Sprint("end-", i, "-", try), 15*time.Second, o.editTeam(name, setMaxCPUs(60)))
@@ -759,12 +770,13 @@
 	}
 }
 
-// wander changes quotas for a while, by chance.
+// changeRandomly changes quotas at random for the duration d, with pauses of up to 3 seconds. Changes
+// may fail.
 func (o *operator) changeRandomly(r *rand.Rand, d time.Duration) {
 	started := time.Now()
 	for i := 0; time.Since(started) < d; i++ {
 		name := []string{"blue", "green"}[r.IntN(2)]
-		limit := int64(24 + r.IntN(37)) // no job of mixedJobs asks for more
+		limit := int64(24 + r.IntN(37)) // no job of mixedWorkload requests more
 		minCPUs := int64(r.IntN(40)) * 1000
 		_, _ = o.change(fmt.Sprint("walk-", i), 15*time.Second, o.editTeam(name, func(t *clusterconfig.Team) {
 			t.Max.CPU, t.Min.CPU = limit*1000, min(minCPUs, limit*1000)
