--- a/internal/simulator/notify_test.go
+++ b/internal/simulator/notify_test.go
@@ -266,7 +266,7 @@
 			median, last, float64(c.jobTime)/float64(none.jobTime))
 		// The order of goroutines varies the time that jobs take by 3% between runs.
 		if extra > tc.maxExtraChanges || last.Seconds() > tc.maxLatencyS || float64(c.jobTime) > 1.1*float64(none.jobTime) {
-			t.Errorf("%d subscriptions, %d receivers down: %.2f extra changes per job, latency %v (99%%), jobs took %v, %v without subscriptions", tc.subs, tc.down, extra, last, c.jobTime, none.jobTime)
+			t.Errorf("%d subscriptions, %d receivers down: %.2f extra changes per job, 99th percentile of latencies %v, jobs took %v, %v without subscriptions", tc.subs, tc.down, extra, last, c.jobTime, none.jobTime)
 		}
 	}
 }
