--- a/internal/simulator/nomad_test.go
+++ b/internal/simulator/nomad_test.go
@@ -692,8 +692,8 @@
 }
 
 // TestNomadNamesAndBodies checks that job names are case-sensitive, may contain slashes and may not
-// contain spaces, that bodies over the limit are refused with status 413, and the status of requests
-// that are not served.
+// contain spaces, that bodies over the limits are refused with status 413, and which status other
+// requests get, also those that are not served.
 func TestNomadNamesAndBodies(t *testing.T) {
 	runNomadScenario(t, 57, func(t *testing.T, s *nomadWorld) {
 		c := s.client("blue", 0).Jobs()
