--- a/internal/simulator/nomad_bench_test.go
+++ b/internal/simulator/nomad_bench_test.go
@@ -18,13 +18,14 @@
 	"aspenstall/internal/simulator"
 )
 
-// benchSite is a world in real time; its limits are out of the way.
-func benchSite(b *testing.B) *simulator.World {
+// newBenchWorld starts a world in real time, with limits that the benchmarks don't reach, and waits
+// for a leader.
+func newBenchWorld(b *testing.B) *simulator.World {
 	p := platform()
 	p.Params.Zones = []string{"a", "b", "c"}
 	p.Params.State.RPS, p.Params.State.WriteRPS, p.Params.State.ValueKB = 1e6, 1e6, 16
 	w := simulator.NewWorld(1, p, machineTypes)
-	key := []byte("the key of the stand-ins' hashes")
+	key := []byte("the key for the simulator hashes")
 	n := config.DefaultNomad()
 	n.TokenHashKey, n.MaxWatchers, n.MaxConns, n.RequestsPerS = key, 10_000, 10_000, 1_000_000
 	n.Tokens = map[string][]config.Hash{"blue": {nomadapi.HashToken(key, "token of blue")}}
@@ -38,7 +39,8 @@
 	return w
 }
 
-func benchBody(b *testing.B, name string) []byte {
+// registerBody returns the JSON body of a registration of a batch job with one group.
+func registerBody(b *testing.B, name string) []byte {
 	f, err := jobfile.Parse("f", []byte(fmt.Sprintf(`
 job %q {
   type = "batch"
@@ -60,16 +62,15 @@
 	return out
 }
 
-// BenchmarkNomadRegister measures registrations, each of a new job, through
-// HTTP, the node and the stand-in of the state service, by one client and by
-// several at once; docs/design/nomad.md has the figures.
+// BenchmarkNomadRegister measures registrations of new jobs through HTTP, the node and the simulated
+// state service, with one client and with several at once. docs/design/nomad.md has the figures.
 func BenchmarkNomadRegister(b *testing.B) {
 	for _, clients := range []int{1, 16} {
 		b.Run(fmt.Sprintf("clients=%d", clients), func(b *testing.B) {
-			w := benchSite(b)
+			w := newBenchWorld(b)
 			bodies := make(chan []byte, b.N)
 			for i := range b.N {
-				bodies <- benchBody(b, fmt.Sprintf("job-%d", i))
+				bodies <- registerBody(b, fmt.Sprintf("job-%d", i))
 			}
 			close(bodies)
 			b.ResetTimer()
@@ -78,7 +79,7 @@
 				wg.Go(func() {
 					c := w.Net.Client("10.9.0.1:1")
 					for body := range bodies {
-						if err := put(c, w.NomadAddr(0), body); err != nil {
+						if err := registerJob(c, w.NomadAddr(0), body); err != nil {
 							b.Error(err)
 						}
 					}
@@ -90,8 +91,8 @@
 	}
 }
 
-// put registers a job.
-func put(c *http.Client, at string, body []byte) error {
+// registerJob registers a job at an address. A status other than 200 is an error.
+func registerJob(c *http.Client, at string, body []byte) error {
 	req, err := http.NewRequest(http.MethodPut, "http://"+at+"/v1/jobs", bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -108,13 +109,12 @@
 	return nil
 }
 
-// BenchmarkNomadWatchers measures what a blocking query holds, with both ends of
-// its loopback connection in this process, and how long a change takes to reach
-// all of them.
+// BenchmarkNomadWatchers measures the memory that a blocking query takes, with both ends of its
+// loopback connection in this process, and how long a change takes to wake all queries.
 func BenchmarkNomadWatchers(b *testing.B) {
 	for _, n := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := benchSite(b)
+			w := newBenchWorld(b)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -122,7 +122,7 @@
 			srv := &http.Server{Handler: w.NomadHandler(1)}
 			go func() { _ = srv.Serve(l) }()
 			defer srv.Close()
-			held := func() float64 {
+			memoryInUse := func() float64 {
 				runtime.GC()
 				runtime.GC()
 				var m runtime.MemStats
@@ -130,13 +130,13 @@
 				return float64(m.HeapAlloc + m.StackInuse)
 			}
 			var bytesEach, wakeMS float64
-			if err := put(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), benchBody(b, "first")); err != nil {
+			if err := registerJob(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), registerBody(b, "first")); err != nil {
 				b.Fatal(err)
 			}
 			time.Sleep(time.Second)
 			for i := range b.N {
-				index := jobIndex(b, w)
-				before := held()
+				index := jobModifyIndex(b, w)
+				before := memoryInUse()
 				conns := make([]net.Conn, n)
 				for k := range conns {
 					if conns[k], err = net.Dial("tcp", l.Addr().String()); err != nil {
@@ -146,16 +146,16 @@
 				}
 				for end := time.Now().Add(10 * time.Second); w.BlockingQueries(1) < n; {
 					if time.Now().After(end) {
-						b.Fatalf("%d of %d wait", w.BlockingQueries(1), n)
+						b.Fatalf("%d of %d queries are blocked", w.BlockingQueries(1), n)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				bytesEach += (held() - before) / float64(n)
-				begun := time.Now()
-				// Another version of the job wakes them all.
-				f := benchBody(b, "first")
+				bytesEach += (memoryInUse() - before) / float64(n)
+				started := time.Now()
+				// A new version of the job wakes all queries.
+				f := registerBody(b, "first")
 				f = bytes.Replace(f, []byte(`"Count":1`), []byte(fmt.Sprintf(`"Count":%d`, 2+i%9)), 1)
-				if err := put(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), f); err != nil {
+				if err := registerJob(w.Net.Client("10.9.0.1:1"), w.NomadAddr(0), f); err != nil {
 					b.Fatal(err)
 				}
 				one := make([]byte, 1)
@@ -164,7 +164,7 @@
 						b.Fatal(err)
 					}
 				}
-				wakeMS += float64(time.Since(begun).Microseconds()) / 1000
+				wakeMS += float64(time.Since(started).Microseconds()) / 1000
 				for _, c := range conns {
 					_ = c.Close()
 				}
@@ -176,7 +176,8 @@
 	}
 }
 
-func jobIndex(b *testing.B, w *simulator.World) uint64 {
+// jobModifyIndex returns the modify index of the job "first".
+func jobModifyIndex(b *testing.B, w *simulator.World) uint64 {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+w.NomadAddr(1)+"/v1/job/first", nil)
 	req.Header.Set("X-Nomad-Token", "token of blue")
 	resp, err := w.Net.Client("10.9.0.1:1").Do(req)
--- a/internal/simulator/nomad_test.go
+++ b/internal/simulator/nomad_test.go
@@ -23,21 +23,22 @@
 	"aspenstall/internal/simulator"
 )
 
-// nomadSite is a world whose controllers serve Nomad's clients.
-type nomadSite struct {
+// nomadWorld is a world whose controllers serve Nomad's clients.
+type nomadWorld struct {
 	*testing.T
 	*simulator.World
 }
 
-// playNomad plays a day with three controllers, and holds it to the rules.
-func playNomad(t *testing.T, seed uint64, day func(t *testing.T, s *nomadSite)) {
+// runNomadScenario runs a scenario under fake time with three controllers that serve Nomad's API, and
+// fails the test for each invariant that was violated.
+func runNomadScenario(t *testing.T, seed uint64, play func(t *testing.T, s *nomadWorld)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
 		p.Params.Zones = []string{"a", "b", "c"}
 		addTeam(&p, "guests", 0, 8, 0, 0)
 		w := simulator.NewWorld(seed, p, machineTypes)
 		defer w.Close()
-		key := []byte("the key of the stand-ins' hashes")
+		key := []byte("the key for the simulator hashes")
 		n := config.DefaultNomad()
 		n.TokenHashKey, n.Tokens = key, map[string][]config.Hash{}
 		for _, team := range []string{"blue", "green", "guests"} {
@@ -47,8 +48,8 @@
 		w.Settings.Nomad = &n
 		w.Settings.PriorityCaps = map[string]core.Priority{"guests": core.Normal}
 		startAllNodes(w)
-		time.Sleep(15 * time.Second) // a leader, and the catalog
-		day(t, &nomadSite{t, w})
+		time.Sleep(15 * time.Second) // a leader is elected and has the catalog
+		play(t, &nomadWorld{t, w})
 		time.Sleep(60 * time.Second)
 		for _, b := range w.Violations() {
 			t.Error(b)
@@ -56,8 +57,8 @@
 	})
 }
 
-// client is the published client, of a team, at a node.
-func (s *nomadSite) client(team string, at int) *api.Client {
+// client returns Nomad's published client with a team's token, for the node numbered at.
+func (s *nomadWorld) client(team string, at int) *api.Client {
 	c, err := api.NewClient(&api.Config{Address: "http://" + s.NomadAddr(at), SecretID: "token of " + team, HttpClient: s.Net.Client("10.9.0.1:1")})
 	if err != nil {
 		s.Fatal(err)
@@ -65,8 +66,9 @@
 	return c
 }
 
-// raw sends one request and returns status, body and headers.
-func (s *nomadSite) raw(method, team string, at int, path string, body any) (int, string, http.Header) {
+// rawRequest sends one request and returns status, body and headers. Without a response the status
+// is 0 and the body is the error.
+func (s *nomadWorld) rawRequest(method, team string, at int, path string, body any) (int, string, http.Header) {
 	b, _ := json.Marshal(body)
 	req, err := http.NewRequest(method, "http://"+s.NomadAddr(at)+path, bytes.NewReader(b))
 	if err != nil {
@@ -83,8 +85,8 @@
 	return resp.StatusCode, string(out), resp.Header
 }
 
-// sampleFile is a job file of the translator's samples.
-func (s *nomadSite) sampleFile(name string) string {
+// sampleFile returns the content of a sample job file of the translator.
+func (s *nomadWorld) sampleFile(name string) string {
 	b, err := os.ReadFile("../nomad/translate/testdata/" + name + ".nomad.hcl")
 	if err != nil {
 		s.Fatal(err)
@@ -92,8 +94,8 @@
 	return string(b)
 }
 
-// job has a node parse a job file.
-func (s *nomadSite) job(src string) *api.Job {
+// parseJob has node 0 parse a job file and returns the job.
+func (s *nomadWorld) parseJob(src string) *api.Job {
 	s.Helper()
 	j, err := s.client("blue", 0).Jobs().ParseHCL(src, true)
 	if err != nil {
@@ -102,9 +104,9 @@
 	return j
 }
 
-// simple is a batch job of one group.
-func (s *nomadSite) simple(name string, count int, seconds float64) *api.Job {
-	return s.job(fmt.Sprintf(`
+// batchJob returns a batch job with one group of count tasks that run for so many seconds.
+func (s *nomadWorld) batchJob(name string, count int, seconds float64) *api.Job {
+	return s.parseJob(fmt.Sprintf(`
 job %q {
   type = "batch"
   group "g" {
@@ -122,8 +124,9 @@
 }`, name, count, seconds))
 }
 
-// await asks with a blocking query until the job is as wanted.
-func (s *nomadSite) await(c *api.Client, id, status string) {
+// awaitStatus waits with blocking queries until the job has the status, for up to 3 minutes. It fails
+// the test if the index decreases.
+func (s *nomadWorld) awaitStatus(c *api.Client, id, status string) {
 	s.Helper()
 	index := uint64(0)
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); {
@@ -132,19 +135,19 @@
 		case err != nil:
 			time.Sleep(time.Second)
 		case m.LastIndex < index:
-			s.Fatalf("the index went back from %d to %d", index, m.LastIndex)
+			s.Fatalf("the index decreased from %d to %d", index, m.LastIndex)
 		case *j.Status == status:
 			return
 		default:
 			index = m.LastIndex
 		}
 	}
-	s.Errorf("%s is not %s", id, status)
+	s.Errorf("%s did not reach the status %s", id, status)
 }
 
-// The published client does all that a user does with it.
+// TestNomadClient uses Nomad's published client for every operation that users need.
 func TestNomadClient(t *testing.T) {
-	playNomad(t, 51, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 51, func(t *testing.T, s *nomadWorld) {
 		blue, green := s.client("blue", 0), s.client("green", 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -164,7 +167,7 @@
 		}()
 		time.Sleep(time.Second)
 
-		job := s.job(s.sampleFile("frost-ensemble"))
+		job := s.parseJob(s.sampleFile("frost-ensemble"))
 		p, _, err := blue.Jobs().Plan(job, true, nil)
 		if err != nil || p.Diff.Type != "Added" || p.Annotations.DesiredTGUpdates["members"].Place != 6 {
 			t.Fatalf("plan: %+v %v", p, err)
@@ -181,12 +184,12 @@
 		if err != nil || e.Status != "complete" || e.JobID != "frost-ensemble" {
 			t.Errorf("evaluation: %+v %v", e, err)
 		}
-		// The same again, elsewhere, is the same.
+		// Registering the same content at another node returns the same index and evaluation.
 		again, _, err := s.client("blue", 2).Jobs().Register(job, nil)
 		if err != nil || again.JobModifyIndex != r.JobModifyIndex || again.EvalID != r.EvalID {
-			t.Errorf("again: %+v %v, first %+v", again, err, r)
+			t.Errorf("registered again: %+v %v, first %+v", again, err, r)
 		}
-		s.await(s.client("blue", 1), "frost-ensemble", "running")
+		s.awaitStatus(s.client("blue", 1), "frost-ensemble", "running")
 		allocs, _, err := blue.Jobs().Allocations("frost-ensemble", true, nil)
 		if err != nil || len(allocs) == 0 || allocs[0].NodeName == "" || allocs[0].TaskGroup != "members" {
 			t.Errorf("allocations: %+v %v", allocs, err)
@@ -197,7 +200,7 @@
 		if err != nil || len(nodes) == 0 || nodes[0].NodeClass == "" {
 			t.Errorf("nodes: %+v %v", nodes, err)
 		}
-		s.await(s.client("blue", 2), "frost-ensemble", "dead")
+		s.awaitStatus(s.client("blue", 2), "frost-ensemble", "dead")
 		sum, _, err := blue.Jobs().Summary("frost-ensemble", nil)
 		if err != nil || sum.Summary["members"].Complete != 6 {
 			t.Errorf("summary: %+v %v", sum, err)
@@ -206,7 +209,7 @@
 			t.Errorf("all allocations: %d %v", len(all), err)
 		}
 
-		// Another team's is as if it did not exist.
+		// A job of another team looks as if it did not exist.
 		if list, _, err := green.Jobs().List(&api.QueryOptions{Namespace: "*"}); err != nil || len(list) != 0 {
 			t.Errorf("green sees %+v %v", list, err)
 		}
@@ -215,23 +218,23 @@
 				t.Errorf("green reads it in %q: %v", ns, err)
 			}
 			if _, _, err := green.Jobs().Deregister("frost-ensemble", true, &api.WriteOptions{Namespace: ns}); err == nil || !strings.Contains(err.Error(), "404") {
-				t.Errorf("green ends it in %q: %v", ns, err)
+				t.Errorf("green deregisters it in %q: %v", ns, err)
 			}
 		}
 		if _, _, err := green.Jobs().Register(job, nil); err == nil || !strings.Contains(err.Error(), "another team's") {
-			t.Errorf("green registers blue's: %v", err)
+			t.Errorf("green registers blue's job: %v", err)
 		}
-		if status, body, _ := s.raw("GET", "nobody", 0, "/v1/jobs", nil); status != http.StatusForbidden || body != "Permission denied" {
+		if status, body, _ := s.rawRequest("GET", "nobody", 0, "/v1/jobs", nil); status != http.StatusForbidden || body != "Permission denied" {
 			t.Errorf("without a token: %d %q", status, body)
 		}
 
-		// In another team's namespace one's own is not there either.
+		// A team's own job does not exist in another team's namespace either.
 		if _, _, err := blue.Jobs().Info("frost-ensemble", &api.QueryOptions{Namespace: "green"}); err == nil || !strings.Contains(err.Error(), "404") {
 			t.Errorf("blue reads it in green: %v", err)
 		}
 
-		// A new version ends what differs and keeps what does not.
-		two := s.job(s.sampleFile("two-groups"))
+		// A new version stops the tasks of changed groups and keeps those of unchanged groups.
+		two := s.parseJob(s.sampleFile("two-groups"))
 		if _, _, err := blue.Jobs().Register(two, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -248,12 +251,12 @@
 		if err != nil || len(vs) != 2 || *vs[0].Version != 1 || *vs[0].TaskGroups[0].Count != 3 || *vs[1].TaskGroups[0].Count != 5 {
 			t.Errorf("versions: %+v %v", vs, err)
 		}
-		s.await(blue, "passages", "dead")
+		s.awaitStatus(blue, "passages", "dead")
 		indexes := map[string]bool{}
 		for q := (&api.QueryOptions{PerPage: 3}); ; {
 			l, m, err := blue.Allocations().List(q)
 			if err != nil || len(l) > 3 {
-				t.Fatalf("a page of %d: %v", len(l), err)
+				t.Fatalf("a page with %d entries: %v", len(l), err)
 			}
 			for _, a := range l {
 				indexes[a.Name] = true
@@ -262,8 +265,8 @@
 				break
 			}
 		}
-		if len(indexes) != 10 { // 6 of the ensemble, 3 and 1 of this job
-			t.Errorf("by pages: %v", indexes)
+		if len(indexes) != 10 { // 6 of frost-ensemble, 3 and 1 of passages
+			t.Errorf("allocations by pages: %v", indexes)
 		}
 		list, _, err := blue.Jobs().PrefixList("pass")
 		if err != nil || len(list) != 1 || list[0].Status != "dead" || list[0].JobSummary.Summary["gantries"].Complete != 3 {
@@ -274,7 +277,7 @@
 				t.Error(err)
 			}
 			if _, _, err := s.client("blue", 1).Jobs().Info(id, nil); err == nil || !strings.Contains(err.Error(), "404") {
-				t.Errorf("%s is purged: %v", id, err)
+				t.Errorf("%s after its purge: %v", id, err)
 			}
 		}
 		time.Sleep(2 * time.Second)
@@ -287,10 +290,11 @@
 	})
 }
 
-// A guest with priority 100 is refused in either form, and told why.
-func TestNomadGuest(t *testing.T) {
-	playNomad(t, 52, func(t *testing.T, s *nomadSite) {
-		job := s.simple("warning", 1, 5)
+// TestNomadPriorityCap checks that a job above its team's priority cap is refused as a job file, with
+// the reason, and as a native job.
+func TestNomadPriorityCap(t *testing.T) {
+	runNomadScenario(t, 52, func(t *testing.T, s *nomadWorld) {
+		job := s.batchJob("warning", 1, 5)
 		high := 100
 		job.Priority = &high
 		_, _, err := s.client("guests", 0).Jobs().Register(job, nil)
@@ -300,23 +304,23 @@
 		native := array(900, 1, 5)
 		native.Team, native.Urgency = "guests", "production"
 		if status := s.PostJob(0, &native); status != http.StatusUnprocessableEntity {
-			t.Errorf("natively: %d", status)
+			t.Errorf("as a native job: status %d", status)
 		}
 		high = 74
 		if _, _, err := s.client("guests", 0).Jobs().Register(job, nil); err != nil {
 			t.Error(err)
 		}
-		s.await(s.client("guests", 1), "warning", "dead")
+		s.awaitStatus(s.client("guests", 1), "warning", "dead")
 	})
 }
 
-// A registration whose answer was lost while the leader ended is the same job
-// when it is retried elsewhere, with or without an index to enforce.
-func TestNomadLostReply(t *testing.T) {
-	playNomad(t, 53, func(t *testing.T, s *nomadSite) {
+// TestNomadRetryAfterLostResponse checks that a registration whose response is lost as the leader
+// crashes is the same job when it is retried at another node, with or without an index to enforce.
+func TestNomadRetryAfterLostResponse(t *testing.T) {
+	runNomadScenario(t, 53, func(t *testing.T, s *nomadWorld) {
 		for i, enforce := range []bool{false, true} {
 			name := fmt.Sprintf("lost-%d", i)
-			job := s.simple(name, 3, 20)
+			job := s.batchJob(name, 3, 20)
 			register := func(at int) (*api.JobRegisterResponse, error) {
 				c := s.client("blue", at).Jobs()
 				if enforce {
@@ -327,7 +331,7 @@
 				return r, err
 			}
 			at := max(s.Leader(), 0)
-			first, err := register(at) // its answer is thrown away
+			first, err := register(at) // the response counts as lost
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -337,7 +341,7 @@
 				t.Errorf("%s: %+v after %+v: %v", name, second, first, err)
 			}
 			s.StartNode(at)
-			s.await(s.client("blue", (at+2)%3), name, "dead")
+			s.awaitStatus(s.client("blue", (at+2)%3), name, "dead")
 			if n := s.NativeJobs("blue", name); len(n) != 1 {
 				t.Errorf("%s became %d native jobs", name, len(n))
 			}
@@ -345,11 +349,12 @@
 	})
 }
 
-// Of two versions that two nodes register at once, one wins; the other gets the
-// published error if it named an index, and is a later version if not.
-func TestNomadTwoVersionsAtOnce(t *testing.T) {
-	playNomad(t, 54, func(t *testing.T, s *nomadSite) {
-		first, _, err := s.client("blue", 0).Jobs().Register(s.simple("twice", 1, 100), nil)
+// TestNomadConcurrentVersions registers two versions of a job at two nodes at once. With an index to
+// enforce, one succeeds and the other gets Nomad's published error. Without an index both succeed, one
+// as the later version.
+func TestNomadConcurrentVersions(t *testing.T) {
+	runNomadScenario(t, 54, func(t *testing.T, s *nomadWorld) {
+		first, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("twice", 1, 100), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -358,7 +363,7 @@
 			var wg sync.WaitGroup
 			errs := make([]error, 2)
 			for i := range 2 {
-				job := s.simple("twice", 2+i, 100)
+				job := s.batchJob("twice", 2+i, 100)
 				wg.Go(func() {
 					if enforce {
 						_, _, errs[i] = s.client("blue", i).Jobs().EnforceRegister(job, first.JobModifyIndex, nil)
@@ -373,7 +378,7 @@
 				if err != nil {
 					failed++
 					if !strings.Contains(err.Error(), api.RegisterEnforceIndexErrPrefix) {
-						t.Errorf("got %v", err)
+						t.Errorf("refused with %v", err)
 					}
 				}
 			}
@@ -386,8 +391,8 @@
 			}
 			first.JobModifyIndex = *j.JobModifyIndex
 		}
-		// One of the two unenforced ones has the same content as the winner
-		// before, and changed nothing, or both are versions: 2 or 3 in all.
+		// One of the two registrations without an index has the content of the version that was
+		// enforced. It creates no version if it comes first, so there are 3 or 4 versions in all.
 		vs, _, _, err := s.client("blue", 0).Jobs().Versions("twice", false, nil)
 		if err != nil || len(vs) < 3 || len(vs) > 4 {
 			t.Errorf("%d versions: %v", len(vs), err)
@@ -396,14 +401,15 @@
 			t.Error(err)
 		}
 		s.NoteCancelled(s.NativeJobs("blue", "twice"))
-		s.await(s.client("blue", 1), "twice", "dead")
+		s.awaitStatus(s.client("blue", 1), "twice", "dead")
 	})
 }
 
-// A version that replaces one of the team's whole maximum starts as the old
-// tasks leave, and never beside them: the stand-ins' checker watches the use.
-func TestNomadReplaceHoldsMax(t *testing.T) {
-	playNomad(t, 61, func(t *testing.T, s *nomadSite) {
+// TestNomadReplacementKeepsQuotaMax replaces a job that uses its team's whole maximum. The tasks of
+// the new version start only as the old tasks end: the simulator's checker verifies that the team's
+// usage stays within the maximum.
+func TestNomadReplacementKeepsQuotaMax(t *testing.T) {
+	runNomadScenario(t, 61, func(t *testing.T, s *nomadWorld) {
 		c := s.client("guests", 0)
 		running := func(want int) {
 			t.Helper()
@@ -413,13 +419,13 @@
 					return
 				}
 				if time.Now().After(end) {
-					t.Fatalf("%+v %v, want %d running", sum, err, want)
+					t.Fatalf("summary: %+v %v, want %d running", sum, err, want)
 				}
 			}
 		}
 		for version := range 3 {
 			old := s.NativeJobs("guests", "all")
-			if _, _, err := c.Jobs().Register(s.simple("all", 8, 400+float64(version)), nil); err != nil {
+			if _, _, err := c.Jobs().Register(s.batchJob("all", 8, 400+float64(version)), nil); err != nil {
 				t.Fatal(err)
 			}
 			s.NoteCancelled(old)
@@ -435,26 +441,26 @@
 	})
 }
 
-// Jobs are deregistered around the moment at which they complete: they end one
-// way or the other, and nothing of them runs on.
+// TestNomadDeregisterRacesCompletion deregisters jobs around the time at which they complete. Each
+// job must end, cancelled or complete, and none of its tasks may keep running.
 func TestNomadDeregisterRacesCompletion(t *testing.T) {
-	playNomad(t, 55, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 55, func(t *testing.T, s *nomadWorld) {
 		var wg sync.WaitGroup
 		for i := range 12 {
 			name := fmt.Sprintf("race-%02d", i)
-			job := s.simple(name, 2, 8)
+			job := s.batchJob(name, 2, 8)
 			if _, _, err := s.client("blue", i%3).Jobs().Register(job, nil); err != nil {
 				t.Fatal(err)
 			}
 			wg.Go(func() {
 				c := s.client("blue", (i+1)%3)
-				s.await(c, name, "running")
+				s.awaitStatus(c, name, "running")
 				time.Sleep(7*time.Second + time.Duration(i)*250*time.Millisecond)
 				if _, _, err := c.Jobs().Deregister(name, false, nil); err != nil {
 					t.Errorf("%s: %v", name, err)
 				}
 				s.NoteCancelled(s.NativeJobs("blue", name))
-				s.await(c, name, "dead")
+				s.awaitStatus(c, name, "dead")
 			})
 		}
 		wg.Wait()
@@ -462,18 +468,18 @@
 		for i := range 12 {
 			for _, id := range s.NativeJobs("blue", fmt.Sprintf("race-%02d", i)) {
 				if n := s.RunningTasks(id); n > 0 {
-					t.Errorf("%d tasks of %s run on", n, id)
+					t.Errorf("%d tasks of %s are still running", n, id)
 				}
 			}
 		}
 	})
 }
 
-// A blocking query outlasts a takeover, and a watch that has to read all again;
-// what happened meanwhile wakes it, a purge too.
+// TestNomadBlockingQuery checks that a blocking query survives a takeover, and a watch that has to
+// read all records again, and that changes made in between, also a purge, wake it.
 func TestNomadBlockingQuery(t *testing.T) {
-	playNomad(t, 56, func(t *testing.T, s *nomadSite) {
-		r, _, err := s.client("blue", 0).Jobs().Register(s.simple("watched", 1, 500), nil)
+	runNomadScenario(t, 56, func(t *testing.T, s *nomadWorld) {
+		r, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("watched", 1, 500), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -483,12 +489,12 @@
 			after time.Duration
 			err   error
 		}
-		ask := func(at int, index uint64) chan answer {
+		listAsync := func(at int, index uint64) chan answer {
 			out := make(chan answer, 1)
 			go func() {
-				begun := time.Now()
+				started := time.Now()
 				l, m, err := s.client("blue", at).Jobs().List(&api.QueryOptions{WaitIndex: index, WaitTime: 2 * time.Minute})
-				a := answer{err: err, after: time.Since(begun), jobs: len(l)}
+				a := answer{err: err, after: time.Since(started), jobs: len(l)}
 				if m != nil {
 					a.index = m.LastIndex
 				}
@@ -498,28 +504,28 @@
 		}
 		leader := max(s.Leader(), 0)
 		other := (leader + 1) % 3
-		// A node that has not read the registration yet is woken by that, and rightly.
+		// Until the node has read the registration, that change may rightly wake the query.
 		time.Sleep(time.Second)
-		waiting := ask(other, r.JobModifyIndex)
+		waiting := listAsync(other, r.JobModifyIndex)
 		time.Sleep(5 * time.Second)
 		s.Kill(leader)
 		time.Sleep(20 * time.Second)
 		select {
 		case a := <-waiting:
-			t.Fatalf("woken by a takeover: %+v", a)
+			t.Fatalf("a takeover woke the query: %+v", a)
 		default:
 		}
 		s.StartNode(leader)
-		second, _, err := s.client("blue", (leader+2)%3).Jobs().Register(s.simple("second", 1, 500), nil)
+		second, _, err := s.client("blue", (leader+2)%3).Jobs().Register(s.batchJob("second", 1, 500), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if a := <-waiting; a.err != nil || a.jobs != 2 || a.index < second.JobModifyIndex || a.after > 30*time.Second {
 			t.Errorf("got %+v, want index %d", a, second.JobModifyIndex)
 		}
-		// While the node is cut off the state service forgets what it missed,
-		// the purge among it.
-		waiting = ask(other, second.JobModifyIndex)
+		// The node is partitioned from the state service, which compacts the changes that the node
+		// misses, the purge among them.
+		waiting = listAsync(other, second.JobModifyIndex)
 		time.Sleep(time.Second)
 		s.Net.BlockLink(s.NodeAddr(other), s.StateAddr(), true)
 		if _, _, err := s.client("blue", leader).Jobs().Deregister("second", true, nil); err != nil {
@@ -530,39 +536,39 @@
 		time.Sleep(2 * time.Second)
 		s.Net.BlockLink(s.NodeAddr(other), s.StateAddr(), false)
 		if a := <-waiting; a.err != nil || a.jobs != 1 || a.index <= second.JobModifyIndex || a.after > 30*time.Second {
-			t.Errorf("after the gap: %+v", a)
+			t.Errorf("after the gap in the watch: %+v", a)
 		}
-		// A node that starts anew has the same index, though the purge is history.
+		// A restarted node has the same index, although the log has no record of the purge any more.
 		_, before, err := s.client("blue", leader).Jobs().List(nil)
 		s.Kill(other)
 		s.StartNode(other)
 		time.Sleep(10 * time.Second)
 		_, after, err2 := s.client("blue", other).Jobs().List(nil)
 		if err != nil || err2 != nil || after.LastIndex != before.LastIndex {
-			t.Errorf("index %+v, at a new node %+v; %v %v", before, after, err, err2)
+			t.Errorf("index %+v, at the restarted node %+v; %v %v", before, after, err, err2)
 		}
-		// A client that goes away leaves nothing behind.
+		// A query ends when its client disconnects.
 		ctx, cancel := context.WithCancel(t.Context())
-		gone := make(chan error)
+		returned := make(chan error)
 		go func() {
 			q := (&api.QueryOptions{WaitIndex: before.LastIndex, WaitTime: time.Minute}).WithContext(ctx)
 			_, _, err := s.client("blue", leader).Jobs().List(q)
-			gone <- err
+			returned <- err
 		}()
 		time.Sleep(time.Second)
 		if n := s.BlockingQueries(leader); n != 1 {
-			t.Errorf("%d wait", n)
+			t.Errorf("%d queries are blocked, want 1", n)
 		}
 		cancel()
-		<-gone
+		<-returned
 		time.Sleep(time.Second)
 		if n := s.BlockingQueries(leader); n != 0 {
-			t.Errorf("%d wait for a client that has gone", n)
+			t.Errorf("%d queries are blocked after the client disconnected", n)
 		}
-		// Time that is over: the same index, and no error.
-		begun := time.Now()
+		// A query whose wait time ends returns the same index and no error.
+		started := time.Now()
 		l, m, err := s.client("blue", leader).Jobs().List(&api.QueryOptions{WaitIndex: 1 << 40, WaitTime: 3 * time.Second})
-		if d := time.Since(begun); err != nil || len(l) != 1 || m.LastIndex != 1<<40 || d < 3*time.Second || d > 4*time.Second {
+		if d := time.Since(started); err != nil || len(l) != 1 || m.LastIndex != 1<<40 || d < 3*time.Second || d > 4*time.Second {
 			t.Errorf("after %v: %d jobs, %+v, %v", d, len(l), m, err)
 		}
 		if _, _, err := s.client("blue", leader).Jobs().Deregister("watched", false, nil); err != nil {
@@ -572,19 +578,19 @@
 	})
 }
 
-// A query for a job is answered as its tasks begin to run, at the leader and at
-// others, though no record changes then.
-func TestNomadProgressWakes(t *testing.T) {
-	playNomad(t, 60, func(t *testing.T, s *nomadSite) {
-		r, _, err := s.client("blue", 0).Jobs().Register(s.simple("starts", 9, 400), nil)
+// TestNomadProgressWakesQueries checks that a blocking query for a job returns when its tasks start to
+// run, at the leader and at followers, although no record changes then.
+func TestNomadProgressWakesQueries(t *testing.T) {
+	runNomadScenario(t, 60, func(t *testing.T, s *nomadWorld) {
+		r, _, err := s.client("blue", 0).Jobs().Register(s.batchJob("starts", 9, 400), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var wg sync.WaitGroup
 		for at := range 3 {
 			wg.Go(func() {
-				begun, running := time.Now(), 0
-				for running < 9 && time.Since(begun) < 2*time.Minute {
+				started, running := time.Now(), 0
+				for running < 9 && time.Since(started) < 2*time.Minute {
 					sum, m, err := s.client("blue", at).Jobs().Summary("starts", &api.QueryOptions{WaitIndex: r.JobModifyIndex, WaitTime: 5 * time.Minute})
 					if err != nil || m.LastIndex != r.JobModifyIndex {
 						t.Errorf("node %d: %+v %v", at, m, err)
@@ -593,40 +599,40 @@
 					running = sum.Summary["g"].Running
 				}
 				if running != 9 {
-					t.Errorf("node %d: %d run after %v", at, running, time.Since(begun))
+					t.Errorf("node %d: %d tasks run after %v", at, running, time.Since(started))
 				}
 			})
 		}
 		wg.Wait()
-		// A change between two queries of a client is not missed: no index tells it.
+		// A change of progress between two queries of a client is not missed, although the index stays.
 		time.Sleep(10 * time.Second)
-		for _, k := range s.Cloud.Workers() {
-			if len(k.RunningTasks()) > 0 {
-				k.SetSpotNotice(1)
+		for _, worker := range s.Cloud.Workers() {
+			if len(worker.RunningTasks()) > 0 {
+				worker.SetSpotNotice(1)
 			}
 		}
 		time.Sleep(3 * time.Second)
-		begun := time.Now()
+		started := time.Now()
 		sum, _, err := s.client("blue", s.Leader()).Jobs().Summary("starts", &api.QueryOptions{WaitIndex: r.JobModifyIndex, WaitTime: 5 * time.Minute})
-		if d := time.Since(begun); err != nil || d > 5*time.Second || sum.Summary["g"].Running == 9 {
+		if d := time.Since(started); err != nil || d > 5*time.Second || sum.Summary["g"].Running == 9 {
 			t.Errorf("after %v: %+v %v", d, sum, err)
 		}
-		// A stream that is resumed goes on though nothing happens for long.
+		// A resumed event stream stays open when there are no events for a long time.
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		stream, err := s.client("blue", 1).EventStream().Stream(ctx, nil, r.JobModifyIndex, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := make(chan *api.Events, 10)
+		received := make(chan *api.Events, 10)
 		go func() {
-			defer close(told)
+			defer close(received)
 			for e := range stream {
 				if e.Err != nil {
 					return
 				}
 				if !e.IsHeartbeat() {
-					told <- e
+					received <- e
 				}
 			}
 		}()
@@ -635,16 +641,16 @@
 			t.Error(err)
 		}
 		s.NoteCancelled(s.NativeJobs("blue", "starts"))
-		if e, ok := <-told; !ok || e.Events[0].Type != "JobDeregistered" {
-			t.Errorf("told %+v", e)
+		if e, ok := <-received; !ok || e.Events[0].Type != "JobDeregistered" {
+			t.Errorf("received %+v", e)
 		}
 	})
 }
 
-// Reads of the state service overlap, and some come late: what was dropped does
-// not come back by them.
+// TestNomadOverlappingReads checks that job versions which were dropped do not come back when reads
+// of the state service overlap and some responses are late.
 func TestNomadOverlappingReads(t *testing.T) {
-	playNomad(t, 62, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 62, func(t *testing.T, s *nomadWorld) {
 		s.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 400 * time.Millisecond })
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
@@ -658,7 +664,7 @@
 		c := s.client("blue", 0).Jobs()
 		for range 25 {
 			for _, count := range []int{1, 2, 3} {
-				if _, _, err := c.Register(s.simple("again", count, 900), nil); err != nil {
+				if _, _, err := c.Register(s.batchJob("again", count, 900), nil); err != nil {
 					t.Error(err)
 				}
 			}
@@ -666,7 +672,7 @@
 				t.Error(err)
 			}
 			s.NoteCancelled(s.NativeJobs("blue", "again"))
-			if _, _, err := c.Register(s.simple("again", 4, 900), nil); err != nil {
+			if _, _, err := c.Register(s.batchJob("again", 4, 900), nil); err != nil {
 				t.Error(err)
 			}
 			time.Sleep(time.Second)
@@ -685,13 +691,14 @@
 	})
 }
 
-// Names differ by their case, hold slashes, and hold no spaces; large bodies
-// are taken up to a limit, and then refused plainly.
+// TestNomadNamesAndBodies checks that job names are case-sensitive, may contain slashes and may not
+// contain spaces, that bodies over the limits are refused with status 413, and which status other
+// requests get, also those that are not served.
 func TestNomadNamesAndBodies(t *testing.T) {
-	playNomad(t, 57, func(t *testing.T, s *nomadSite) {
+	runNomadScenario(t, 57, func(t *testing.T, s *nomadWorld) {
 		c := s.client("blue", 0).Jobs()
 		for _, name := range []string{"Frost", "frost", "frost/plan", "frost/ü%2F"} {
-			if _, _, err := c.Register(s.simple(name, 1, 400), nil); err != nil {
+			if _, _, err := c.Register(s.batchJob(name, 1, 400), nil); err != nil {
 				t.Errorf("%q: %v", name, err)
 			}
 		}
@@ -701,8 +708,8 @@
 				t.Errorf("%q: %v", name, err)
 			}
 		}
-		if _, _, err := c.Register(s.simple("a b", 1, 400), nil); err == nil || !strings.Contains(err.Error(), "holds a space") {
-			t.Errorf("a space: %v", err)
+		if _, _, err := c.Register(s.batchJob("a b", 1, 400), nil); err == nil || !strings.Contains(err.Error(), "holds a space") {
+			t.Errorf("a name with a space: %v", err)
 		}
 		if _, _, err := c.Deregister("frost/plan", true, nil); err != nil {
 			t.Error(err)
@@ -714,7 +721,7 @@
 		for q := (&api.QueryOptions{PerPage: 2}); ; {
 			l, m, err := c.List(q)
 			if err != nil || len(l) == 0 || len(l) > 2 {
-				t.Fatalf("a page of %d: %v", len(l), err)
+				t.Fatalf("a page with %d entries: %v", len(l), err)
 			}
 			for _, j := range l {
 				paged = append(paged, j.ID)
@@ -724,20 +731,20 @@
 			}
 		}
 		if got := strings.Join(paged, " "); got != "Frost frost frost/ü%2F" {
-			t.Errorf("by pages: %s", got)
+			t.Errorf("jobs by pages: %s", got)
 		}
 		for _, b := range []struct {
 			env    int
 			random bool
 			want   string
 		}{{100_000, false, ""}, {6_000, true, "413"}, {700_000, false, "413"}} {
-			job := s.simple("large", 1, 400)
+			job := s.batchJob("large", 1, 400)
 			v := strings.Repeat("x", b.env)
 			if b.random {
 				r := []byte(v)
-				dice := rand.New(rand.NewPCG(1, 2))
+				random := rand.New(rand.NewPCG(1, 2))
 				for i := range r {
-					r[i] = byte('!' + dice.IntN(90))
+					r[i] = byte('!' + random.IntN(90))
 				}
 				v = string(r)
 			}
@@ -753,7 +760,7 @@
 			}
 			s.NoteCancelled(s.NativeJobs("blue", name))
 		}
-		for _, k := range []struct {
+		for _, tc := range []struct {
 			method, path string
 			status       int
 		}{
@@ -762,42 +769,42 @@
 			{"GET", "/v1/status/leader", 200}, {"GET", "/v1/status/peers", 200}, {"GET", "/v1/agent/health", 200}, {"GET", "/v1/agent/self", 200},
 			{"GET", "/v1/namespaces", 200}, {"GET", "/v1/namespace/green", 404}, {"GET", "/v1/evaluations", 200}, {"GET", "/v1/aspenstall/task/job-1", 403},
 		} {
-			if status, body, _ := s.raw(k.method, "blue", 0, k.path, nil); status != k.status || strings.Count(body, "\n") > 1 {
-				t.Errorf("%s %s: %d %q", k.method, k.path, status, body)
+			if status, body, _ := s.rawRequest(tc.method, "blue", 0, tc.path, nil); status != tc.status || strings.Count(body, "\n") > 1 {
+				t.Errorf("%s %s: %d %q", tc.method, tc.path, status, body)
 			}
 		}
 	})
 }
 
-// While the state service is down, a registration is answered at once with when
-// to come back, and is not half done.
+// TestNomadStateDown checks that a registration while the state service is down is answered within a
+// second with status 503 and Retry-After, and writes nothing.
 func TestNomadStateDown(t *testing.T) {
-	playNomad(t, 58, func(t *testing.T, s *nomadSite) {
-		job := s.simple("later", 1, 5)
+	runNomadScenario(t, 58, func(t *testing.T, s *nomadWorld) {
+		job := s.batchJob("later", 1, 5)
 		s.StateFaults.Update(func(f *simulator.Faults) { f.Down = true })
-		begun := time.Now()
-		status, body, h := s.raw("PUT", "blue", 0, "/v1/jobs", map[string]any{"Job": job})
-		if d := time.Since(begun); status != http.StatusServiceUnavailable || h.Get("Retry-After") != "1" || d > time.Second {
+		started := time.Now()
+		status, body, h := s.rawRequest("PUT", "blue", 0, "/v1/jobs", map[string]any{"Job": job})
+		if d := time.Since(started); status != http.StatusServiceUnavailable || h.Get("Retry-After") != "1" || d > time.Second {
 			t.Errorf("%d %q after %v", status, body, d)
 		}
 		s.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
 		s.State.RenewLeases()
 		time.Sleep(5 * time.Second)
 		if l, _, err := s.client("blue", 1).Jobs().List(nil); err != nil || len(l) != 0 {
-			t.Errorf("half done: %+v %v", l, err)
+			t.Errorf("partly registered: %+v %v", l, err)
 		}
 		if _, _, err := s.client("blue", 0).Jobs().Register(job, nil); err != nil {
 			t.Error(err)
 		}
-		s.await(s.client("blue", 2), "later", "dead")
+		s.awaitStatus(s.client("blue", 2), "later", "dead")
 	})
 }
 
-// A file of which one group is refused writes nothing at all.
-func TestNomadRefusedWhole(t *testing.T) {
-	playNomad(t, 59, func(t *testing.T, s *nomadSite) {
-		job := s.job(s.sampleFile("two-groups"))
-		before, _, _ := s.raw("GET", "blue", 0, "/v1/jobs", nil)
+// TestNomadRefusalWritesNothing checks that a job file with one refused group writes no record.
+func TestNomadRefusalWritesNothing(t *testing.T) {
+	runNomadScenario(t, 59, func(t *testing.T, s *nomadWorld) {
+		job := s.parseJob(s.sampleFile("two-groups"))
+		before, _, _ := s.rawRequest("GET", "blue", 0, "/v1/jobs", nil)
 		job.TaskGroups[1].Networks = []*api.NetworkResource{{Mode: "host"}}
 		_, _, err := s.client("blue", 0).Jobs().Register(job, nil)
 		if err == nil || !strings.Contains(err.Error(), "group.network: ports are not handed out") || !strings.Contains(err.Error(), "job:1:") {
@@ -811,17 +818,17 @@
 			t.Errorf("got %v", err)
 		}
 		if l, _, err := s.client("blue", 1).Jobs().List(nil); err != nil || len(l) != 0 || before != 200 {
-			t.Errorf("%+v %v", l, err)
+			t.Errorf("jobs after the refusal: %+v %v", l, err)
 		}
 		if _, ok := s.State.Get("c/nomad/"); ok {
-			t.Error("something was written")
+			t.Error("a record was written")
 		}
 	})
 }
 
-// persist repeats a request as a client's user would, at one node after the
-// other, until it is answered.
-func (s *nomadSite) persist(team string, what string, request func(c *api.Client) error) {
+// retryUntilAnswered retries a request at one node after the other, every second, until it succeeds.
+// Status 400, 404 or 409 fails the test, and so do 60 attempts without success.
+func (s *nomadWorld) retryUntilAnswered(team string, what string, request func(c *api.Client) error) {
 	s.Helper()
 	for try := range 60 {
 		err := request(s.client(team, try%3))
@@ -834,32 +841,31 @@
 		}
 		time.Sleep(time.Second)
 	}
-	s.Errorf("%s: no answer", what)
+	s.Errorf("%s: no success in 60 attempts", what)
 }
 
-// TestNomadDays plays days on which job files are registered, changed and ended
-// while services fail and controllers end. Whatever was answered holds: what was
-// registered is done in the end, by as many native jobs as there were contents,
-// what was deregistered is gone, and no index goes back on any node.
-func TestNomadDays(t *testing.T) {
+// TestNomadFaultScenarios registers, changes and deregisters jobs while services fail and controllers
+// crash. Every confirmed request must hold: registered jobs complete, with at most one native job per
+// distinct content, deregistered jobs end, and no node's index decreases.
+func TestNomadFaultScenarios(t *testing.T) {
 	const sec = time.Second
-	for i, day := range []struct {
-		name  string
-		setup func(w *simulator.World)
-		acts  []action
+	for i, sc := range []struct {
+		name    string
+		setup   func(w *simulator.World)
+		actions []action
 	}{
-		{"answers lost", func(w *simulator.World) {
+		{"responses lost", func(w *simulator.World) {
 			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest = 0.05, 0.05
 			w.WorkerFaults.LoseResponse, w.WorkerFaults.LoseRequest = 0.1, 0.1
 		}, nil},
 		{"late transactions", func(w *simulator.World) {
 			w.StateFaults.ExecuteLate, w.StateFaults.LateDelay, w.StateFaults.MaxDelay = 0.04, 9*sec, 300*time.Millisecond
 		}, nil},
-		{"controllers end", nil, []action{
+		{"controllers crash", nil, []action{
 			{10 * sec, killNode(0)}, {14 * sec, startNode(0)}, {25 * sec, killNode(1)}, {26 * sec, killNode(2)}, {33 * sec, startNode(1)}, {35 * sec, startNode(2)},
 			{50 * sec, killAllNodes}, {54 * sec, startAllNodes},
 		}},
-		{"outages, and a watch that has to read again", nil, []action{
+		{"outages, and a watch that has to read all records again", nil, []action{
 			{12 * sec, func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.Down = true }) }},
 			{20 * sec, func(w *simulator.World) {
 				w.StateFaults.Update(func(f *simulator.Faults) { f.Down = false })
@@ -870,38 +876,38 @@
 			{45 * sec, func(w *simulator.World) { w.State.CompactLog() }},
 		}},
 	} {
-		t.Run(day.name, func(t *testing.T) {
-			playNomad(t, 70+uint64(i), func(t *testing.T, s *nomadSite) {
-				if day.setup != nil {
-					s.StateFaults.Update(func(*simulator.Faults) { day.setup(s.World) })
+		t.Run(sc.name, func(t *testing.T) {
+			runNomadScenario(t, 70+uint64(i), func(t *testing.T, s *nomadWorld) {
+				if sc.setup != nil {
+					s.StateFaults.Update(func(*simulator.Faults) { sc.setup(s.World) })
 				}
 				var wg sync.WaitGroup
-				for _, a := range day.acts {
+				for _, a := range sc.actions {
 					wg.Go(func() { time.Sleep(a.at); a.do(s.World) })
 				}
-				dice := rand.New(rand.NewPCG(uint64(i), 9))
+				random := rand.New(rand.NewPCG(uint64(i), 9))
 				for k := range 12 {
-					name, begin := fmt.Sprintf("job-%02d", k), time.Duration(dice.IntN(60))*sec
-					jobs := []*api.Job{s.simple(name, 1+dice.IntN(4), 5+5*dice.Float64())}
+					name, startDelay := fmt.Sprintf("job-%02d", k), time.Duration(random.IntN(60))*sec
+					jobs := []*api.Job{s.batchJob(name, 1+random.IntN(4), 5+5*random.Float64())}
 					if k%3 == 1 {
-						jobs = append(jobs, s.simple(name, 5, 8))
+						jobs = append(jobs, s.batchJob(name, 5, 8))
 					}
 					wg.Go(func() {
-						time.Sleep(begin)
+						time.Sleep(startDelay)
 						for _, job := range jobs {
-							s.persist("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Register(job, nil); return err })
+							s.retryUntilAnswered("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Register(job, nil); return err })
 							time.Sleep(3 * sec)
 						}
 						if k%3 == 2 {
-							s.persist("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Deregister(name, false, nil); return err })
+							s.retryUntilAnswered("blue", name, func(c *api.Client) error { _, _, err := c.Jobs().Deregister(name, false, nil); return err })
 							s.NoteCancelled(s.NativeJobs("blue", name))
 						}
-						s.await(s.client("blue", k%3), name, "dead")
+						s.awaitStatus(s.client("blue", k%3), name, "dead")
 						if k%3 == 2 {
 							return
 						}
 						last := *jobs[len(jobs)-1].TaskGroups[0].Count
-						s.persist("blue", name, func(c *api.Client) error {
+						s.retryUntilAnswered("blue", name, func(c *api.Client) error {
 							sum, _, err := c.Jobs().Summary(name, nil)
 							if err == nil && sum.Summary["g"].Complete != last {
 								t.Errorf("%s: %+v, want %d complete", name, sum.Summary, last)
@@ -909,17 +915,17 @@
 							return err
 						})
 						if n := len(s.NativeJobs("blue", name)); n > len(jobs) {
-							t.Errorf("%s ran as %d native jobs, of %d contents", name, n, len(jobs))
+							t.Errorf("%s ran as %d native jobs, want at most %d", name, n, len(jobs))
 						}
 					})
 				}
-				over := make(chan struct{})
-				for at := range 3 { // readers of nodes 1 and 2, and one that goes from node to node
+				done := make(chan struct{})
+				for at := range 3 { // readers of nodes 1 and 2, and one that alternates between all nodes
 					go func() {
-						var seen uint64
+						var lastIndex uint64
 						for n := 0; ; n++ {
 							select {
-							case <-over:
+							case <-done:
 								return
 							case <-time.After(700 * time.Millisecond):
 							}
@@ -928,17 +934,17 @@
 								node = n % 3
 							}
 							_, m, err := s.client("blue", node).Jobs().List(nil)
-							if err == nil && m.LastIndex < seen {
-								t.Errorf("node %d: the index went back from %d to %d", node, seen, m.LastIndex)
+							if err == nil && m.LastIndex < lastIndex {
+								t.Errorf("node %d: the index decreased from %d to %d", node, lastIndex, m.LastIndex)
 							}
 							if err == nil {
-								seen = m.LastIndex
+								lastIndex = m.LastIndex
 							}
 						}
 					}()
 				}
 				wg.Wait()
-				close(over)
+				close(done)
 				time.Sleep(3 * sec)
 			})
 		})
