--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -10,49 +10,50 @@
 	"time"
 )
 
-// Limit is what a team may use at most; 0 for none.
+// Limit is the most that a team may use at once; 0 means no limit.
 type Limit struct{ CPUs, GPUs float64 }
 
-// checker watches the rules of the protocol in a world, with what only that knows.
+// worldChecker is a Checker of a World. It adds the liveness checks, which need the state of the
+// simulated machines.
 type worldChecker struct {
 	*Checker
 	w *World
 }
 
-// Rules watches the rules of the protocol from outside: it knows only what
-// users were told and what is on which machine.
+// Checker checks the protocol's invariants from outside. It uses only what users were told and
+// which tasks are on which machine, and nothing from inside the controllers.
 type Checker struct {
 	Log            func() *slog.Logger
-	Now            func() time.Time // of what it is told
+	Now            func() time.Time // the time of the event that is being reported
 	Job            func(id string) *Spec
 	Limit          func(team string) Limit
-	CancelTimeout  time.Duration
-	OnLastTaskDone func(job string) // called, if set, as the last task of a job is done
+	CancelTimeout  time.Duration    // how long tasks may run after their job's cancellation was reported
+	OnLastTaskDone func(job string) // if set, called when the last task of a job is done
 
 	mu            sync.Mutex
-	placements    map[string]MachineInfo // tasks on machines
-	usage         map[string][2]float64  // by team
-	doneTasks     map[string]map[int]bool
-	accepted      map[string]bool
-	finalStates   map[string]string // the last final state a user was told
-	cancelledAt   map[string]time.Time
+	placements    map[string]MachineInfo  // the machine of each task that is on one
+	usage         map[string][2]float64   // CPUs and GPUs in use, by team
+	doneTasks     map[string]map[int]bool // indices of done tasks, by job
+	accepted      map[string]bool         // jobs whose users were told that they are accepted
+	finalStates   map[string]string       // the last final state that users were told, by job
+	cancelledAt   map[string]time.Time    // when users were first told that a job is cancelled
 	violations    []string
-	longestStop   time.Duration   // the longest from a cancellation told until a task was gone
-	stoppedJobs   map[string]bool // jobs with tasks then
+	longestStop   time.Duration   // the longest time from a reported cancellation to a task's exit
+	stoppedJobs   map[string]bool // jobs that had tasks on machines when their cancellation was reported
 	startCount    int
 	leasesExpired int // leases that ran out on machines with tasks
-	// Commands to start a task of a job whose user had been told that it is cancelled:
-	// how many were executed, and the longest after that.
+	// Start commands that were executed although the job's user had been told that it is cancelled:
+	// their number, and the longest time from that answer to the execution.
 	startsAfterCancel      int
 	latestStartAfterCancel time.Duration
 
-	cancelRequested map[string]bool      // jobs whose users asked to cancel them
-	livenessFrom    time.Time            // no trouble after this; zero: not known
-	waitingSince    map[string]time.Time // since when a job waits beside room for it
-	unansweredSince map[string]time.Time // since when no question about a job was answered
+	cancelRequested map[string]bool      // jobs whose users requested cancellation
+	livenessFrom    time.Time            // liveness is checked from here on; zero: not checked
+	waitingSince    map[string]time.Time // since when a job has waited although there is capacity for it
+	unansweredSince map[string]time.Time // since when no request about a job was answered
 }
 
-// NewRules returns rules that have seen nothing; its caller sets the exported fields.
+// NewChecker returns a checker that has observed nothing. The caller sets the exported fields.
 func NewChecker() *Checker {
 	return &Checker{
 		Now: time.Now, placements: map[string]MachineInfo{}, usage: map[string][2]float64{},
@@ -63,11 +64,12 @@
 	}
 }
 
+// newWorldChecker returns a checker that uses the limits of the world's platform file.
 func newWorldChecker(w *World) *worldChecker {
-	r := NewChecker()
-	r.Log = func() *slog.Logger { return w.Log }
-	r.Job, r.CancelTimeout, r.OnLastTaskDone = w.spec, w.cancelTimeout, func(job string) { go w.notifyLastTaskDone(job) }
-	r.Limit = func(name string) Limit {
+	c := NewChecker()
+	c.Log = func() *slog.Logger { return w.Log }
+	c.Job, c.CancelTimeout, c.OnLastTaskDone = w.spec, w.cancelTimeout, func(job string) { go w.notifyLastTaskDone(job) }
+	c.Limit = func(name string) Limit {
 		for _, t := range w.platform.Params.Teams {
 			if t.Name == name {
 				return Limit{t.CPUsMax, t.GPUsMax}
@@ -75,29 +77,32 @@
 		}
 		return Limit{}
 	}
-	return &worldChecker{Checker: r, w: w}
+	return &worldChecker{Checker: c, w: w}
 }
 
-// passed reports whether a use is over the limit.
-func (l Limit) exceededBy(use [2]float64) bool {
-	return l.CPUs > 0 && use[0] > l.CPUs || l.GPUs > 0 && use[1] > l.GPUs
+// exceededBy reports whether a usage, in CPUs and GPUs, is over the limit.
+func (previous Limit) exceededBy(usage [2]float64) bool {
+	return previous.CPUs > 0 && usage[0] > previous.CPUs || previous.GPUs > 0 && usage[1] > previous.GPUs
 }
 
+// reportViolation logs a violation and records it, up to 20 of them; c.mu is held. The format
+// begins with the name of the rule and a colon.
 func (c *Checker) reportViolation(format string, args ...any) {
-	c.Log().Error("rule broken: " + fmt.Sprintf(format, args...))
+	c.Log().Error("invariant violated: " + fmt.Sprintf(format, args...))
 	if len(c.violations) < 20 {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// List lists the rules that were broken.
+// Violations returns the recorded violations, at most 20.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...)
 }
 
-// Started is told that a task has its image, so that it is on its machine.
+// TaskStarted records that a task has its image, and so counts as being on its machine. It checks
+// that the task is nowhere else, that its job allows the machine, and the team's limit.
 func (c *Checker) TaskStarted(t TaskOnMachine) {
 	c.Log().Debug("on machine", "task", t.Task, "attempt", t.Attempt, "machine", t.Host.Machine)
 	c.mu.Lock()
@@ -120,12 +125,12 @@
 	}
 }
 
-// checkPlace checks that a task's job allows where it starts; c.mu is held.
+// checkPlace checks that a task's job allows the machine on which it starts; c.mu is held.
 func (c *Checker) checkPlace(t TaskOnMachine) {
 	job, _, _ := strings.Cut(t.Task, "/")
 	s := t.Spec
 	if s.OneZone || s.Spread {
-		zone := 0
+		inZone := 0
 		for task, o := range c.placements {
 			if !strings.HasPrefix(task, job+"/") || task == t.Task {
 				continue
@@ -134,11 +139,11 @@
 				c.reportViolation("wrong_place: %s in %s, %s in %s", t.Task, t.Host.Zone, task, o.Zone)
 			}
 			if o.Zone == t.Host.Zone {
-				zone++
+				inZone++
 			}
 		}
-		if s.Spread && zone+1 > (s.Tasks+1)/2 {
-			c.reportViolation("wrong_place: %s is one too many in %s", t.Task, t.Host.Zone)
+		if s.Spread && inZone+1 > (s.Tasks+1)/2 {
+			c.reportViolation("wrong_place: %s exceeds the spread limit in %s", t.Task, t.Host.Zone)
 		}
 	}
 	if z, ok := s.Zone.(string); ok && z != t.Host.Zone || t.Host.Spot && !s.Spot {
@@ -149,7 +154,7 @@
 	}
 }
 
-// Left is told that a task is not on its machine any more.
+// TaskLeft records that a task is no longer on its machine.
 func (c *Checker) TaskLeft(t TaskOnMachine) {
 	c.Log().Debug("left machine", "task", t.Task, "attempt", t.Attempt, "machine", t.Host.Machine, "why", t.Cause)
 	c.mu.Lock()
@@ -167,8 +172,9 @@
 	c.usage[t.Spec.Team] = u
 }
 
-// Done is told that a task of a job was done; of is nil if that is all that is known.
-func (c *Checker) TaskDone(task string, of *Spec) {
+// TaskDone records that a task was done. spec may be nil; then the call does not count as the job's
+// last task for OnLastTaskDone.
+func (c *Checker) TaskDone(task string, spec *Spec) {
 	job, index, _ := strings.Cut(task, "/")
 	i, _ := strconv.Atoi(index)
 	c.mu.Lock()
@@ -176,13 +182,13 @@
 	if c.doneTasks[job] == nil {
 		c.doneTasks[job] = map[int]bool{}
 	}
-	if of != nil && !c.doneTasks[job][i] && len(c.doneTasks[job])+1 == of.Tasks && c.OnLastTaskDone != nil {
+	if spec != nil && !c.doneTasks[job][i] && len(c.doneTasks[job])+1 == spec.Tasks && c.OnLastTaskDone != nil {
 		c.OnLastTaskDone(job)
 	}
 	c.doneTasks[job][i] = true
 }
 
-// Ordered notes that a worker executes a command to start a task.
+// StartExecuted records that a worker executes a command to start a task.
 func (c *Checker) StartExecuted(task string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,65 +199,69 @@
 	}
 }
 
-// StartsAfter counts the commands to start a task that were executed after the job's user
-// had been told that it is cancelled, and says the longest that one came after that.
+// StartsAfterCancel returns the number of start commands that were executed after the job's user
+// had been told that it is cancelled, and the longest time from that answer to the execution.
 func (w *World) StartsAfterCancel() (starts int, longest time.Duration) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	return w.checker.startsAfterCancel, w.checker.latestStartAfterCancel
 }
 
-// Accepted notes that a user was told that a job is accepted.
+// JobAccepted records that a user was told that a job is accepted.
 func (c *Checker) JobAccepted(id string) {
 	c.mu.Lock()
 	c.accepted[id] = true
 	c.mu.Unlock()
 }
 
-// CallsOff notes that a job's user asks to cancel it.
+// CancelRequested records that a job's user requests its cancellation.
 func (c *Checker) CancelRequested(id string) {
 	c.mu.Lock()
 	c.cancelRequested[id] = true
 	c.mu.Unlock()
 }
 
-// twice notes that a job that was accepted is accepted as new.
+// acceptedTwice reports the violation that an accepted job was accepted again as a new one.
 func (c *Checker) acceptedTwice(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reportViolation("forgotten: %s was accepted and is taken as new", id)
+	c.reportViolation("forgotten: %s was accepted and is accepted again as new", id)
 }
 
-// Refused notes that a submission was refused for good.
+// JobRefused records that a submission was refused for good. That is a violation if the job was
+// accepted.
 func (c *Checker) JobRefused(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.accepted[id] {
-		c.reportViolation("forgotten: %s was accepted and its retry answered %d", id, status)
+		c.reportViolation("forgotten: %s was accepted and its retry was answered with %d", id, status)
 	}
 }
 
-// Asked is what a user had been told of a job when it asked: answers to questions that
-// were under way together may come in any order.
+// ObservedState is what a user had been told about a job when it sent a request. An answer is
+// compared with that, because answers to concurrent requests may arrive in any order.
 type ObservedState struct {
 	accepted bool
-	final    string
+	final    string // "" if no final state was told
 }
 
-// Asks is what a user has been told of a job as it asks about it.
+// LastObserved returns what users have been told about a job so far.
 func (c *Checker) LastObserved(id string) ObservedState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return ObservedState{c.accepted[id], c.finalStates[id]}
 }
 
+// noteState records a state that a user was told, and calls the OnUserState callback if it is the
+// job's first final state.
 func (c *worldChecker) noteState(id, state string, before ObservedState) {
 	if c.ObserveState(id, state, before) {
 		c.w.notifyUserState(id)
 	}
 }
 
-// Takes takes what a user was told and reports whether it is a final state told first.
+// ObserveState checks a state that a user was told against what was told before, and reports
+// whether it is the job's first final state.
 func (c *Checker) ObserveState(id, state string, before ObservedState) (first bool) {
 	spec := c.Job(id)
 	c.mu.Lock()
@@ -264,12 +274,12 @@
 	case state != "unknown" && spec == nil:
 		c.reportViolation("invented: %s is %s", id, state)
 	}
-	l := before.final
+	previous := before.final
 	if state == "done" || state == "aborted" {
-		l = c.finalStates[id] // it is for good
+		previous = c.finalStates[id] // a final state never changes, whatever the order of the answers
 	}
-	if l != "" && l != state {
-		c.reportViolation("went_back: %s was %s, now %s", id, l, state)
+	if previous != "" && previous != state {
+		c.reportViolation("went_back: %s was %s, now %s", id, previous, state)
 	}
 	switch state {
 	case "done":
@@ -279,7 +289,7 @@
 		c.finalStates[id] = state
 	case "aborted":
 		if !c.cancelRequested[id] {
-			c.reportViolation("went_back: %s is called cancelled, and its user did not ask for that", id)
+			c.reportViolation("went_back: %s is reported as cancelled, but its user did not request that", id)
 		}
 		if c.finalStates[id] == "" {
 			c.cancelledAt[id] = c.Now()
@@ -289,7 +299,7 @@
 	return first
 }
 
-// Expired notes that a worker's lease runs out.
+// LeaseExpired records that the lease of a worker's session runs out.
 func (c *Checker) LeaseExpired(m MachineInfo, session uint64, tasks []TaskOnMachine) {
 	c.Log().Debug("lease over", "machine", m.Machine, "session", session, "tasks", len(tasks))
 	c.mu.Lock()
@@ -299,34 +309,36 @@
 	}
 }
 
-// Lapsed counts the leases that ran out on machines with tasks.
+// LeasesExpired returns the number of leases that ran out on machines with tasks.
 func (w *World) LeasesExpired() int {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	return w.checker.leasesExpired
 }
 
-// Gone says of how many jobs tasks were on machines when their cancellation was told,
-// and the longest that it took until the last of them was gone.
+// CancellationDelay returns the number of jobs that had tasks on machines when their cancellation
+// was reported, and the longest time until the last of these tasks left its machine.
 func (w *World) CancellationDelay() (jobs int, longest time.Duration) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	return len(w.checker.stoppedJobs), w.checker.longestStop
 }
 
-// CheckCancelled looks for tasks of cancelled jobs that are still on machines.
+// CheckCancelled reports tasks that are still on machines CancelTimeout after their job's
+// cancellation was reported.
 func (c *Checker) CheckCancelled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.placements {
 		job, _, _ := strings.Cut(task, "/")
 		if at, ok := c.cancelledAt[job]; ok && c.Now().Sub(at) > c.CancelTimeout {
-			c.reportViolation("ran_cancelled: %s is still there", task)
+			c.reportViolation("ran_cancelled: %s is still on its machine", task)
 		}
 	}
 }
 
-// watch checks once a second what nobody tells.
+// checkPeriodically runs once a second the checks that no event triggers, until the world is
+// closed.
 func (c *worldChecker) checkPeriodically() {
 	for c.w.ctx.Err() == nil {
 		time.Sleep(time.Second)
@@ -335,7 +347,7 @@
 	}
 }
 
-// Starts counts the tasks that were started.
+// TaskStarts returns the number of tasks that were started.
 func (w *World) TaskStarts() int {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -7,14 +7,13 @@
 	"time"
 )
 
-// What is owed once all troubles are over: each question about a job is answered before
-// long, and no job waits beside room for it.
+// Liveness bounds once all faults are over.
 const (
-	answerDeadline    = 75 * time.Second
-	placementDeadline = 90 * time.Second
+	answerDeadline    = 75 * time.Second // a request about a job is answered within this time
+	placementDeadline = 90 * time.Second // no job waits longer than this while there is capacity for it
 )
 
-// Quiet says that no trouble comes after now: from here on liveness is owed.
+// ExpectLiveness declares that no fault happens from now on, and starts the liveness checks.
 func (w *World) ExpectLiveness() {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
@@ -23,34 +22,37 @@
 	clear(w.checker.waitingSince)
 }
 
-// unanswered notes that a question about a job had no answer.
+// noteUnanswered records that a request about a job was not answered, and reports a violation if
+// none was answered for answerDeadline.
 func (c *worldChecker) noteUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.livenessFrom.IsZero() || !c.accepted[id] {
 		return
 	}
-	from, ok := c.unansweredSince[id]
+	since, ok := c.unansweredSince[id]
 	if !ok {
 		c.unansweredSince[id] = time.Now()
-	} else if time.Since(from) > answerDeadline {
-		c.reportViolation("forgotten: no question about %s was answered for %v", id, time.Since(from).Round(time.Second))
+	} else if time.Since(since) > answerDeadline {
+		c.reportViolation("forgotten: no question about %s was answered for %v", id, time.Since(since).Round(time.Second))
 		c.unansweredSince[id] = time.Now()
 	}
 }
 
-// room is a machine that could be given tasks.
+// freeMachine is a healthy machine with its free resources.
 type freeMachine struct {
 	worker          *Worker
 	cpus, gpus, mem float64
 }
 
-func (r *freeMachine) fits(s *Spec) bool {
-	return s.CPUs <= r.cpus+1e-9 && s.GPUs <= r.gpus+1e-9 && s.MemGB <= r.mem+1e-9
+// fits reports whether one task of the job fits into the free resources.
+func (m *freeMachine) fits(s *Spec) bool {
+	return s.CPUs <= m.cpus+1e-9 && s.GPUs <= m.gpus+1e-9 && s.MemGB <= m.mem+1e-9
 }
 
-func (r *freeMachine) allowed(s *Spec) bool {
-	if z, ok := s.Zone.(string); ok && z != r.worker.zone || r.worker.spot && !s.Spot {
+// allowed reports whether the job's constraints (zone, spot, types) allow the machine.
+func (m *freeMachine) allowed(s *Spec) bool {
+	if z, ok := s.Zone.(string); ok && z != m.worker.zone || m.worker.spot && !s.Spot {
 		return false
 	}
 	types, ok := s.Types.([]string)
@@ -58,51 +60,51 @@
 		return true
 	}
 	for _, n := range types {
-		if n == r.worker.machineType.Name {
+		if n == m.worker.machineType.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// rooms lists the machines that are well, with what is free on them.
+// freeMachines returns the machines without a fault or a spot notice, with their free resources.
 func (c *worldChecker) freeMachines() []*freeMachine {
 	var out []*freeMachine
 	for _, k := range c.w.Cloud.Workers() {
 		k.mu.Lock()
-		r := &freeMachine{k, k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemGB}
-		well := !k.dead && !k.inboundLost && !k.outboundLost && !k.hung && !k.FailsTasks && k.spotNotice == nil
+		m := &freeMachine{k, k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemGB}
+		healthy := !k.dead && !k.inboundLost && !k.outboundLost && !k.hung && !k.FailsTasks && k.spotNotice == nil
 		for _, t := range k.tasks {
 			if t.State != "exited" && t.spec != nil {
-				r.cpus, r.gpus, r.mem = r.cpus-t.spec.CPUs, r.gpus-t.spec.GPUs, r.mem-t.spec.MemGB
+				m.cpus, m.gpus, m.mem = m.cpus-t.spec.CPUs, m.gpus-t.spec.GPUs, m.mem-t.spec.MemGB
 			}
 		}
 		k.mu.Unlock()
-		if well {
-			out = append(out, r)
+		if healthy {
+			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// neglected looks for jobs that wait beside room for them: a task of an array or of a
-// service beside a machine, a gang beside machines for all its tasks.
+// checkNeglected reports jobs that have waited for placementDeadline although there is capacity for
+// them: for arrays and services a machine for one more task, for gangs machines for all tasks.
 func (c *worldChecker) checkNeglected() {
 	c.mu.Lock()
-	quiet := !c.livenessFrom.IsZero() && c.w.ctx.Err() == nil
+	livenessExpected := !c.livenessFrom.IsZero() && c.w.ctx.Err() == nil
 	c.mu.Unlock()
-	if !quiet {
+	if !livenessExpected {
 		return
 	}
-	rooms := c.freeMachines() // takes the workers' locks, under which they take the checker's
+	machines := c.freeMachines() // before c.mu: workers take the checker's lock while they hold their own
 	specs := c.w.allSpecs()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	on := map[string]int{}
+	placed := map[string]int{}
 	zones := map[string]map[string]int{}
 	for task, k := range c.placements {
 		job, _, _ := strings.Cut(task, "/")
-		if on[job]++; zones[job] == nil {
+		if placed[job]++; zones[job] == nil {
 			zones[job] = map[string]int{}
 		}
 		zones[job][k.Zone]++
@@ -114,52 +116,53 @@
 	sort.Strings(ids)
 	for _, id := range ids {
 		s := specs[id]
-		if s == nil || s.Broken || c.finalStates[id] != "" || on[id]+len(c.doneTasks[id]) >= s.Tasks || !c.couldStart(s, on[id], zones[id], rooms) {
+		if s == nil || s.Broken || c.finalStates[id] != "" || placed[id]+len(c.doneTasks[id]) >= s.Tasks || !c.couldStart(s, placed[id], zones[id], machines) {
 			delete(c.waitingSince, id)
 			continue
 		}
-		from, ok := c.waitingSince[id]
+		since, ok := c.waitingSince[id]
 		if !ok {
 			c.waitingSince[id] = time.Now()
-		} else if time.Since(from) > placementDeadline {
-			c.reportViolation("neglected: %s has %d of %d tasks done, %d on machines, and room beside it", id, len(c.doneTasks[id]), s.Tasks, on[id])
+		} else if time.Since(since) > placementDeadline {
+			c.reportViolation("neglected: %s has %d of %d tasks done, %d on machines, and free capacity for more", id, len(c.doneTasks[id]), s.Tasks, placed[id])
 			c.waitingSince[id] = time.Now()
 		}
 	}
 }
 
-// hasRoom reports whether one more task of a job could start, or all of a gang.
-func (c *worldChecker) couldStart(s *Spec, on int, zones map[string]int, rooms []*freeMachine) bool {
+// couldStart reports whether one more task of a job could start, or all tasks of a gang, within the
+// team's limit. placed and zones count the job's tasks on machines, in all and by zone.
+func (c *worldChecker) couldStart(s *Spec, placed int, zones map[string]int, machines []*freeMachine) bool {
 	want := 1
 	if s.Shape == "ensemble" {
-		if on > 0 {
-			return false // it is being put together, or taken apart
+		if placed > 0 {
+			return false // the gang is starting or stopping
 		}
 		want = s.Tasks
 	}
-	use := c.usage[s.Team]
-	use[0], use[1] = use[0]+s.CPUs*float64(want), use[1]+s.GPUs*float64(want)
-	if c.Limit(s.Team).exceededBy(use) {
+	usage := c.usage[s.Team]
+	usage[0], usage[1] = usage[0]+s.CPUs*float64(want), usage[1]+s.GPUs*float64(want)
+	if c.Limit(s.Team).exceededBy(usage) {
 		return false
 	}
 	byZone := map[string]int{}
-	for _, r := range rooms {
-		if !r.allowed(s) || !r.fits(s) {
+	for _, m := range machines {
+		if !m.allowed(s) || !m.fits(s) {
 			continue
 		}
-		if s.Spread && zones[r.worker.zone]+1 > (s.Tasks+1)/2 {
+		if s.Spread && zones[m.worker.zone]+1 > (s.Tasks+1)/2 {
 			continue
 		}
-		if s.OneZone && len(zones) > 0 && zones[r.worker.zone] == 0 {
+		if s.OneZone && len(zones) > 0 && zones[m.worker.zone] == 0 {
 			continue
 		}
-		n := math.Min(r.cpus/max(s.CPUs, 1e-9), r.mem/max(s.MemGB, 1e-9))
+		n := math.Min(m.cpus/max(s.CPUs, 1e-9), m.mem/max(s.MemGB, 1e-9))
 		if s.GPUs > 0 {
-			n = math.Min(n, r.gpus/s.GPUs)
+			n = math.Min(n, m.gpus/s.GPUs)
 		}
 		zone := ""
 		if s.OneZone {
-			zone = r.worker.zone
+			zone = m.worker.zone
 		}
 		byZone[zone] += int(math.Min(n+1e-9, 1e6))
 	}
