--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -13,7 +13,7 @@
 	"aspenstall/internal/wire"
 )
 
-// MachineType is a row of the stand-in cloud's catalog.
+// MachineType is an entry of the simulated cloud's catalog. Prices are per hour.
 type MachineType struct {
 	Name      string   `msgpack:"label"`
 	CPUs      float64  `msgpack:"cores"`
@@ -27,6 +27,7 @@
 	Zones     []string `msgpack:"paddocks"`
 }
 
+// cloudMachine is a rented machine as the cloud lists it.
 type cloudMachine struct {
 	ID      string  `msgpack:"uid"`
 	Address string  `msgpack:"address"`
@@ -36,47 +37,48 @@
 	State   string  `msgpack:"phase"`
 	AgeS    float64 `msgpack:"age_s"`
 
-	running   MachineProcess // nil until it is up
+	running   MachineProcess // nil until the machine is up
 	createdAt time.Time
 }
 
-// Running is what runs on a machine that is up.
+// MachineProcess is the process on a machine that is up.
 type MachineProcess interface {
-	// Die ends the machine and everything on it.
+	// Terminate stops the machine and all tasks on it.
 	Terminate()
 }
 
-// Cloud is a stand-in for the machine cloud.
+// Cloud is a simulated machine cloud.
 type Cloud struct {
 	mu             sync.Mutex
-	startProcess   func(m MachineInfo, at string, t *MachineType) MachineProcess
-	addressOf      func(n int, zone string) string // of the nth machine
+	startProcess   func(m MachineInfo, address string, t *MachineType) MachineProcess
+	addressOf      func(n int, zone string) string // the address of the nth machine
 	Types          []MachineType
-	Capacity       int                 // machines at most
-	bootFactor     func(n int) float64 // see Boots
+	Capacity       int                 // the most machines that can be rented at once
+	bootFactor     func(n int) float64 // see SetBootFactor
 	machines       map[string]*cloudMachine
-	namesByRequest map[string][]string
+	namesByRequest map[string][]string // answers by request ID; requests are idempotent
 	lastID         int
 }
 
-// NewCloud returns a cloud whose machines are at addresses, and are started with start when
-// they are up: nil if the cloud is over by then.
-func NewCloud(types []MachineType, capacity int, address func(n int, zone string) string,
-	start func(m MachineInfo, at string, t *MachineType) MachineProcess) *Cloud {
+// NewCloud returns a cloud of at most capacity machines. addressOf returns the address of the nth
+// machine. start is called when a machine has booted, with its address; it returns nil if the
+// simulation is over by then.
+func NewCloud(types []MachineType, capacity int, addressOf func(n int, zone string) string,
+	start func(m MachineInfo, address string, t *MachineType) MachineProcess) *Cloud {
 	return &Cloud{
-		startProcess: start, addressOf: address, Types: types, Capacity: capacity,
+		startProcess: start, addressOf: addressOf, Types: types, Capacity: capacity,
 		machines: map[string]*cloudMachine{}, namesByRequest: map[string][]string{},
 	}
 }
 
-// Boot starts a machine that nobody has asked for.
+// StartUnrequested starts a machine that no controller has requested, and returns its name.
 func (c *Cloud) StartUnrequested(typ, zone string, spot bool) (name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.startMachine(typ, zone, spot)
 }
 
-// Fail ends a machine by itself: it stays listed until it is returned.
+// FailMachine makes a machine fail by itself. It stays listed as failed until it is released.
 func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,22 +91,22 @@
 	m.running = nil
 }
 
-// Machines counts the machines that are rented.
+// MachineCount returns the number of rented machines.
 func (c *Cloud) MachineCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
 }
 
-// Boots has the nth machine take so many times as long to boot; it never comes up if
-// that is not positive. nil: as usual.
-func (c *Cloud) SetBootFactor(times func(n int) float64) {
+// SetBootFactor sets a function that returns a factor for the boot time of the nth machine. A
+// machine whose factor is not positive never comes up. nil restores the usual boot times.
+func (c *Cloud) SetBootFactor(factor func(n int) float64) {
 	c.mu.Lock()
-	c.bootFactor = times
+	c.bootFactor = factor
 	c.mu.Unlock()
 }
 
-// Workers lists the workers by name.
+// Workers returns the workers of the machines that are up, sorted by name.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +120,7 @@
 	return out
 }
 
-// ServeHTTP serves the published interface.
+// ServeHTTP serves the cloud's published interface.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
 	c.mu.Lock()
@@ -163,7 +165,8 @@
 	}
 }
 
-// page lists machines by name, after one and so many of them; c.mu is held.
+// listPage returns a page of the machine list, sorted by name, from the query's "since" and
+// "limit"; c.mu is held.
 func (c *Cloud) listPage(query url.Values) (list []*cloudMachine, more bool) {
 	since := query.Get("since")
 	limit, _ := strconv.Atoi(query.Get("limit"))
@@ -180,7 +183,7 @@
 	return list, false
 }
 
-// boot starts a machine; c.mu is held.
+// startMachine rents a machine and lets it boot, and returns its name; c.mu is held.
 func (c *Cloud) startMachine(typ, zone string, spot bool) string {
 	c.lastID++
 	m := &cloudMachine{
@@ -190,22 +193,22 @@
 	c.machines[m.ID] = m
 	for i := range c.Types {
 		if t := &c.Types[i]; t.Name == typ {
-			times := 1.0
+			factor := 1.0
 			if c.bootFactor != nil {
-				times = c.bootFactor(c.lastID)
+				factor = c.bootFactor(c.lastID)
 			}
-			if times <= 0 {
+			if factor <= 0 {
 				continue
 			}
 			go func() {
-				time.Sleep(time.Duration(times * t.BootS * float64(time.Second)))
+				time.Sleep(time.Duration(factor * t.BootS * float64(time.Second)))
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if c.machines[m.ID] != m {
 					return
 				}
-				if up := c.startProcess(MachineInfo{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.Address, t); up != nil {
-					m.State, m.running = "running", up
+				if process := c.startProcess(MachineInfo{Machine: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.Address, t); process != nil {
+					m.State, m.running = "running", process
 				}
 			}()
 		}
@@ -213,7 +216,7 @@
 	return m.ID
 }
 
-// Up lists the machines that are up, by name.
+// RunningMachines returns the machines that are up, sorted by name.
 func (c *Cloud) RunningMachines() []MachineInfo {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -13,77 +13,80 @@
 	"aspenstall/internal/wire"
 )
 
-// Faults makes a stand-in's answers go wrong, by chance from a fixed seed.
+// Faults injects faults into the requests to a simulated service or to a node. They are random from
+// a fixed seed. LoseRequest to ExecuteLate and Duplicate are probabilities.
 type Faults struct {
 	mu      sync.Mutex
 	streams *Streams // by client and path
 
-	LoseRequest       float64 // closed without having been executed
-	LoseResponse      float64 // executed, and closed without an answer
-	WithholdResponse  float64 // executed at once, and never answered: the client gives up
-	ExecuteLate       float64 // given up, and executed LateBy later, or up to LateMore after that
-	LateDelay         time.Duration
+	LoseRequest       float64       // connection closed, request not executed
+	LoseResponse      float64       // request executed, connection closed without a response
+	WithholdResponse  float64       // request executed at once, no response: the client times out
+	ExecuteLate       float64       // connection closed, request executed after the late delay
+	LateDelay         time.Duration // the late delay is LateDelay plus a random time up to LateJitter
 	LateJitter        time.Duration
-	LatePath          string        // late, or without an answer, are requests to this path, if any is given
-	Duplicate         float64       // requests to a node of which a copy arrives again, LateBy later or more
-	MaxDelay          time.Duration // up to this much before it is executed
-	Down              bool          // 503 to everybody
-	RefuseClients     map[string]bool
-	RefuseReadClients map[string]bool // of these clients
-	RefuseContaining  string          // requests whose body holds it
-
-	// Repeated is told of each request that was carried out late or again, and how that
-	// was answered; the lock is held.
+	LatePath          string          // if set, ExecuteLate and WithholdResponse apply to this path only
+	Duplicate         float64         // request executed, and a copy executed after the late delay
+	MaxDelay          time.Duration   // each request is delayed by a random time up to this
+	Down              bool            // all requests are answered with 503
+	RefuseClients     map[string]bool // requests of these clients are answered with 503
+	RefuseReadClients map[string]bool // GET requests of these clients are answered with 503
+	RefuseContaining  string          // requests whose body contains this text are answered with 503
+
+	// OnRepeated is called for each request that was executed late or as a duplicate, with the
+	// status of its response; the lock is held.
 	OnRepeated func(path string, status int)
 
-	// Unanswered is told of each request that was executed without an answer, how it would
-	// have been answered and what it held; the lock is held.
+	// OnUnanswered is called for each request whose response was withheld, with the status that it
+	// would have had and the request's body; the lock is held.
 	OnUnanswered func(path string, status int, body []byte)
 
-	// Kept is given each request that comes, for copies of it; the lock is held.
+	// OnRequest is called for each request that arrives, with its body, so that a test can send
+	// copies of it; the lock is held.
 	OnRequest func(path string, body []byte)
 
-	// End says how a node's process ends with a request of its own, or with one that
-	// it serves; ends then ends it.
+	// CrashOn returns whether and when a node's process crashes during a request that it sends or
+	// serves. crashNode then ends the process.
 	CrashOn   func(r *http.Request, body []byte) CrashPoint
 	crashNode func(r *http.Request)
 }
 
-// Ending is how a node's process ends with a request.
+// CrashPoint is the point of a request at which a node's process crashes.
 type CrashPoint int
 
-// The endings.
+// The points at which a node can crash.
 const (
 	NoCrash              CrashPoint = iota
-	CrashBeforeRequest              // the request is lost with it
-	CrashAfterRequest               // the request is executed; of the answer a half may be sent
-	CrashThenLateRequest            // the request is executed LateBy later
+	CrashBeforeRequest              // the request is lost
+	CrashAfterRequest               // the request is executed, and half of the response may be sent
+	CrashThenLateRequest            // the request is executed after the late delay, at least a second later
 )
 
-// NewFaults returns faults with a seed.
+// NewFaults returns a fault injector that injects nothing until it is configured. Its random
+// choices follow from the seed.
 func NewFaults(seed uint64) *Faults {
 	return &Faults{streams: NewStreams(seed), RefuseClients: map[string]bool{}, RefuseReadClients: map[string]bool{}}
 }
 
-// Set changes the faults.
+// Update changes the configuration of the faults under the lock.
 func (f *Faults) Update(change func(*Faults)) {
 	f.mu.Lock()
 	change(f)
 	f.mu.Unlock()
 }
 
-// Wrap puts the faults before a handler.
+// Wrap returns a handler that injects the faults into requests to h.
 func (f *Faults) Wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.mu.Lock()
 		random := f.streams.Stream(r.RemoteAddr + " " + r.URL.Path)
 		dice := random.Float64()
-		text := f.RefuseContaining
+		refuseText := f.RefuseContaining
 		delay := time.Duration(random.Float64() * float64(f.MaxDelay))
-		loseReq, loseAns, noAns, late, lateBy := f.LoseRequest, f.LoseResponse, f.WithholdResponse, f.ExecuteLate, f.LateDelay
-		lateBy += time.Duration(random.Float64() * float64(f.LateJitter))
+		loseRequest, loseResponse, withhold, executeLate, lateDelay := f.LoseRequest, f.LoseResponse, f.WithholdResponse, f.ExecuteLate, f.LateDelay
+		lateDelay += time.Duration(random.Float64() * float64(f.LateJitter))
 		if f.LatePath != "" && r.URL.Path != f.LatePath {
-			late, noAns = 0, 0
+			executeLate, withhold = 0, 0
 		}
 		again := f.Duplicate > 0 && random.Float64() < f.Duplicate
 		if f.OnRequest != nil {
@@ -97,10 +100,10 @@
 			time.Sleep(delay)
 		}
 		down := f.refuses(r)
-		if text != "" {
+		if refuseText != "" {
 			b := bodyCopier(r)
 			body, _ := io.ReadAll(b())
-			down = down || bytes.Contains(body, []byte(text))
+			down = down || bytes.Contains(body, []byte(refuseText))
 			r.Body = b()
 		}
 		if f.CrashOn != nil {
@@ -122,27 +125,27 @@
 				panic(http.ErrAbortHandler)
 			case CrashThenLateRequest:
 				f.crashNode(r)
-				late, lateBy = 1, max(lateBy, time.Second)
-				dice, loseReq, loseAns, noAns = 0, 0, 0, 0
+				executeLate, lateDelay = 1, max(lateDelay, time.Second)
+				dice, loseRequest, loseResponse, withhold = 0, 0, 0, 0
 			}
 		}
 		switch {
 		case down:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case dice < loseReq:
+		case dice < loseRequest:
 			panic(http.ErrAbortHandler)
-		case dice < loseReq+loseAns:
+		case dice < loseRequest+loseResponse:
 			h.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
-		case dice < loseReq+loseAns+noAns:
+		case dice < loseRequest+loseResponse+withhold:
 			f.executeUnanswered(h, r)
 			panic(http.ErrAbortHandler)
-		case dice < loseReq+loseAns+noAns+late:
-			f.executeCopyLater(h, r, lateBy)
+		case dice < loseRequest+loseResponse+withhold+executeLate:
+			f.executeCopyLater(h, r, lateDelay)
 			panic(http.ErrAbortHandler)
 		case again:
-			f.executeCopyLater(h, r, lateBy)
+			f.executeCopyLater(h, r, lateDelay)
 		}
 		if r.URL.Path == wire.ChangesPath {
 			f.serveChanges(w, r, h)
@@ -152,7 +155,8 @@
 	})
 }
 
-// unanswered executes the request, and leaves its client waiting until it gives up.
+// executeUnanswered executes the request and waits, without a response, until the client times out,
+// at most 10 s.
 func (f *Faults) executeUnanswered(h http.Handler, r *http.Request) {
 	b := bodyCopier(r)
 	r.Body = b()
@@ -170,15 +174,15 @@
 	}
 }
 
-// repeat has a copy of the request executed so much later, whose answer goes nowhere.
-func (f *Faults) executeCopyLater(h http.Handler, r *http.Request, after time.Duration) {
+// executeCopyLater executes a copy of the request after a delay and discards its response.
+func (f *Faults) executeCopyLater(h http.Handler, r *http.Request, delay time.Duration) {
 	b := bodyCopier(r)
 	r.Body = b()
 	go func() {
-		time.Sleep(after)
+		time.Sleep(delay)
 		again := r.Clone(context.WithoutCancel(r.Context()))
 		again.Body = b()
-		defer func() { _ = recover() }() // whoever it was for may be gone
+		defer func() { _ = recover() }() // the handler aborts if its process or machine has ended meanwhile
 		rec := httptest.NewRecorder()
 		h.ServeHTTP(rec, again)
 		f.mu.Lock()
@@ -189,8 +193,8 @@
 	}()
 }
 
-// watch serves a read of the changes. While the client is refused an open one waits,
-// as in an outage.
+// serveChanges serves a watch request for changes. Its response is held back while the client is
+// refused, as in an outage.
 func (f *Faults) serveChanges(w http.ResponseWriter, r *http.Request, h http.Handler) {
 	rec := httptest.NewRecorder()
 	h.ServeHTTP(rec, r)
@@ -201,6 +205,7 @@
 	_, _ = w.Write(rec.Body.Bytes())
 }
 
+// refuses reports whether a request is to be answered with 503 because of Down or its client.
 func (f *Faults) refuses(r *http.Request) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/simulator/net.go
+++ b/internal/simulator/net.go
@@ -1,7 +1,7 @@
-// Package simulator has stand-ins for everything round the controllers: the
-// network, the state service, the cloud, workers and users. They run in one
-// process and under fake time, can delay, lose, reorder and cut, and a checker
-// of its own watches the rules.
+// Package simulator simulates the environment of the controllers: the network, the state service,
+// the cloud, workers and users. Everything runs in one process and under fake time. Faults delay,
+// lose, duplicate and reorder messages, crash processes and partition the network. An independent
+// checker checks the protocol's invariants.
 package simulator
 
 import (
@@ -16,15 +16,15 @@
 	"aspenstall/internal/netdial"
 )
 
-// Net is a network of pipes.
+// Net is a simulated network. Its connections are in-memory pipes.
 type Net struct {
 	mu               sync.Mutex
 	listeners        map[string]*listener
 	conns            map[*conn]bool
-	blockedLinks     map[[2]string]bool
-	hostZones        map[string]string // of hosts; those without are in none
-	partitionedZones map[string]bool   // zones that are cut off, with packets held
-	frozenHosts      map[string]bool   // hosts that nothing goes to or from, with packets held
+	blockedLinks     map[[2]string]bool // pairs of hosts whose connections fail
+	hostZones        map[string]string  // the zone of each host; hosts without an entry are in no zone
+	partitionedZones map[string]bool    // zones whose packets to and from other zones are held back
+	frozenHosts      map[string]bool    // hosts whose packets, both ways, are held back
 }
 
 // NewNet returns an empty network.
@@ -35,20 +35,21 @@
 	}
 }
 
+// addr is the address of a host in a Net.
 type addr string
 
 func (a addr) Network() string { return "pipe" }
 func (a addr) String() string  { return string(a) }
 
-// conn is one end of a pipe that knows who is at both. What is written goes out
-// in its order as soon as nothing holds it, even if the writer has closed.
+// conn is one end of a connection. Written data is queued, and delivered in order as soon as the
+// network does not hold it back, even if the writer has closed its end.
 type conn struct {
 	net.Conn
 	network       *Net
 	local, remote string
-	queue         [][]byte   // under n.mu
-	closed        bool       // by its user
-	changed       *sync.Cond // on n.mu: there is something to send, or it may go out now
+	queue         [][]byte   // under network.mu
+	closed        bool       // by its owner
+	changed       *sync.Cond // on network.mu: there is data to send, or data is no longer held back
 }
 
 func (c *conn) LocalAddr() net.Addr  { return addr(c.local) }
@@ -65,8 +66,7 @@
 	return len(b), nil
 }
 
-// Close closes this end for its user; the other end notices behind all that was
-// written before.
+// Close closes this end. The other end sees the close after all data that was written before.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	c.closed = true
@@ -75,7 +75,7 @@
 	return c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// send carries what is written to the other end until the connection is over.
+// sendLoop delivers queued data to the other end until the connection is closed or reset.
 func (c *conn) sendLoop() {
 	n := c.network
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// end ends the connection at once, as a reset does.
+// reset closes the connection at once and drops queued data, as a TCP reset does.
 func (c *conn) reset() {
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
@@ -107,7 +107,7 @@
 	_ = c.Conn.Close()
 }
 
-// holds reports whether packets between two hosts are held; n.mu is held.
+// holdsPackets reports whether packets between two hosts are held back; n.mu is held.
 func (n *Net) holdsPackets(a, b string) bool {
 	if n.frozenHosts[a] || n.frozenHosts[b] {
 		return true
@@ -116,38 +116,39 @@
 	return za != zb && (n.partitionedZones[za] || n.partitionedZones[zb])
 }
 
-// Place says which zone a host is in.
+// SetZone sets the zone of a host.
 func (n *Net) SetZone(host, zone string) {
 	n.mu.Lock()
 	n.hostZones[host] = zone
 	n.mu.Unlock()
 }
 
-// CutZone cuts a zone off from everything, or mends it; packets are held
-// meanwhile and arrive then.
-func (n *Net) PartitionZone(zone string, cut bool) {
+// PartitionZone partitions a zone from all other hosts, or heals the partition. Packets are held
+// back during the partition and arrive after it.
+func (n *Net) PartitionZone(zone string, partitioned bool) {
 	n.mu.Lock()
-	n.partitionedZones[zone] = cut
+	n.partitionedZones[zone] = partitioned
 	n.wakeConns()
 	n.mu.Unlock()
 }
 
-// Still has nothing go to or from a host, or lets it go on; packets are held
-// meanwhile and arrive then.
-func (n *Net) Freeze(host string, still bool) {
+// Freeze holds back all packets to and from a host, or releases them. The packets arrive after the
+// release.
+func (n *Net) Freeze(host string, frozen bool) {
 	n.mu.Lock()
-	n.frozenHosts[host] = still
+	n.frozenHosts[host] = frozen
 	n.wakeConns()
 	n.mu.Unlock()
 }
 
-// release has all connections look again at what is held; n.mu is held.
+// wakeConns makes all connections check again whether their data is held back; n.mu is held.
 func (n *Net) wakeConns() {
 	for c := range n.conns {
 		c.changed.Signal()
 	}
 }
 
+// listener is a net.Listener in a Net.
 type listener struct {
 	network  *Net
 	address  string
@@ -179,7 +180,7 @@
 
 func (l *listener) Addr() net.Addr { return addr(l.address) }
 
-// Listen listens at an address.
+// Listen returns a listener at an address. It replaces an earlier one.
 func (n *Net) Listen(at string) net.Listener {
 	l := &listener{network: n, address: at, incoming: make(chan net.Conn), done: make(chan struct{})}
 	n.mu.Lock()
@@ -190,17 +191,18 @@
 
 var errRefused = errors.New("connection refused")
 
-// Dialer dials as the host from.
+// Dialer returns a dial function for connections from a host. Dialling over a blocked or
+// partitioned link fails after a second, or when the context ends, as a timeout does.
 func (n *Net) Dialer(from string) netdial.Func {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		fail := func(err error) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "pipe", Addr: addr(to), Err: err}
 		}
 		n.mu.Lock()
-		l, cut := n.listeners[to], n.blockedLinks[[2]string{from, to}] || n.holdsPackets(from, to)
+		l, unreachable := n.listeners[to], n.blockedLinks[[2]string{from, to}] || n.holdsPackets(from, to)
 		n.mu.Unlock()
-		if cut {
-			// Silence; the dialler gives up by itself.
+		if unreachable {
+			// No answer: the dial times out.
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Second):
@@ -233,57 +235,59 @@
 	}
 }
 
-// Cut cuts or mends the way from one host to another, and back.
-func (n *Net) BlockLink(a, b string, cut bool) {
+// BlockLink blocks or unblocks the link between two hosts in both directions. Blocking it resets
+// the connections between them.
+func (n *Net) BlockLink(a, b string, blocked bool) {
 	n.mu.Lock()
-	n.blockedLinks[[2]string{a, b}], n.blockedLinks[[2]string{b, a}] = cut, cut
+	n.blockedLinks[[2]string{a, b}], n.blockedLinks[[2]string{b, a}] = blocked, blocked
 	n.mu.Unlock()
-	if cut {
+	if blocked {
 		n.closeConns(func(c *conn) bool { return c.local == a && c.remote == b || c.local == b && c.remote == a })
 	}
 }
 
-// Drop closes all connections of a host: its process has ended.
+// DropHost resets all connections of a host, as when its process has ended.
 func (n *Net) DropHost(host string) {
 	n.closeConns(func(c *conn) bool { return c.local == host || c.remote == host })
 }
 
-// Close ends the network.
+// Close closes all listeners and resets all connections.
 func (n *Net) Close() {
 	n.mu.Lock()
-	ls := make([]*listener, 0, len(n.listeners))
+	listeners := make([]*listener, 0, len(n.listeners))
 	for _, l := range n.listeners {
-		ls = append(ls, l)
+		listeners = append(listeners, l)
 	}
 	n.mu.Unlock()
-	for _, l := range ls {
+	for _, l := range listeners {
 		_ = l.Close()
 	}
 	n.closeConns(func(*conn) bool { return true })
 }
 
+// closeConns resets the connections that match.
 func (n *Net) closeConns(match func(*conn) bool) {
 	n.mu.Lock()
-	var hit []*conn
+	var matched []*conn
 	for c := range n.conns {
 		if match(c) {
-			hit = append(hit, c)
+			matched = append(matched, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range hit {
+	for _, c := range matched {
 		c.reset()
 	}
 }
 
-// Serve serves a handler at an address until the listener is closed.
+// Serve serves a handler over HTTP at an address until the returned listener is closed.
 func (n *Net) Serve(at string, h http.Handler) net.Listener {
 	l := n.Listen(at)
 	go func() { _ = (&http.Server{Handler: h}).Serve(l) }()
 	return l
 }
 
-// Client returns an HTTP client of the host from.
+// Client returns an HTTP client that connects from a host.
 func (n *Net) Client(from string) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: n.Dialer(from), DisableCompression: true}}
 }
--- a/internal/simulator/receiver.go
+++ b/internal/simulator/receiver.go
@@ -13,27 +13,27 @@
 	"aspenstall/internal/notify/control"
 )
 
-// Hook is a stand-in for a receiver of notifications. It keeps keys, fails and
-// delays on purpose, and its ledger counts what had an effect.
+// Receiver is a simulated receiver of notifications. It deduplicates them by idempotency key,
+// counts their effects, and fails and delays requests at random.
 type Receiver struct {
-	LoseResponse, Refuse, Slow float64 // how often; slow ones take their time before or after the effect
+	LoseResponse, Refuse, Slow float64 // probabilities; Slow delays effect and response by less than 20 s
 
 	mu           sync.Mutex
-	streams      *Streams // by notification
+	streams      *Streams // by notification ID
 	seenKeys     map[string]bool
-	effects      map[string]int // by type and job
+	effects      map[string]int // number of effects, by event type and job
 	eventsByJob  map[string][]string
 	requestCount int
-	latencies    []time.Duration // from event to effect
+	latencies    []time.Duration // from the event to its effect
 }
 
-// NewHook returns a receiver that fails by chance from a seed.
+// NewReceiver returns a receiver without faults. Its random choices follow from the seed.
 func NewReceiver(seed uint64) *Receiver {
 	return &Receiver{streams: NewStreams(seed), seenKeys: map[string]bool{}, effects: map[string]int{}, eventsByJob: map[string][]string{}}
 }
 
-// ServeHTTP takes a notification.
-func (h *Receiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP receives a notification, subject to the configured faults.
+func (recv *Receiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(r.Body)
 	var e struct {
 		ID, Type, Subject string
@@ -43,12 +43,12 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	h.mu.Lock()
-	random := h.streams.Stream(e.ID)
+	recv.mu.Lock()
+	random := recv.streams.Stream(e.ID)
 	p, pause := random.Float64(), time.Duration(random.IntN(20))*time.Second
-	lose, refuse, slow := h.LoseResponse, h.Refuse, h.Slow
-	h.requestCount++
-	h.mu.Unlock()
+	loseResponse, refuse, slow := recv.LoseResponse, recv.Refuse, recv.Slow
+	recv.requestCount++
+	recv.mu.Unlock()
 	switch {
 	case p < refuse:
 		w.Header().Set("Retry-After", "2")
@@ -56,58 +56,60 @@
 		return
 	case p < refuse+slow:
 		time.Sleep(pause)
-		h.applyOnce(e.ID, e.Type, e.Subject, e.Time)
+		recv.applyOnce(e.ID, e.Type, e.Subject, e.Time)
 		return
 	}
-	h.applyOnce(e.ID, e.Type, e.Subject, e.Time)
-	if p < refuse+slow+lose {
+	recv.applyOnce(e.ID, e.Type, e.Subject, e.Time)
+	if p < refuse+slow+loseResponse {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (h *Receiver) applyOnce(key, kind, job string, at time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.seenKeys[key] {
+// applyOnce applies a notification's effect unless one with its key was applied before.
+func (recv *Receiver) applyOnce(key, kind, job string, at time.Time) {
+	recv.mu.Lock()
+	defer recv.mu.Unlock()
+	if recv.seenKeys[key] {
 		return
 	}
-	h.seenKeys[key] = true
-	h.effects[kind+" "+job]++
-	h.eventsByJob[job] = append(h.eventsByJob[job], kind)
-	h.latencies = append(h.latencies, time.Since(at))
+	recv.seenKeys[key] = true
+	recv.effects[kind+" "+job]++
+	recv.eventsByJob[job] = append(recv.eventsByJob[job], kind)
+	recv.latencies = append(recv.latencies, time.Since(at))
 }
 
-// Accept has it fail no more.
-func (h *Receiver) StopFaults() {
-	h.mu.Lock()
-	h.LoseResponse, h.Refuse, h.Slow = 0, 0, 0
-	h.mu.Unlock()
+// StopFaults makes the receiver accept all notifications at once from now on.
+func (recv *Receiver) StopFaults() {
+	recv.mu.Lock()
+	recv.LoseResponse, recv.Refuse, recv.Slow = 0, 0, 0
+	recv.mu.Unlock()
 }
 
-// Effects says how often an event had an effect, and of how many there were any.
-func (h *Receiver) EffectCounts(kind, job string) (n, all int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.effects["aspenstall.job."+kind+" "+job], len(h.effects)
+// EffectCounts returns the number of effects of one event, and the number of different events that
+// had effects.
+func (recv *Receiver) EffectCounts(kind, job string) (n, events int) {
+	recv.mu.Lock()
+	defer recv.mu.Unlock()
+	return recv.effects["aspenstall.job."+kind+" "+job], len(recv.effects)
 }
 
-// Late lists how long after its event each effect came, the shortest first.
-func (h *Receiver) Latencies() []time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.Sorted(slices.Values(h.latencies))
+// Latencies returns the times from each event to its effect, sorted.
+func (recv *Receiver) Latencies() []time.Duration {
+	recv.mu.Lock()
+	defer recv.mu.Unlock()
+	return slices.Sorted(slices.Values(recv.latencies))
 }
 
-// Order is the order in which a job's events had their effects, and how many
-// requests came in all.
-func (h *Receiver) EventOrder(job string) (kinds []string, posts int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return append([]string(nil), h.eventsByJob[job]...), h.requestCount
+// EventOrder returns a job's event types in the order of their effects, and the number of all
+// requests that the receiver got.
+func (recv *Receiver) EventOrder(job string) (kinds []string, requests int) {
+	recv.mu.Lock()
+	defer recv.mu.Unlock()
+	return append([]string(nil), recv.eventsByJob[job]...), recv.requestCount
 }
 
-// Operator sends an operator's request to a node.
-func (w *World) SendOperatorRequest(i int, a *control.Request) (*control.Response, error) {
+// SendOperatorRequest sends an operator's request to a node's control interface.
+func (w *World) SendOperatorRequest(i int, req *control.Request) (*control.Response, error) {
 	at := fmt.Sprintf("10.9.9.%d:4650", i)
 	l := w.Net.Serve(at, control.Handler(w.Nodes[i].node))
 	defer l.Close()
@@ -115,5 +117,5 @@
 	defer cancel()
 	c := w.Net.Client("operator")
 	defer c.CloseIdleConnections()
-	return control.Call(ctx, c, at, a)
+	return control.Call(ctx, c, at, req)
 }
--- a/internal/simulator/state.go
+++ b/internal/simulator/state.go
@@ -15,12 +15,13 @@
 	"aspenstall/internal/wire"
 )
 
-// readBody reads a body once and returns a maker of copies.
+// bodyCopier reads a request's body and returns a function that returns copies of it.
 func bodyCopier(r *http.Request) func() io.ReadCloser {
 	b, _ := io.ReadAll(r.Body)
 	return func() io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 }
 
+// respond writes a status and, unless v is nil, v in msgpack.
 func respond(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	if v != nil {
@@ -31,32 +32,33 @@
 	}
 }
 
-// State is a stand-in for the state service.
+// State is a simulated state service.
 type State struct {
 	mu                sync.Mutex
 	revision          uint64
-	compactedRevision uint64 // changes up to here are no longer kept
-	requestCount      int    // requests
-	writeCount        int    // puts and deletes
+	compactedRevision uint64 // changes up to this revision are no longer available
+	requestCount      int
+	writeCount        int // puts and deletes
 	keys              map[string]wire.Entry
 	changeLog         []wire.Change
 	leases            map[uint64]*stateLease
 	lastLeaseID       uint64
-	changed           chan struct{}
-	MaxTxnOps         int
+	changed           chan struct{} // closed and replaced at each change
+	MaxTxnOps         int           // writes in a transaction; four times as many conditions
 }
 
+// stateLease is a lease; the keys that are attached to it are deleted when it ends.
 type stateLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// NewState returns an empty state service.
+// NewState returns an empty state service with a limit of writes in a transaction.
 func NewState(txnOps int) *State {
 	return &State{keys: map[string]wire.Entry{}, leases: map[uint64]*stateLease{}, changed: make(chan struct{}), MaxTxnOps: txnOps}
 }
 
-// expire ends leases whose time is over; s.mu is held.
+// expireLeases ends the leases whose TTL is over; s.mu is held.
 func (s *State) expireLeases() {
 	for id, l := range s.leases {
 		if time.Now().After(l.expiresAt) {
@@ -65,6 +67,7 @@
 	}
 }
 
+// endLease ends a lease and deletes its keys in one revision; s.mu is held.
 func (s *State) endLease(id uint64) {
 	delete(s.leases, id)
 	var gone []string
@@ -85,10 +88,12 @@
 	s.notifyWatchers()
 }
 
-// keptChanges is how many changes the service keeps.
+// maxLoggedChanges is the number of changes that remain available to watches. The log is compacted
+// when it is a tenth longer.
 const maxLoggedChanges = 10_000
 
-// wake has all watches look again, and forgets changes that are too old.
+// notifyWatchers wakes all watches, and compacts the log of changes if it is too long; s.mu is
+// held.
 func (s *State) notifyWatchers() {
 	if more := len(s.changeLog) - maxLoggedChanges; more > maxLoggedChanges/10 {
 		s.compactedRevision = s.changeLog[more-1].ModRevision
@@ -98,7 +103,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Renewed gives every lease its full time again, as after an outage.
+// RenewLeases gives every lease its full TTL again, as after an outage.
 func (s *State) RenewLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +112,7 @@
 	}
 }
 
-// Size says how many keys there are, and the bytes of their values.
+// Size returns the number of keys and the bytes of their values.
 func (s *State) Size() (keys, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,14 +122,15 @@
 	return len(s.keys), size
 }
 
-// Cost says how many requests came and how many puts and deletes were executed.
+// RequestCounts returns the number of requests and the number of executed puts and deletes.
 func (s *State) RequestCounts() (requests, changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCount, s.writeCount
 }
 
-// Forget forgets all changes so far: who watches from before has to read again.
+// CompactLog drops all changes so far. Watches from an earlier revision get status 410 and have to
+// read again.
 func (s *State) CompactLog() {
 	s.mu.Lock()
 	s.changeLog, s.compactedRevision = nil, s.revision
@@ -132,7 +138,7 @@
 	s.mu.Unlock()
 }
 
-// Get reads a key from outside.
+// Get returns a key's entry, without a request, and whether the key exists.
 func (s *State) Get(key string) (wire.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +146,7 @@
 	return e, ok
 }
 
-// ServeHTTP serves the published interface.
+// ServeHTTP serves the state service's published interface.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
@@ -209,6 +215,7 @@
 	}
 }
 
+// commit executes a transaction and writes its response; s.mu is held.
 func (s *State) commit(w http.ResponseWriter, t *wire.Txn) {
 	for _, op := range t.Then {
 		if op.Lease != 0 && s.leases[op.Lease] == nil {
@@ -244,7 +251,8 @@
 	respond(w, http.StatusOK, &wire.TxnResult{Revision: s.revision})
 }
 
-// changes waits for a change; s.mu is held, and let go meanwhile.
+// serveChanges serves a watch: it waits up to wait for changes after a revision; s.mu is held, and
+// unlocked while it waits.
 func (s *State) serveChanges(w http.ResponseWriter, r *http.Request, prefix string, since uint64, wait time.Duration) {
 	end := time.Now().Add(wait)
 	for {
@@ -264,7 +272,7 @@
 			respond(w, http.StatusOK, &out)
 			return
 		}
-		// Leases end while nobody asks: look at least once a second.
+		// Leases also expire without a request, so they are checked at least once a second.
 		changed := s.changed
 		s.mu.Unlock()
 		t := time.NewTimer(min(left, time.Second))
--- a/internal/simulator/streams.go
+++ b/internal/simulator/streams.go
@@ -5,20 +5,20 @@
 	"math/rand/v2"
 )
 
-// Streams are streams of random numbers by name, each seeded by the seed and its name.
-// What one goroutine draws from its own stream does not depend on which goroutine runs
-// first, as it would with one stream for all of them. It is not safe for concurrent use.
+// Streams holds named streams of random numbers, each seeded from a common seed and its name. What
+// a goroutine draws from its own stream does not depend on the order in which goroutines run, as it
+// would with a single stream. Streams is not safe for concurrent use.
 type Streams struct {
 	seed   uint64
 	byName map[string]*rand.Rand
 }
 
-// NewStreams returns streams that go by a seed.
+// NewStreams returns streams that are seeded from a common seed.
 func NewStreams(seed uint64) *Streams {
 	return &Streams{seed: seed, byName: map[string]*rand.Rand{}}
 }
 
-// Of is the stream of a name.
+// Stream returns the stream with a name, and creates it at its first use.
 func (s *Streams) Stream(name string) *rand.Rand {
 	r := s.byName[name]
 	if r == nil {
