--- a/internal/simulator/nomad.go
+++ b/internal/simulator/nomad.go
@@ -10,14 +10,15 @@
 	nomadapi "aspenstall/internal/nomad/httpapi"
 )
 
-// AgentToken is what the machines of the world read descriptions with.
+// AgentToken is the token with which the world's machines read job descriptions.
 const AgentToken = "token of the machines"
 
-// NomadAddr is where a node serves Nomad's clients.
+// NomadAddr returns the address at which a node serves Nomad clients.
 func (w *World) NomadAddr(i int) string { return w.Nodes[i].nomadAddr }
 
-// description is what a machine reads of a job that came in as a job file. Its
-// names stand here again, as those of the protocol do.
+// description is what a machine reads about a job that was submitted as a job file. Its names are
+// written out here independently of the code that serves it, as those of the worker protocol are,
+// so that the check does not repeat a mistake there.
 type description struct {
 	Job struct {
 		Namespace, ID, Type string
@@ -36,8 +37,8 @@
 	Meta  map[string]string
 }
 
-// spec is the description as if a user had uploaded it. A task runs as long as
-// its owner thinks.
+// toSpec converts the description to a Spec, as if a user had uploaded it, or returns nil if the
+// group is missing. The real run time equals the owner's estimate.
 func (d *description) toSpec() *Spec {
 	for _, g := range d.Job.TaskGroups {
 		if g.Name != d.Group {
@@ -66,7 +67,8 @@
 	return nil
 }
 
-// describe reads a task's description of the controllers and lets it go on.
+// fetchDescription reads the description of a task's job from the controllers, and then fetches the
+// image, or lets the task fail if there is no description or no capacity.
 func (k *Worker) fetchDescription(t *workerTask, job string) {
 	spec := k.env.JobFromFile(job)
 	k.mu.Lock()
@@ -96,8 +98,8 @@
 	t.timer = time.AfterFunc(fetch, func() { k.imageFetched(t) })
 }
 
-// readFile asks the controllers one after the other for a job's description, for a
-// while.
+// fetchFileJob reads a job's description from the controllers in turn, with up to 12 attempts 0.5 s
+// apart. It returns nil if none of them returned it.
 func (w *World) fetchFileJob(job string) *Spec {
 	for try := range 12 {
 		if s := w.spec(job); s != nil {
@@ -129,14 +131,14 @@
 	return nil
 }
 
-// Natives lists the native jobs of a job file that a machine has begun.
+// NativeJobs returns the native jobs of a job file whose descriptions machines have read.
 func (w *World) NativeJobs(team, name string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.nativeJobs[team+"/"+name]...)
 }
 
-// Ended notes that a user was told that native jobs are cancelled.
+// NoteCancelled records that a user was told that native jobs are cancelled.
 func (w *World) NoteCancelled(ids []string) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
@@ -147,7 +149,7 @@
 	}
 }
 
-// On counts the tasks of a native job that are on machines.
+// RunningTasks returns the number of a job's tasks that are on machines.
 func (w *World) RunningTasks(id string) int {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
@@ -160,11 +162,10 @@
 	return n
 }
 
-// NomadHandler is what a node serves Nomad's clients with, for a listener of
-// the caller's own.
+// NomadHandler returns a node's handler for Nomad clients, for use with a listener of the caller.
 func (w *World) NomadHandler(i int) http.Handler {
 	return nomadapi.Handler(w.Nodes[i].node, w.Settings.Nomad, w.Log)
 }
 
-// Waiting counts the blocking queries that wait at a node.
+// BlockingQueries returns the number of blocking queries that are waiting at a node.
 func (w *World) BlockingQueries(i int) int { return w.Nodes[i].node.BlockingQueries(w.ctx) }
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// worldSite is what the workers of a world find round them.
+// worldEnvironment is the environment of the workers of a World.
 type worldEnvironment struct{ w *World }
 
-func (s worldEnvironment) Context() context.Context           { return s.w.ctx }
-func (s worldEnvironment) Logger() *slog.Logger               { return s.w.Log }
-func (s worldEnvironment) Client(address string) *http.Client { return s.w.Net.Client(address) }
-func (s worldEnvironment) Freeze(address string, still bool)  { s.w.Net.Freeze(address, still) }
-func (s worldEnvironment) Job(id string) *Spec                { return s.w.spec(id) }
-func (s worldEnvironment) JobFromFile(id string) *Spec        { return s.w.fetchFileJob(id) }
-func (s worldEnvironment) ServesJobFiles() bool               { return s.w.Settings.Nomad != nil }
-func (s worldEnvironment) Observer() Observer                 { return s.w.checker }
-func (s worldEnvironment) Gangs() GangCoordinator             { return s.w }
+func (e worldEnvironment) Context() context.Context           { return e.w.ctx }
+func (e worldEnvironment) Logger() *slog.Logger               { return e.w.Log }
+func (e worldEnvironment) Client(address string) *http.Client { return e.w.Net.Client(address) }
+func (e worldEnvironment) Freeze(address string, frozen bool) { e.w.Net.Freeze(address, frozen) }
+func (e worldEnvironment) Job(id string) *Spec                { return e.w.spec(id) }
+func (e worldEnvironment) JobFromFile(id string) *Spec        { return e.w.fetchFileJob(id) }
+func (e worldEnvironment) ServesJobFiles() bool               { return e.w.Settings.Nomad != nil }
+func (e worldEnvironment) Observer() Observer                 { return e.w.checker }
+func (e worldEnvironment) Gangs() GangCoordinator             { return e.w }
 
-func (s worldEnvironment) Serve(k *Worker) (stop func()) {
-	s.w.Net.SetZone(k.address, k.zone)
-	l := s.w.Net.Serve(k.address, s.w.WorkerFaults.Wrap(k))
+func (e worldEnvironment) Serve(k *Worker) (stop func()) {
+	e.w.Net.SetZone(k.address, k.zone)
+	l := e.w.Net.Serve(k.address, e.w.WorkerFaults.Wrap(k))
 	return func() {
 		_ = l.Close()
-		go s.w.Net.DropHost(k.address)
+		go e.w.Net.DropHost(k.address)
 	}
 }
 
-func (s worldEnvironment) Controllers() []Controller {
-	out := make([]Controller, len(s.w.Nodes))
-	for i, n := range s.w.Nodes {
+func (e worldEnvironment) Controllers() []Controller {
+	out := make([]Controller, len(e.w.Nodes))
+	for i, n := range e.w.Nodes {
 		out[i] = Controller{Name: n.Name, Address: n.addr}
 	}
 	return out
 }
 
-func (s worldEnvironment) Timing() Timing {
-	return Timing{Lease: s.w.leaseTTL, GangWait: s.w.gangWaitTimeout, ReportInterval: func() time.Duration { return s.w.reportInterval }}
+func (e worldEnvironment) Timing() Timing {
+	return Timing{Lease: e.w.leaseTTL, GangWait: e.w.gangWaitTimeout, ReportInterval: func() time.Duration { return e.w.reportInterval }}
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -15,9 +15,10 @@
 	"aspenstall/internal/wire"
 )
 
-// The field names stand here again, apart from package wire: a mistake there
-// must not be repeated by the side that checks it.
+// The names of the worker protocol are written out here again, independently of package wire, so
+// that the simulated worker does not repeat a mistake that is made there.
 
+// workerTask is a task as a worker reports it.
 type workerTask struct {
 	Task         string `msgpack:"lot"`
 	Attempt      uint64 `msgpack:"try"`
@@ -26,11 +27,12 @@
 	Checkpointed bool   `msgpack:"kept,omitempty"`
 
 	spec      *Spec
-	onMachine bool // has its image, so it is on its machine
+	onMachine bool // the image is fetched, and the observer was told that the task started
 	timer     *time.Timer
 	runningAt time.Time
 }
 
+// statusReport is a worker's report.
 type statusReport struct {
 	Machine    string        `msgpack:"stall"`
 	Address    string        `msgpack:"address"`
@@ -44,6 +46,7 @@
 	Tasks      []*workerTask `msgpack:"lots"`
 }
 
+// command is a controller's command about one task.
 type command struct {
 	Op          string  `msgpack:"verb"`
 	Task        string  `msgpack:"lot"`
@@ -51,79 +54,81 @@
 	GracePeriod float64 `msgpack:"wind_down_s"`
 }
 
+// commandBatch holds commands as a controller sends them, directly or in the answer to a report.
 type commandBatch struct {
 	Token    uint64    `msgpack:"epoch"`
 	Session  uint64    `msgpack:"tenure"`
 	Commands []command `msgpack:"orders"`
 }
 
-// Site is what a worker finds round it.
+// Environment is what a worker needs from the simulation in which it runs.
 type Environment interface {
-	// Context ends with the site.
+	// Context is cancelled when the simulation ends.
 	Context() context.Context
 	Logger() *slog.Logger
-	// Serve serves the worker's direct commands at its address until stop is called, which
-	// also ends its connections.
+	// Serve serves direct commands at the worker's address until stop is called, which also closes
+	// its connections.
 	Serve(k *Worker) (stop func())
-	// Client sends from the worker's address.
+	// Client returns an HTTP client that connects from the worker's address.
 	Client(address string) *http.Client
-	// Still has nothing go to or from an address, or lets it go on.
-	Freeze(address string, still bool)
+	// Freeze holds back all packets to and from an address, or releases them.
+	Freeze(address string, frozen bool)
 	Controllers() []Controller
-	// Job is a job's description as its user uploaded it, nil if there is none.
+	// Job returns a job as its user uploaded it, or nil if no user did.
 	Job(id string) *Spec
-	// FileJob reads a job's description of the controllers; served tells whether there are
-	// any to be read.
+	// JobFromFile reads the description of a job that was submitted as a job file from the
+	// controllers. It returns nil if there is none.
 	JobFromFile(id string) *Spec
+	// ServesJobFiles reports whether the controllers accept job files.
 	ServesJobFiles() bool
 	Timing() Timing
 	Observer() Observer
-	// Gangs brings gangs' tasks together; nil: there are none.
+	// Gangs returns the coordinator of gangs' tasks, or nil if there are no gangs.
 	Gangs() GangCoordinator
 }
 
-// Gangs is told as a gang's task waits for the others, and as it leaves, for which it gives
-// the cause. The worker's lock is held.
+// GangCoordinator is notified when a gang's task begins to wait for the others (gangJoined) and
+// when it exits (gangLeft, which returns the cause to report). The worker's lock is held.
 type GangCoordinator interface {
 	gangJoined(t *workerTask, k *Worker)
-	gangLeft(t *workerTask, why string) string
+	gangLeft(t *workerTask, cause string) string
 }
 
-// Controller is a controller that workers report to.
+// Controller is a controller to which workers report.
 type Controller struct{ Name, Address string }
 
-// Timing is how workers go by time.
+// Timing holds the durations that workers use.
 type Timing struct {
 	Lease, GangWait time.Duration
-	ReportInterval  func() time.Duration // until the next report
+	ReportInterval  func() time.Duration // the time until the next report
 }
 
-// Observer is told what workers do with tasks; the worker's lock is held.
+// Observer is notified of what workers do with tasks; the worker's lock is held.
 type Observer interface {
 	TaskStarted(t TaskOnMachine)
 	TaskLeft(t TaskOnMachine)
-	TaskDone(task string, of *Spec)
+	TaskDone(task string, spec *Spec)
 	StartExecuted(task string)
-	// Expired is told that a lease runs out on a machine with so many tasks.
+	// LeaseExpired is called when a session's lease runs out, with the tasks on the machine.
 	LeaseExpired(m MachineInfo, session uint64, tasks []TaskOnMachine)
 }
 
-// TaskOn is a task on a machine.
+// TaskOnMachine is an attempt of a task on a machine.
 type TaskOnMachine struct {
 	Task    string
 	Attempt uint64
-	Cause   string // it left
+	Cause   string // why it left the machine
 	Spec    *Spec
 	Host    MachineInfo
 }
 
-// Place is a machine.
+// MachineInfo describes a machine: its name, type and zone, and whether it is a spot machine.
 type MachineInfo struct {
 	Machine, Type, Zone string
 	Spot                bool
 }
 
-// Worker is a stand-in for a worker.
+// Worker is a simulated worker on a machine.
 type Worker struct {
 	env         Environment
 	name        string
@@ -139,44 +144,45 @@
 	spotNotice       *float64
 	tasks            []*workerTask
 	images           map[string]bool
-	lastAcknowledged time.Time
-	startedAt        time.Time // when it was
+	lastAcknowledged time.Time // when the last report that was acknowledged was sent
+	startedAt        time.Time
 	dead             bool
-	inboundLost      bool // its reports arrive, answers and direct commands to it are lost
-	outboundLost     bool // direct commands arrive and are answered, its reports reach nobody
-	hung             bool // it executes nothing; its tasks make no progress
-	FailsTasks       bool // every task it starts fails
-	wake             chan struct{}
+	inboundLost      bool          // its reports arrive, but answers and direct commands to it are lost
+	outboundLost     bool          // direct commands arrive and are answered, but its reports are lost
+	hung             bool          // all packets to and from the machine are held back
+	FailsTasks       bool          // every task that starts here fails
+	wake             chan struct{} // a report is to be sent soon
 	stop             context.CancelFunc
 	stopServing      func()
 }
 
-// StartWorker starts a machine's worker at an address.
-func StartWorker(site Environment, at string, m MachineInfo, t *MachineType) *Worker {
-	ctx, cancel := context.WithCancel(site.Context())
+// StartWorker starts the worker of a machine at an address.
+func StartWorker(env Environment, at string, m MachineInfo, t *MachineType) *Worker {
+	ctx, cancel := context.WithCancel(env.Context())
 	k := &Worker{
-		env: site, name: m.Machine, address: at, machineType: t, zone: m.Zone, spot: m.Spot, session: 1,
+		env: env, name: m.Machine, address: at, machineType: t, zone: m.Zone, spot: m.Spot, session: 1,
 		images: map[string]bool{}, lastAcknowledged: time.Now(), startedAt: time.Now(), wake: make(chan struct{}, 1), stop: cancel,
 	}
-	k.stopServing = site.Serve(k)
+	k.stopServing = env.Serve(k)
 	go k.reportLoop(ctx)
 	go k.watchLease(ctx)
 	return k
 }
 
-// Place is the machine.
+// Info returns the machine's description.
 func (k *Worker) Info() MachineInfo {
 	return MachineInfo{Machine: k.name, Type: k.machineType.Name, Zone: k.zone, Spot: k.spot}
 }
 
+// taskOnMachine returns a task as observers get it.
 func (k *Worker) taskOnMachine(t *workerTask) TaskOnMachine {
 	return TaskOnMachine{Task: t.Task, Attempt: t.Attempt, Cause: t.Cause, Spec: t.spec, Host: k.Info()}
 }
 
-// Name is the machine's name.
+// Name returns the machine's name.
 func (k *Worker) Name() string { return k.name }
 
-// Die ends the machine and everything on it.
+// Terminate stops the machine and all tasks on it.
 func (k *Worker) Terminate() {
 	k.mu.Lock()
 	k.dead = true
@@ -186,19 +192,19 @@
 	k.stopServing()
 }
 
-// Hang has the machine answer nothing and report nothing, or go on.
-func (k *Worker) SetHung(hang bool) {
+// SetHung makes the machine stop answering and reporting, or go on.
+func (k *Worker) SetHung(hung bool) {
 	k.mu.Lock()
-	k.hung = hang
+	k.hung = hung
 	k.mu.Unlock()
-	k.env.Freeze(k.address, hang)
+	k.env.Freeze(k.address, hung)
 }
 
-// Mute cuts the way from the machine to the controllers, and not the way back, or mends
-// it: a one-way partition.
-func (k *Worker) SetOutboundLost(mute bool) {
+// SetOutboundLost starts or ends a one-way partition in which the machine's reports are lost, while
+// direct commands still arrive and are answered.
+func (k *Worker) SetOutboundLost(lost bool) {
 	k.mu.Lock()
-	k.outboundLost = mute
+	k.outboundLost = lost
 	k.mu.Unlock()
 }
 
@@ -208,10 +214,11 @@
 	return k.outboundLost
 }
 
-// Deaf has what is sent to the machine lost, and not what it sends, or lets it hear.
-func (k *Worker) SetInboundLost(deaf bool) {
+// SetInboundLost starts or ends a one-way partition in which answers and direct commands to the
+// machine are lost, while its reports still arrive.
+func (k *Worker) SetInboundLost(lost bool) {
 	k.mu.Lock()
-	k.inboundLost = deaf
+	k.inboundLost = lost
 	k.mu.Unlock()
 }
 
@@ -221,13 +228,13 @@
 	return k.inboundLost
 }
 
-// Up is for how long the machine has been up.
+// Uptime returns how long the machine has been up.
 func (k *Worker) Uptime() time.Duration { return time.Since(k.startedAt) }
 
-// Zone is the machine's zone.
+// Zone returns the machine's zone.
 func (k *Worker) Zone() string { return k.zone }
 
-// SetNotice lets the worker report that the cloud takes the machine away.
+// SetSpotNotice makes the worker report that the cloud will reclaim the machine in so many seconds.
 func (k *Worker) SetSpotNotice(seconds float64) {
 	k.mu.Lock()
 	k.spotNotice = &seconds
@@ -235,13 +242,14 @@
 	k.reportSoon()
 }
 
-// SetSick makes every task that starts here fail.
+// SetFailsTasks makes every task that starts on the machine from now on fail.
 func (k *Worker) SetFailsTasks() {
 	k.mu.Lock()
 	k.FailsTasks = true
 	k.mu.Unlock()
 }
 
+// reportSoon makes the worker report before the usual interval is over.
 func (k *Worker) reportSoon() {
 	select {
 	case k.wake <- struct{}{}:
@@ -249,7 +257,7 @@
 	}
 }
 
-// forgetAll kills all tasks; k.mu is held.
+// dropTasks kills all tasks and forgets them; k.mu is held.
 func (k *Worker) dropTasks() {
 	for _, t := range k.tasks {
 		if t.timer != nil {
@@ -260,7 +268,7 @@
 	k.tasks = nil
 }
 
-// leave tells the checker that a task is not on the machine any more.
+// noteLeft tells the observer that a task is no longer on the machine; k.mu is held.
 func (k *Worker) noteLeft(t *workerTask) {
 	if t.onMachine {
 		t.onMachine = false
@@ -268,8 +276,8 @@
 	}
 }
 
-// keepLease ends the worker's lease in the moment in which the last answered
-// report was sent so long ago: controllers count on that moment.
+// watchLease ends the worker's session exactly when its lease has passed since the last
+// acknowledged report was sent. Controllers rely on that time.
 func (k *Worker) watchLease(ctx context.Context) {
 	t := time.NewTimer(k.env.Timing().Lease)
 	defer t.Stop()
@@ -292,7 +300,7 @@
 	}
 }
 
-// expire tells the observer that the lease is over; k.mu is held.
+// noteLeaseExpired tells the observer that the lease is over; k.mu is held.
 func (k *Worker) noteLeaseExpired() {
 	var on []TaskOnMachine
 	for _, t := range k.tasks {
@@ -303,7 +311,7 @@
 	k.env.Observer().LeaseExpired(k.Info(), k.session, on)
 }
 
-// snapshot is the current report; k.mu is held.
+// encodeReport returns the current report, encoded, with the next sequence number; k.mu is held.
 func (k *Worker) encodeReport() []byte {
 	k.seq++
 	b, _ := wire.Marshal(&statusReport{
@@ -313,10 +321,11 @@
 	return b
 }
 
-// report sends reports to one node after the other until one takes them.
+// reportLoop sends reports. It tries the nodes in turn, or the one that a node names as the leader,
+// until one accepts the report.
 func (k *Worker) reportLoop(ctx context.Context) {
 	client := k.env.Client(k.address)
-	cur := 0
+	current := 0
 	for ctx.Err() == nil {
 		nodes := k.env.Controllers()
 		k.mu.Lock()
@@ -324,7 +333,7 @@
 		session := k.session
 		k.mu.Unlock()
 		sent := time.Now()
-		status, answer := k.postReport(ctx, client, nodes[cur%len(nodes)].Address, body)
+		status, answer := k.postReport(ctx, client, nodes[current%len(nodes)].Address, body)
 		pause := k.env.Timing().ReportInterval()
 		switch status {
 		case http.StatusOK:
@@ -343,15 +352,15 @@
 				Node string `msgpack:"foreman"`
 			}
 			_ = wire.Unmarshal(answer, &r)
-			cur++
+			current++
 			pause = time.Second
 			for i := range nodes {
-				if nodes[i].Name == r.Node && i != (cur-1)%len(nodes) {
-					cur, pause = i, 100*time.Millisecond
+				if nodes[i].Name == r.Node && i != (current-1)%len(nodes) {
+					current, pause = i, 100*time.Millisecond
 				}
 			}
 		default:
-			cur++
+			current++
 			pause = time.Second
 		}
 		if time.Since(sent) < 500*time.Millisecond {
@@ -368,6 +377,8 @@
 	}
 }
 
+// postReport sends a report to a node and returns the response's status and body; the status is 0
+// if there was no response.
 func (k *Worker) postReport(ctx context.Context, c *http.Client, at string, body []byte) (int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
@@ -387,7 +398,7 @@
 	return status, b
 }
 
-// Exchange sends a request and reads the whole answer; the status is 0 if there is none.
+// Exchange sends a request and reads the whole response; the status is 0 if there is none.
 func Exchange(c *http.Client, req *http.Request) (status int, body []byte) {
 	resp, err := c.Do(req)
 	if err != nil {
@@ -405,7 +416,7 @@
 func (k *Worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
 	if k.isInboundLost() {
-		select { // the sender gives up, unless this is a late copy
+		select { // the sender times out; a late copy has no sender, so the wait is limited
 		case <-r.Context().Done():
 		case <-time.After(10 * time.Second):
 		}
@@ -437,6 +448,7 @@
 	_, _ = w.Write(k.encodeReport())
 }
 
+// findTask returns an attempt of a task, or nil; k.mu is held.
 func (k *Worker) findTask(task string, attempt uint64) *workerTask {
 	for _, t := range k.tasks {
 		if t.Task == task && t.Attempt == attempt {
@@ -446,7 +458,7 @@
 	return nil
 }
 
-// execute carries out commands in their order; k.mu is held.
+// execute executes commands in order; k.mu is held.
 func (k *Worker) execute(cmds []command) {
 	for _, o := range cmds {
 		k.env.Logger().Debug("executed", "machine", k.name, "op", o.Op, "task", o.Task, "attempt", o.Attempt, "token", k.token, "session", k.session)
@@ -476,49 +488,52 @@
 	}
 }
 
-func (k *Worker) exitTask(t *workerTask, why string, saved bool) {
+// exitTask ends a task with a cause; k.mu is held. checkpointed reports whether it saved its state.
+func (k *Worker) exitTask(t *workerTask, cause string, checkpointed bool) {
 	if g := k.env.Gangs(); g != nil {
-		why = g.gangLeft(t, why)
+		cause = g.gangLeft(t, cause)
 	}
-	t.State, t.Cause, t.Checkpointed = "exited", why, saved
-	if why == "done" {
+	t.State, t.Cause, t.Checkpointed = "exited", cause, checkpointed
+	if cause == "done" {
 		k.env.Observer().TaskDone(t.Task, t.spec)
 	}
 	k.noteLeft(t)
 	k.reportSoon()
 }
 
-// end ends a task from a timer.
-func (k *Worker) exitFromTimer(t *workerTask, why string, saved bool) {
+// exitFromTimer ends a task when its timer fires, unless it has ended before.
+func (k *Worker) exitFromTimer(t *workerTask, cause string, checkpointed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if t.State != "exited" && k.findTask(t.Task, t.Attempt) == t {
-		k.exitTask(t, why, saved)
+		k.exitTask(t, cause, checkpointed)
 	}
 }
 
+// startTask starts an attempt of a task: it fetches the image, or reports at once why the task
+// cannot start; k.mu is held.
 func (k *Worker) startTask(task string, attempt uint64) {
 	job, index, _ := strings.Cut(task, "/")
 	spec := k.env.Job(job)
 	t := &workerTask{Task: task, Attempt: attempt, State: "exited", spec: spec}
 	var cpus, gpus, mem float64
-	busy := false
+	duplicate := false
 	for _, o := range k.tasks {
 		if o.State != "exited" {
 			cpus, gpus, mem = cpus+o.spec.CPUs, gpus+o.spec.GPUs, mem+o.spec.MemGB
-			busy = busy || o.Task == task
+			duplicate = duplicate || o.Task == task
 		}
 	}
 	k.tasks = append(k.tasks, t)
 	i, err := strconv.Atoi(index)
 	switch {
 	case spec == nil && err == nil && k.env.ServesJobFiles():
-		// No user uploaded it: perhaps it came in as a job file.
+		// No user uploaded the job, so it may have been submitted as a job file.
 		t.State, t.spec = "fetching", &Spec{}
 		go k.fetchDescription(t, job)
 	case spec == nil || err != nil || i >= spec.Tasks:
 		t.Cause = "no_such"
-	case busy:
+	case duplicate:
 		t.Cause = "in_use"
 	case cpus+spec.CPUs > k.machineType.CPUs || gpus+spec.GPUs > k.machineType.GPUs || mem+spec.MemGB > k.machineType.MemGB:
 		t.Cause = "no_room"
@@ -533,6 +548,8 @@
 	k.reportSoon()
 }
 
+// imageFetched continues a task whose image has been fetched: a gang's task waits for the others,
+// all other tasks run.
 func (k *Worker) imageFetched(t *workerTask) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -557,7 +574,8 @@
 	k.reportSoon()
 }
 
-// run lets a task run; k.mu is held.
+// runTask lets a task run until its run time is over, or without end if it is a service's; k.mu is
+// held.
 func (k *Worker) runTask(t *workerTask) {
 	t.State, t.runningAt = "running", time.Now()
 	if t.spec.Shape == "standing" {
@@ -571,7 +589,7 @@
 	t.timer = time.AfterFunc(time.Duration(run*float64(time.Second)), func() { k.exitFromTimer(t, "done", false) })
 }
 
-// Running lists the tasks on the machine.
+// RunningTasks returns the names of the tasks on the machine, sorted.
 func (k *Worker) RunningTasks() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -585,7 +603,8 @@
 	return out
 }
 
-// Session is the number of its session, and the tasks that it has been given in it.
+// Session returns the number of the worker's session and the names of the tasks that it reports in
+// it, also of those that have exited.
 func (k *Worker) Session() (number uint64, tasks []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -595,7 +614,7 @@
 	return k.session, tasks
 }
 
-// Tasks counts the tasks that the machine has been given and has not ended.
+// ActiveTasks returns the number of tasks that have not exited.
 func (k *Worker) ActiveTasks() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -608,10 +627,10 @@
 	return n
 }
 
-// Addr is the worker's address.
+// Address returns the worker's address.
 func (k *Worker) Address() string { return k.address }
 
-// Answered is when its last report that was answered was sent.
+// LastAcknowledged returns when the last report that was acknowledged was sent.
 func (k *Worker) LastAcknowledged() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -21,7 +21,8 @@
 	"aspenstall/internal/wire"
 )
 
-// Spec is a job as a user of the stand-in world submits it.
+// Spec is a job as a simulated user submits it. The fields without a name in msgpack are known to
+// the simulation only.
 type Spec struct {
 	ID          string  `msgpack:"uid"`
 	Class       string  `msgpack:"herd"`
@@ -44,26 +45,26 @@
 	SaveS       float64 `msgpack:"pin_cost_s"`
 	DueS        any     `msgpack:"due_s"`
 
-	RunS   float64         `msgpack:"-"`
-	RunOf  map[int]float64 `msgpack:"-"` // of single tasks
-	Broken bool            `msgpack:"-"` // fails on every machine
+	RunS   float64         `msgpack:"-"` // the real run time of a task
+	RunOf  map[int]float64 `msgpack:"-"` // run times by task index, in place of RunS
+	Broken bool            `msgpack:"-"` // its tasks fail on every machine
 }
 
-// Node is a controller of the world.
+// Node is a controller of a World.
 type Node struct {
 	Name                   string
 	Zone                   string
 	addr                   string
-	peerAddr               string // where the others reach it
-	nomadAddr              string // where Nomad's clients do
+	peerAddr               string // where the other controllers reach it
+	nomadAddr              string // where Nomad clients reach it
 	gate                   *logGate
 	cancel                 context.CancelFunc
 	listener, peerListener net.Listener
-	nomadListener          net.Listener // nil: Nomad's clients are not served
+	nomadListener          net.Listener // nil if Nomad clients are not served
 	node                   *node.Node
 }
 
-// World is a deployment of stand-ins round real controllers.
+// World is a deployment of real controllers with simulated services, machines and users.
 type World struct {
 	Net          *Net
 	State        *State
@@ -71,11 +72,11 @@
 	Cloud        *Cloud
 	CloudFaults  *Faults
 	WorkerFaults *Faults
-	NodeFaults   []*Faults // of what each node serves
+	NodeFaults   []*Faults // faults of the requests that each node serves
 	Nodes        []*Node
 	Log          *slog.Logger
-	Settings     config.Settings // of the nodes that are started from now on
-	RestartDelay time.Duration   // until a node that ended with a request is started again
+	Settings     config.Settings // for nodes that are started from now on
+	RestartDelay time.Duration   // the time until a node that crashed during a request is restarted
 
 	ctx                                             context.Context
 	cancel                                          context.CancelFunc
@@ -83,24 +84,25 @@
 	leaseTTL, reportInterval                        time.Duration
 	gangWaitTimeout, gangPeerTimeout, cancelTimeout time.Duration
 
-	nodesMu sync.Mutex // nodes start and end
-	closed  bool       // none starts any more
+	nodesMu sync.Mutex // held while a node is started or ended
+	closed  bool       // no node is started any more
 
 	mu             sync.Mutex
-	onUserState    func(id string) // see Looks
-	onLastTaskDone func(id string) // see Last
+	onUserState    func(id string) // see OnUserState
+	onLastTaskDone func(id string) // see OnLastTaskDone
 	specs          map[string]*Spec
-	nativeJobs     map[string][]string // native jobs of job files that a machine has run, by team/name
+	nativeJobs     map[string][]string // native jobs whose descriptions machines have read, by team/name
 	gangs          map[string]*gangState
 	checker        *worldChecker
 	userRequests   int
 }
 
+// gangState is the state of one attempt of a gang.
 type gangState struct {
-	ready   map[*workerTask]*Worker
+	ready   map[*workerTask]*Worker // tasks that wait for the others, or run
 	running bool
-	ended   bool // a task has left
-	done    bool // it was done
+	ended   bool // a task has exited
+	done    bool // the tasks were done
 }
 
 // Addresses of the services.
@@ -109,8 +111,8 @@
 	cloudAddr = "10.2.0.2:8443"
 )
 
-// NewWorld starts services and nodes. It must be called in a bubble of fake
-// time, and closed there.
+// NewWorld starts the simulated services and sets up three nodes, which StartNode starts. It must
+// be called, and the world closed, in a synctest bubble.
 func NewWorld(seed uint64, p config.Platform, types []MachineType) *World {
 	ctx, cancel := context.WithCancel(context.Background())
 	sec := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -155,7 +157,7 @@
 	return w
 }
 
-// StartNode starts a node's process unless it runs.
+// StartNode starts a node's process unless it is running.
 func (w *World) StartNode(i int) {
 	w.nodesMu.Lock()
 	defer w.nodesMu.Unlock()
@@ -184,8 +186,8 @@
 	go func() { _ = peer.Serve(n.peerListener, nd) }()
 }
 
-// LogTo has the nodes that are started from now on log to h, and beside them what the
-// stand-ins do with tasks.
+// SetLogHandler sets the log handler of the nodes that are started from now on, and of the
+// simulation's own log.
 func (w *World) SetLogHandler(h slog.Handler) {
 	w.Log = slog.New(h)
 	for _, n := range w.Nodes {
@@ -193,8 +195,8 @@
 	}
 }
 
-// Freeze has a node stand still while its clocks run on, or lets it go on:
-// nothing reaches it or leaves it, and whatever it wants to log waits.
+// Freeze pauses a node's process while its clocks run on, or resumes it. Packets to and from the
+// node are held back, and goroutines that log block.
 func (w *World) Freeze(i int, frozen bool) {
 	n := w.Nodes[i]
 	n.gate.setClosed(frozen)
@@ -202,7 +204,8 @@
 	w.Net.Freeze(n.peerAddr, frozen)
 }
 
-// Leader is the node that leads, by the state service's record; -1 for none.
+// Leader returns the index of the leader according to the state service's record, or -1 if there is
+// none.
 func (w *World) Leader() int {
 	e, ok := w.State.Get("c/leader")
 	if !ok {
@@ -216,7 +219,8 @@
 	return -1
 }
 
-// gate is a log handler that can be shut: who logs then waits.
+// logGate is a log handler that can be closed. Goroutines that log while it is closed block until
+// it is open again.
 type logGate struct {
 	slog.Handler
 	mu     sync.Mutex
@@ -224,20 +228,23 @@
 	closed bool
 }
 
+// newLogGate returns an open gate in front of a handler.
 func newLogGate(h slog.Handler) *logGate {
 	g := &logGate{Handler: h}
 	g.opened = sync.NewCond(&g.mu)
 	return g
 }
 
-func (g *logGate) setClosed(shut bool) {
+// setClosed closes or opens the gate.
+func (g *logGate) setClosed(closed bool) {
 	g.mu.Lock()
-	g.closed = shut
+	g.closed = closed
 	g.opened.Broadcast()
 	g.mu.Unlock()
 }
 
-// Enabled is asked for every line, also for those that are thrown away.
+// Enabled blocks while the gate is closed. slog calls it for each log line, also for those that are
+// discarded.
 func (g *logGate) Enabled(ctx context.Context, l slog.Level) bool {
 	g.mu.Lock()
 	for g.closed {
@@ -247,7 +254,7 @@
 	return g.Handler.Enabled(ctx, l)
 }
 
-// Kill ends a node's process without a word.
+// Kill ends a node's process as a crash does.
 func (w *World) Kill(i int) {
 	w.nodesMu.Lock()
 	defer w.nodesMu.Unlock()
@@ -267,8 +274,7 @@
 	w.Net.DropHost(n.peerAddr)
 }
 
-// endsWith ends the process of the node at an address, without a word, and starts it
-// again at once.
+// crashNodeAt crashes the process of the node at an address, and restarts it after RestartDelay.
 func (w *World) crashNodeAt(at string) {
 	for i, n := range w.Nodes {
 		if n.addr == at {
@@ -278,7 +284,7 @@
 	}
 }
 
-// Close ends everything.
+// Close ends all nodes, machines and services.
 func (w *World) Close() {
 	w.nodesMu.Lock()
 	w.closed = true
@@ -291,47 +297,50 @@
 	}
 	w.cancel()
 	w.Net.Close()
-	// Timers and retries that are under way end by themselves; a bubble of
-	// fake time must not be left before.
+	// Pending timers and retries end by themselves. The synctest bubble must not be left before
+	// that.
 	time.Sleep(5 * time.Minute)
 }
 
-// NodeAddr is a node's address.
+// NodeAddr returns a node's address.
 func (w *World) NodeAddr(i int) string { return w.Nodes[i].addr }
 
-// CutPeers cuts or mends the ways between the nodes, and nothing else.
-func (w *World) BlockPeerLinks(cut bool) {
+// BlockPeerLinks blocks or unblocks the links between all nodes, and no others.
+func (w *World) BlockPeerLinks(blocked bool) {
 	for i := range w.Nodes {
-		w.BlockPeerLinksOf(i, cut)
+		w.BlockPeerLinksOf(i, blocked)
 	}
 }
 
-// CutPeersOf cuts or mends the ways between a node and the others.
-func (w *World) BlockPeerLinksOf(i int, cut bool) {
+// BlockPeerLinksOf blocks or unblocks the links between a node and the other nodes.
+func (w *World) BlockPeerLinksOf(i int, blocked bool) {
 	for _, b := range w.Nodes {
 		if a := w.Nodes[i]; a != b {
-			w.Net.BlockLink(a.addr, b.peerAddr, cut)
-			w.Net.BlockLink(b.addr, a.peerAddr, cut)
+			w.Net.BlockLink(a.addr, b.peerAddr, blocked)
+			w.Net.BlockLink(b.addr, a.peerAddr, blocked)
 		}
 	}
 }
 
-// StateAddr is the state service's address.
+// StateAddr returns the state service's address.
 func (w *World) StateAddr() string { return stateAddr }
 
+// spec returns a job that users submitted or machines read, or nil.
 func (w *World) spec(id string) *Spec {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.specs[id]
 }
 
+// allSpecs returns a copy of the jobs by ID.
 func (w *World) allSpecs() map[string]*Spec {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.specs)
 }
 
-// gangJoined lets a gang run once all its tasks wait; the worker's lock is held.
+// gangJoined records that a gang's task waits for the others, and lets the gang run once all its
+// tasks wait; the worker's lock is held.
 func (w *World) gangJoined(t *workerTask, k *Worker) {
 	job, _, _ := strings.Cut(t.Task, "/")
 	key := fmt.Sprintf("%s#%d", job, t.Attempt)
@@ -342,14 +351,14 @@
 		w.gangs[key] = g
 	}
 	g.ready[t] = k
-	full := len(g.ready) == t.spec.Tasks && !g.running
+	complete := len(g.ready) == t.spec.Tasks && !g.running
 	var members map[*workerTask]*Worker
-	if full {
+	if complete {
 		g.running = true
-		members = maps.Clone(g.ready) // a task may leave while the others begin
+		members = maps.Clone(g.ready) // a task may exit while the others begin to run
 	}
 	w.mu.Unlock()
-	if !full {
+	if !complete {
 		return
 	}
 	go func() {
@@ -365,42 +374,43 @@
 	}()
 }
 
-// gangLeft lets the rest of a gang notice that a task leaves, and says why it
-// does. The tasks of a gang complete together: if one is done, all are, and none
-// is once another has gone.
-func (w *World) gangLeft(t *workerTask, why string) string {
+// gangLeft records that a gang's task exits, lets the other tasks exit too, and returns the cause
+// that the worker reports. The tasks of a gang complete together: if one is done, all are, and no
+// task is done after another has exited with a failure. The worker's lock is held.
+func (w *World) gangLeft(t *workerTask, cause string) string {
 	if t.spec == nil || t.spec.Shape != "ensemble" {
-		return why
+		return cause
 	}
 	job, _, _ := strings.Cut(t.Task, "/")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	g := w.gangs[fmt.Sprintf("%s#%d", job, t.Attempt)]
 	if g == nil {
-		return why
+		return cause
 	}
 	delete(g.ready, t)
-	if g.ended && !g.done && why == "done" {
+	if g.ended && !g.done && cause == "done" {
 		return "mates_gone"
 	}
 	if !g.running || g.ended {
-		return why
+		return cause
 	}
 	g.ended = true
-	after, with := w.gangPeerTimeout/2, "mates_gone"
-	if why == "done" {
-		after, with, g.done = 0, "done", true
+	delay, peerCause := w.gangPeerTimeout/2, "mates_gone"
+	if cause == "done" {
+		delay, peerCause, g.done = 0, "done", true
 		for i := range t.spec.Tasks {
 			w.checker.TaskDone(wire.TaskName(job, i), nil)
 		}
 	}
 	for o, k := range g.ready {
-		time.AfterFunc(after, func() { k.exitFromTimer(o, with, false) })
+		time.AfterFunc(delay, func() { k.exitFromTimer(o, peerCause, false) })
 	}
-	return why
+	return cause
 }
 
-// request sends one request of a user's and returns status and body.
+// request sends one user request and returns the response's status and body; the status is 0 if
+// there is no response.
 func (w *World) request(method, at, path string, body []byte, timeout time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
@@ -412,7 +422,7 @@
 	return Exchange(w.Net.Client("user"), req)
 }
 
-// next is the node that the load balancer chooses.
+// nextNodeAddr returns the address of the next node in turn, as a load balancer would.
 func (w *World) nextNodeAddr() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -420,15 +430,15 @@
 	return w.Nodes[w.userRequests%len(w.Nodes)].addr
 }
 
-// Post submits a body once to a node and returns the status.
+// PostJob submits a job's body once to one node and returns the response's status, 0 for none. The
+// checker is not informed.
 func (w *World) PostJob(i int, body any) int {
 	b, _ := wire.Marshal(body)
 	status, _ := w.request(http.MethodPost, w.Nodes[i].addr, wire.JobsPath, b, 5*time.Second)
 	return status
 }
 
-// Submit submits a job as a user does, with retries, and reports whether it
-// was accepted.
+// Submit submits a job as a user does, with retries for 60 s, and reports whether it was accepted.
 func (w *World) Submit(s Spec) bool {
 	w.mu.Lock()
 	w.specs[s.ID] = &s
@@ -450,19 +460,22 @@
 	return false
 }
 
-// Poll asks once and returns what the user is told; "" for no answer.
+// Poll requests a job's state once from the next node, and returns the state that the user is told:
+// "" if there was no answer, "unknown" if there is no such job.
 func (w *World) Poll(id string) string { return w.pollAddr(w.nextNodeAddr(), id) }
 
-// PollAt asks one node.
+// PollAt is like Poll, but sends the request to a given node.
 func (w *World) PollAt(i int, id string) string { return w.pollAddr(w.Nodes[i].addr, id) }
 
+// pollAddr requests a job's state once from an address.
 func (w *World) pollAddr(at, id string) string {
 	before := w.checker.LastObserved(id)
 	status, b := w.request(http.MethodGet, at, wire.JobsPath+"/"+id, nil, 2*time.Second)
 	return w.noteAnswer(id, status, b, before)
 }
 
-// answered is what a user is told of a job by an answer; "" for nothing.
+// noteAnswer passes an answer about a job to the checker and returns the state that the user is
+// told, as Poll does. before is what had been observed when the request was sent.
 func (w *World) noteAnswer(id string, status int, body []byte, before ObservedState) string {
 	var s wire.JobState
 	switch {
@@ -477,8 +490,8 @@
 	return ""
 }
 
-// Repeat submits a job once more at one node, with another body if one is given, and
-// returns the status and what the user is told.
+// Resubmit submits a job again to one node, with another body if one is given, and returns the
+// response's status and the state that the user is told.
 func (w *World) Resubmit(i int, id string, body any) (int, string) {
 	if body == nil {
 		body = w.spec(id)
@@ -495,7 +508,8 @@
 	return status, w.noteAnswer(id, status, answer, before)
 }
 
-// CancelAt asks one node once to cancel a job and returns what the user is told.
+// CancelAt sends one request to cancel a job to one node, and returns the state that the user is
+// told.
 func (w *World) CancelAt(i int, id string) string {
 	w.checker.CancelRequested(id)
 	before := w.checker.LastObserved(id)
@@ -503,57 +517,59 @@
 	return w.noteAnswer(id, status, b, before)
 }
 
-// ReportCopy has a copy of a worker's report arrive at a node and returns how that is
-// answered: the worker does not learn of it.
+// SendReportCopy sends a copy of a worker's report to a node and returns the response's status. The
+// worker does not get the response.
 func (w *World) SendReportCopy(i int, body []byte) int {
 	status, _ := w.request(http.MethodPost, w.Nodes[i].addr, wire.ReportPath, body, 4*time.Second)
 	return status
 }
 
-// Await polls until the job is in the state, and reports whether it came there.
+// AwaitState polls until the job is in the state, and reports whether it was within the time.
 func (w *World) AwaitState(id, state string, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		switch w.Poll(id) {
 		case state:
 			return true
 		case "aborted":
-			return false // for good
+			return false // cancelled: the state is final
 		}
 		time.Sleep(time.Second)
 	}
 	return false
 }
 
-// Cancel cancels a job as a user does and returns its state, "" if it could
-// not be cancelled.
+// Cancel cancels a job as a user does, with retries for 60 s, and returns its state, or "" if no
+// request was answered.
 func (w *World) Cancel(id string) string {
 	w.checker.CancelRequested(id)
 	before := w.checker.LastObserved(id)
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); {
 		status, b := w.request(http.MethodPost, w.nextNodeAddr(), wire.JobsPath+"/"+id+"/"+wire.CancelSuffix, nil, 5*time.Second)
-		if told := w.noteAnswer(id, status, b, before); told != "" && told != "unknown" {
-			return told
+		if state := w.noteAnswer(id, status, b, before); state != "" && state != "unknown" {
+			return state
 		}
 		time.Sleep(time.Second)
 	}
 	return ""
 }
 
-// Looks has f called right after a user was told that a job is accepted, done or cancelled;
-// nil: nothing.
+// OnUserState sets a function that is called right after a user was told that a job is accepted,
+// done or cancelled. nil removes it.
 func (w *World) OnUserState(f func(id string)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onUserState = f
 }
 
-// Last has f called as the last task of a job is done; nil: nothing.
+// OnLastTaskDone sets a function that is called when the last task of a job is done. nil removes
+// it.
 func (w *World) OnLastTaskDone(f func(id string)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onLastTaskDone = f
 }
 
+// notifyUserState calls the function that OnUserState set.
 func (w *World) notifyUserState(id string) {
 	w.mu.Lock()
 	f := w.onUserState
@@ -563,6 +579,7 @@
 	}
 }
 
+// notifyLastTaskDone calls the function that OnLastTaskDone set.
 func (w *World) notifyLastTaskDone(id string) {
 	w.mu.Lock()
 	f := w.onLastTaskDone
@@ -572,14 +589,15 @@
 	}
 }
 
-// Fail notes a rule that a user found broken.
+// ReportViolation records a violation that a test found.
 func (w *World) ReportViolation(format string, args ...any) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	w.checker.reportViolation(format, args...)
 }
 
-// Known lists the jobs that users know to be accepted, with the last final state told.
+// AcceptedJobs returns the jobs that users were told are accepted, each with the last final state
+// that they were told, or "".
 func (w *World) AcceptedJobs() map[string]string {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
@@ -590,12 +608,12 @@
 	return out
 }
 
-// SetLimit has the rules go by other limits of teams than the platform's file has.
+// SetTeamLimit replaces the team limits of the platform file in the checks.
 func (w *World) SetTeamLimit(limit func(team string) Limit) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	w.checker.Limit = limit
 }
 
-// Broken lists the rules that were broken.
+// Violations returns the recorded violations, at most 20.
 func (w *World) Violations() []string { return w.checker.Violations() }
