--- a/internal/simulator/config_test.go
+++ b/internal/simulator/config_test.go
@@ -530,7 +530,7 @@
 				u.w.Submit(filler)
 				time.Sleep(50 * s)
 				for i := range 4 {
-					g := gangState(710+i, 3, 6)
+					g := gang(710+i, 3, 6)
 					g.Team = "green"
 					u.group.Go(func() { u.runToDone(g) })
 				}
--- a/internal/simulator/cut_test.go
+++ b/internal/simulator/cut_test.go
@@ -49,14 +49,14 @@
 	killedNode      int
 }
 
-func setZonePartition(zone string, on bool) func(*simulator.World) {
-	return func(w *simulator.World) { w.Net.PartitionZone(zone, on) }
+func setZonePartition(zone string, partitioned bool) func(*simulator.World) {
+	return func(w *simulator.World) { w.Net.PartitionZone(zone, partitioned) }
 }
 
 // cutOff cuts off the zone of the node that comes so many after the leader.
-func (c *activeFaults) partitionZone(after int) func(*simulator.World) {
+func (c *activeFaults) partitionZone(offset int) func(*simulator.World) {
 	return func(w *simulator.World) {
-		c.partitionedZone = w.Nodes[(max(w.Leader(), 0)+after)%3].Zone
+		c.partitionedZone = w.Nodes[(max(w.Leader(), 0)+offset)%3].Zone
 		w.Net.PartitionZone(c.partitionedZone, true)
 	}
 }
@@ -86,10 +86,10 @@
 
 func (c *activeFaults) unfreezeNode(w *simulator.World) { w.Freeze(c.frozenNode, false) }
 
-func setStateDown(on bool) func(*simulator.World) {
+func setStateDown(down bool) func(*simulator.World) {
 	return func(w *simulator.World) {
-		w.StateFaults.Update(func(f *simulator.Faults) { f.Down = on })
-		if !on {
+		w.StateFaults.Update(func(f *simulator.Faults) { f.Down = down })
+		if !down {
 			w.State.RenewLeases()
 		}
 	}
@@ -116,11 +116,11 @@
 	w.StateFaults.Update(func(f *simulator.Faults) { clear(f.RefuseReadClients) })
 }
 
-func runPartitionScenario(t *testing.T, d scenario) {
+func runPartitionScenario(t *testing.T, sc scenario) {
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:1] // blue
 	addTeam(&p, "green", 100, 200, 0, 0)
-	runScenario(t, d, p, machineTypes[:1], threeZoneWorkload)
+	runScenario(t, sc, p, machineTypes[:1], threeZoneWorkload)
 }
 
 // TestCutDays plays days on which many machines or a controller fall silent
@@ -188,8 +188,8 @@
 		}
 		lease := time.Duration(p.Params.Workers.LeaseS * float64(time.Second))
 		killAllNodes(w)
-		over := k.LastAcknowledged().Add(lease)
-		time.Sleep(time.Until(over) - time.Millisecond)
+		leaseEnd := k.LastAcknowledged().Add(lease)
+		time.Sleep(time.Until(leaseEnd) - time.Millisecond)
 		if len(k.RunningTasks()) == 0 {
 			t.Error("its tasks ended before its lease did")
 		}
@@ -209,15 +209,15 @@
 // drawn is the day of a seed on which troubles begin, each at a time that is drawn from
 // so many seconds on.
 func randomScenario(r *rand.Rand, number int, seed uint64, faults []faultKind, from, to int) scenario {
-	d := scenario{seed: seed}
+	sc := scenario{seed: seed}
 	var names []string
 	for _, k := range faults {
 		names = append(names, k.name)
-		d.actions = append(d.actions, k.actions(r, randomDuration(r, from, to))...)
+		sc.actions = append(sc.actions, k.actions(r, randomDuration(r, from, to))...)
 	}
 	slices.Sort(names)
-	d.name = fmt.Sprintf("%d %s", number, strings.Join(names, ", "))
-	return d
+	sc.name = fmt.Sprintf("%d %s", number, strings.Join(names, ", "))
+	return sc
 }
 
 // troubleKinds are the kinds that TestDrawnCuts combines.
@@ -231,9 +231,9 @@
 		return []action{{at, c.freezeLeader}, {at + randomDuration(r, 4, 30), c.unfreezeNode}}
 	}},
 	{"leader ends", func(r *rand.Rand, at time.Duration) []action {
-		ended := 0
-		return []action{{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
-			{at + randomDuration(r, 2, 10), func(w *simulator.World) { w.StartNode(ended) }}}
+		killed := 0
+		return []action{{at, func(w *simulator.World) { killed = max(w.Leader(), 0); w.Kill(killed) }},
+			{at + randomDuration(r, 2, 10), func(w *simulator.World) { w.StartNode(killed) }}}
 	}},
 	{"all end", func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, killAllNodes}, {at + randomDuration(r, 2, 10), startAllNodes}}
@@ -243,18 +243,18 @@
 	}},
 	{"state out for one", func(r *rand.Rand, at time.Duration) []action {
 		i := r.IntN(3)
-		refuse := func(on bool) func(*simulator.World) {
+		refuse := func(refused bool) func(*simulator.World) {
 			return func(w *simulator.World) {
-				w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseClients[w.NodeAddr(i)] = on })
+				w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseClients[w.NodeAddr(i)] = refused })
 			}
 		}
 		return []action{{at, refuse(true)}, {at + randomDuration(r, 4, 40), refuse(false)}}
 	}},
 	{"peers refused", func(r *rand.Rand, at time.Duration) []action {
-		refuse := func(on bool) func(*simulator.World) {
-			return func(w *simulator.World) { w.BlockPeerLinks(on) }
+		block := func(blocked bool) func(*simulator.World) {
+			return func(w *simulator.World) { w.BlockPeerLinks(blocked) }
 		}
-		return []action{{at, refuse(true)}, {at + randomDuration(r, 5, 40), refuse(false)}}
+		return []action{{at, block(true)}, {at + randomDuration(r, 5, 40), block(false)}}
 	}},
 }
 
@@ -273,7 +273,7 @@
 		for _, k := range r.Perm(len(partitionFaults) - 1)[:1+r.IntN(3)] {
 			kinds = append(kinds, partitionFaults[k+1])
 		}
-		d := randomScenario(r, seed, uint64(1000+seed), kinds, 45, 75)
-		t.Run(d.name, func(t *testing.T) { runPartitionScenario(t, d) })
+		sc := randomScenario(r, seed, uint64(1000+seed), kinds, 45, 75)
+		t.Run(sc.name, func(t *testing.T) { runPartitionScenario(t, sc) })
 	}
 }
--- a/internal/simulator/ends_test.go
+++ b/internal/simulator/ends_test.go
@@ -78,19 +78,19 @@
 		if e.point < 0 || !strings.HasPrefix(r.RemoteAddr, "10.0.0.") && service != "node" {
 			return simulator.NoCrash
 		}
-		s := exitPoints[e.point]
-		if s.service != service || !s.match(r, body) {
+		p := exitPoints[e.point]
+		if p.service != service || !p.match(r, body) {
 			return simulator.NoCrash
 		}
-		e.hits[s.name]++
-		with := e.mode
+		e.hits[p.name]++
+		mode := e.mode
 		if e.remaining--; e.remaining < 0 {
 			e.point = -1
 		} else {
 			// What it does first when it is back, or soon.
 			e.point, e.mode = e.r.IntN(len(exitPoints)), simulator.CrashPoint(1+e.r.IntN(3))
 		}
-		return with
+		return mode
 	}
 }
 
@@ -101,30 +101,30 @@
 //
 //	go test ./internal/simulator -run TestEndedAnywhere -ends 300
 func TestProcessExitAtAnyRequest(t *testing.T) {
-	hit := map[string]int{}
+	hits := map[string]int{}
 	for seed := range *randomExitRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 30))
-		e := &exitInjector{r: r, point: -1, hits: hit}
-		d := scenario{name: fmt.Sprint(seed), seed: uint64(3000 + seed), setup: func(w *simulator.World) {
+		e := &exitInjector{r: r, point: -1, hits: hits}
+		sc := scenario{name: fmt.Sprint(seed), seed: uint64(3000 + seed), setup: func(w *simulator.World) {
 			w.StateFaults.CrashOn, w.CloudFaults.CrashOn, w.WorkerFaults.CrashOn = e.onRequest("state"), e.onRequest("cloud"), e.onRequest("worker")
 			for _, f := range w.NodeFaults {
 				f.CrashOn = e.onRequest("node")
 			}
 		}}
 		for at := randomDuration(r, 1, 6); at < 120*time.Second; at += randomDuration(r, 1, 9) {
-			d.actions = append(d.actions, action{at, e.arm})
+			sc.actions = append(sc.actions, action{at, e.arm})
 		}
-		t.Run(d.name, func(t *testing.T) {
+		t.Run(sc.name, func(t *testing.T) {
 			if seed%2 == 1 {
-				runScenario(t, d, platform(), machineTypes, mixedWorkload)
+				runScenario(t, sc, platform(), machineTypes, mixedWorkload)
 				return
 			}
-			runPartitionScenario(t, d)
+			runPartitionScenario(t, sc)
 		})
 	}
-	t.Logf("ends by step: %v", hit)
+	t.Logf("ends by step: %v", hits)
 	for _, s := range exitPoints {
-		if hit[s.name] == 0 && *randomExitRuns >= 100 && s.name != "ends a lease" {
+		if hits[s.name] == 0 && *randomExitRuns >= 100 && s.name != "ends a lease" {
 			t.Errorf("no process ended while it %s", s.name)
 		}
 	}
--- a/internal/simulator/further_test.go
+++ b/internal/simulator/further_test.go
@@ -29,22 +29,22 @@
 	e.mu.Lock()
 	r := e.random.Stream(id)
 	within := []int{60, 700}[r.IntN(2)] // most jobs are done long before the latter
-	cancel, ask := time.Duration(r.IntN(within))*time.Millisecond, time.Duration(r.IntN(700))*time.Millisecond
+	cancelDelay, pollDelay := time.Duration(r.IntN(within))*time.Millisecond, time.Duration(r.IntN(700))*time.Millisecond
 	node := r.IntN(3)
 	e.mu.Unlock()
 	for i := range 3 {
 		go func() {
-			time.Sleep(ask)
+			time.Sleep(pollDelay)
 			e.w.PollAt(i, id)
 			e.w.Resubmit(i, id, nil)
 		}()
 	}
-	time.Sleep(cancel)
+	time.Sleep(cancelDelay)
 	e.w.CancelAt(node, id)
-	told := e.w.Cancel(id)
+	state := e.w.Cancel(id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.finalStates[id] = told
+	e.finalStates[id] = state
 }
 
 // bound are jobs that may run in one zone only, arrays and services, spread ones and arrays
@@ -90,9 +90,9 @@
 		jobs    func(*testing.T, *users)
 		missing func() string
 	}
-	leader := func() (end, back func(*simulator.World)) {
-		lead := 0
-		return func(w *simulator.World) { lead = max(w.Leader(), 0); w.Kill(lead) }, func(w *simulator.World) { w.StartNode(lead) }
+	leaderCrash := func() (kill, restart func(*simulator.World)) {
+		node := 0
+		return func(w *simulator.World) { node = max(w.Leader(), 0); w.Kill(node) }, func(w *simulator.World) { w.StartNode(node) }
 	}
 	for _, c := range []struct {
 		name  string
@@ -113,19 +113,19 @@
 			}}
 		}},
 		{"more work than room, urgent and not, over slow links", func(seed uint64) combination {
-			full := false
-			d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+			fleetFull := false
+			sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 				w.Cloud.Capacity = 10
 				w.StateFaults.MaxDelay, w.WorkerFaults.MaxDelay = 300*ms, 1500*ms
 				for _, f := range w.NodeFaults {
 					f.MaxDelay = 800 * ms
 				}
-			}, actions: []action{{50 * s, func(w *simulator.World) { full = w.Cloud.MachineCount() >= 10 }}, {90 * s, func(w *simulator.World) {
+			}, actions: []action{{50 * s, func(w *simulator.World) { fleetFull = w.Cloud.MachineCount() >= 10 }}, {90 * s, func(w *simulator.World) {
 				for _, f := range append([]*simulator.Faults{w.StateFaults, w.WorkerFaults}, w.NodeFaults...) {
 					f.Update(func(f *simulator.Faults) { f.MaxDelay = 0 })
 				}
 			}}}}
-			return combination{d, func(_ *testing.T, u *users) {
+			return combination{sc, func(_ *testing.T, u *users) {
 				for i := range 24 {
 					job := array(100+i, 6, 15)
 					job.Urgency = []string{"high", "idle", "standard"}[i%3]
@@ -135,27 +135,27 @@
 					u.after(time.Duration(2*i)*s, func() { u.runToDone(job) })
 				}
 			}, func() string {
-				if !full {
+				if !fleetFull {
 					return "a full fleet"
 				}
 				return ""
 			}}
 		}},
 		{"workers reach no controller while direct commands reach them", func(seed uint64) combination {
-			mute := map[*simulator.Worker]bool{}
-			given := map[string]bool{} // tasks that such a machine was given after its first session ended
+			isolated := map[*simulator.Worker]bool{}
+			startedLater := map[string]bool{} // tasks that such a machine was given after its first session ended
 			seen := map[string]bool{}
-			var begun time.Time // a new leader's first seconds: it can't know yet
-			was := map[*simulator.Worker]uint64{}
+			var crashedAt time.Time // a new leader's first seconds: it can't know yet
+			firstSession := map[*simulator.Worker]uint64{}
 			watch := func(w *simulator.World) {
 				for range 140 {
 					time.Sleep(500 * ms)
-					for k := range mute {
-						if session, tasks := k.Session(); session > was[k] {
+					for k := range isolated {
+						if session, tasks := k.Session(); session > firstSession[k] {
 							for _, task := range tasks {
 								what := fmt.Sprint(k.Name(), " ", session, " ", task)
-								if !seen[what] && (begun.IsZero() || time.Since(begun) > 9*s) {
-									given[what] = true
+								if !seen[what] && (crashedAt.IsZero() || time.Since(crashedAt) > 9*s) {
+									startedLater[what] = true
 								}
 								seen[what] = true
 							}
@@ -163,40 +163,40 @@
 					}
 				}
 			}
-			end, back := leader()
-			d := scenario{actions: []action{{40 * s, func(w *simulator.World) {
+			kill, restart := leaderCrash()
+			sc := scenario{actions: []action{{40 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
 					if i%3 == 0 {
 						k.SetOutboundLost(true)
-						mute[k] = true
-						was[k], _ = k.Session()
+						isolated[k] = true
+						firstSession[k], _ = k.Session()
 					}
 				}
-			}}, {41 * s, watch}, {70 * s, end}, {70 * s, func(*simulator.World) { begun = time.Now() }}, {70*s + 300*ms, back}, {112 * s, func(*simulator.World) {
-				for k := range mute {
+			}}, {41 * s, watch}, {70 * s, kill}, {70 * s, func(*simulator.World) { crashedAt = time.Now() }}, {70*s + 300*ms, restart}, {112 * s, func(*simulator.World) {
+				for k := range isolated {
 					k.SetOutboundLost(false)
 				}
 			}}}}
-			return combination{d, smallJobsWorkload, func() string {
-				t.Logf("%d mute machines, given after their sessions ended: %v; a new leader gave %d in its first seconds", len(mute), given, len(seen)-len(given))
-				if len(given) > 0 {
-					t.Errorf("mute machines were given work again: %v", given)
+			return combination{sc, smallJobsWorkload, func() string {
+				t.Logf("%d mute machines, given after their sessions ended: %v; a new leader gave %d in its first seconds", len(isolated), startedLater, len(seen)-len(startedLater))
+				if len(startedLater) > 0 {
+					t.Errorf("mute machines were given work again: %v", startedLater)
 				}
-				if len(mute) < 2 {
+				if len(isolated) < 2 {
 					return "mute machines"
 				}
 				return ""
 			}}
 		}},
 		{"every controller and its zone are cut off for longer than a lease, and back", func(seed uint64) combination {
-			cut := func(on bool) func(*simulator.World) {
+			partitionAll := func(on bool) func(*simulator.World) {
 				return func(w *simulator.World) {
 					for _, z := range []string{"a", "b", "c"} {
 						w.Net.PartitionZone(z, on)
 					}
 				}
 			}
-			return combination{scenario{actions: []action{{45 * s, cut(true)}, {45*s + 26*s, cut(false)}}}, smallJobsWorkload, nil}
+			return combination{scenario{actions: []action{{45 * s, partitionAll(true)}, {45*s + 26*s, partitionAll(false)}}}, smallJobsWorkload, nil}
 		}},
 		{"a zone with workers and a controller is cut off for longer than a lease, twice", func(seed uint64) combination {
 			c := &activeFaults{}
@@ -204,17 +204,17 @@
 		}},
 		{"jobs bound to one zone, spread ones and ones together lose machines, with a takeover", func(seed uint64) combination {
 			lost := 0
-			end, back := leader()
+			kill, restart := leaderCrash()
 			h := &activeFaults{}
-			d := scenario{actions: []action{{40 * s, func(w *simulator.World) {
+			sc := scenario{actions: []action{{40 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
 					if len(k.RunningTasks()) > 0 && i%3 == int(seed)%3 {
 						lost++
 						k.Terminate()
 					}
 				}
-			}}, {41 * s, h.hangWorkers}, {42 * s, end}, {42*s + 300*ms, back}, {55 * s, h.resumeWorkers}, {70 * s, h.hangWorkers}, {95 * s, h.resumeWorkers}}}
-			return combination{d, zoneBoundWorkload, func() string {
+			}}, {41 * s, h.hangWorkers}, {42 * s, kill}, {42*s + 300*ms, restart}, {55 * s, h.resumeWorkers}, {70 * s, h.hangWorkers}, {95 * s, h.resumeWorkers}}}
+			return combination{sc, zoneBoundWorkload, func() string {
 				if lost < 2 {
 					return "machines that were lost with tasks"
 				}
@@ -223,14 +223,14 @@
 		}},
 		{"leaders change ten times in two minutes, also inside an outage", func(seed uint64) combination {
 			terms := map[int]int{}
-			var d scenario
+			var sc scenario
 			for i := range 10 {
 				at := 30*s + time.Duration(i)*11*s
-				end, back := leader()
-				d.actions = append(d.actions, action{at, end}, action{at + 300*ms, back}, action{at + 10*s, func(w *simulator.World) { terms[w.Leader()]++ }})
+				kill, restart := leaderCrash()
+				sc.actions = append(sc.actions, action{at, kill}, action{at + 300*ms, restart}, action{at + 10*s, func(w *simulator.World) { terms[w.Leader()]++ }})
 			}
-			d.actions = append(d.actions, action{72 * s, setStateDown(true)}, action{100 * s, setStateDown(false)})
-			return combination{d, smallJobsWorkload, func() string {
+			sc.actions = append(sc.actions, action{72 * s, setStateDown(true)}, action{100 * s, setStateDown(false)})
+			return combination{sc, smallJobsWorkload, func() string {
 				if len(terms) < 2 {
 					return "several leaders"
 				}
@@ -243,7 +243,7 @@
 		{"a hang ends after a cancellation's time", func(seed uint64) combination {
 			h := &activeFaults{}
 			var ids []string
-			d := scenario{actions: []action{{40 * s, h.hangWorkers}, {41 * s, func(w *simulator.World) {
+			sc := scenario{actions: []action{{40 * s, h.hangWorkers}, {41 * s, func(w *simulator.World) {
 				for _, k := range h.hungWorkers {
 					for _, task := range k.RunningTasks() {
 						job, _, _ := strings.Cut(task, "/")
@@ -253,7 +253,7 @@
 					}
 				}
 			}}, {88 * s, h.resumeWorkers}}}
-			return combination{d, func(_ *testing.T, u *users) {
+			return combination{sc, func(_ *testing.T, u *users) {
 				for i := range 12 {
 					job := array(100+i, 3, 120)
 					u.after(time.Duration(i)*s, func() {
@@ -271,14 +271,14 @@
 		}},
 		{"a quarter of the reports arrive again after what the new leader did", func(seed uint64) combination {
 			var reports replayCounts
-			end, back := leader()
-			d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+			kill, restart := leaderCrash()
+			sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 				for _, n := range w.NodeFaults {
 					reports.observe(n, wire.ReportPath)
 				}
 				duplicateReports(0.25)(w)
-			}, actions: []action{{40 * s, end}, {40*s + 300*ms, back}, {65 * s, end}, {65*s + 300*ms, back}, {100 * s, duplicateReports(0)}}}
-			return combination{d, smallJobsWorkload, func() string {
+			}, actions: []action{{40 * s, kill}, {40*s + 300*ms, restart}, {65 * s, kill}, {65*s + 300*ms, restart}, {100 * s, duplicateReports(0)}}}
+			return combination{sc, smallJobsWorkload, func() string {
 				if reports.executed < 20 {
 					return "copies of reports"
 				}
--- a/internal/simulator/meetings_days_test.go
+++ b/internal/simulator/meetings_days_test.go
@@ -51,25 +51,25 @@
 // that was not cancelled runs or is done once the troubles are over (users.must).
 func TestFaultCombinations(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	var writes, reports, commands replayCounts
-	cut := &leaderPartition{}
-	var other int
+	var writes, reportCopies, commands replayCounts
+	leaderCut := &leaderPartition{}
+	var acceptedBy int
 	var cancelled string
-	var waited time.Duration
-	var deaf []*simulator.Worker
+	var refusalTime time.Duration
+	var unreachable []*simulator.Worker
 	leader := 0
-	endLeader := func(w *simulator.World) { leader = max(w.Leader(), 0); w.Kill(leader) }
-	backLeader := func(w *simulator.World) { w.StartNode(leader) }
-	terms := map[int]bool{}
-	who := func(w *simulator.World) {
+	killLeader := func(w *simulator.World) { leader = max(w.Leader(), 0); w.Kill(leader) }
+	restartLeader := func(w *simulator.World) { w.StartNode(leader) }
+	leaders := map[int]bool{}
+	noteLeader := func(w *simulator.World) {
 		if i := w.Leader(); i >= 0 {
-			terms[i] = true
+			leaders[i] = true
 		}
 	}
 	// Who leads after an end is chance: alone is a node that has not led yet, if there is one.
-	startAlone := func(w *simulator.World) {
+	startNewLeader := func(w *simulator.World) {
 		for i := range w.Nodes {
-			if !terms[i] || i == len(w.Nodes)-1 {
+			if !leaders[i] || i == len(w.Nodes)-1 {
 				w.StartNode(i)
 				return
 			}
@@ -92,11 +92,11 @@
 			}},
 		{scenario{name: "controllers hand over and back, all end, and one returns within a second", seed: 91,
 			setup: func(w *simulator.World) { delayWrites(0.1)(w) },
-			actions: []action{{40 * s, endLeader}, {40*s + 300*ms, backLeader}, {47 * s, who}, {48 * s, endLeader}, {48*s + 300*ms, backLeader}, {56 * s, who},
-				{57 * s, killAllNodes}, {57*s + 200*ms, startAlone}, {61 * s, who}, {63 * s, who}, {65 * s, who}, {66 * s, startAllNodes},
+			actions: []action{{40 * s, killLeader}, {40*s + 300*ms, restartLeader}, {47 * s, noteLeader}, {48 * s, killLeader}, {48*s + 300*ms, restartLeader}, {56 * s, noteLeader},
+				{57 * s, killAllNodes}, {57*s + 200*ms, startNewLeader}, {61 * s, noteLeader}, {63 * s, noteLeader}, {65 * s, noteLeader}, {66 * s, startAllNodes},
 				{68 * s, killNode(1)}, {68*s + 100*ms, startNode(1)}, {79 * s, delayWrites(0)}}},
 			func() string {
-				if len(terms) < 2 {
+				if len(leaders) < 2 {
 					return "several leaders"
 				}
 				return ""
@@ -104,48 +104,48 @@
 		{scenario{name: "an old report arrives after newer ones, also of an earlier session", seed: 92,
 			setup: func(w *simulator.World) {
 				for _, n := range w.NodeFaults {
-					reports.observe(n, wire.ReportPath)
+					reportCopies.observe(n, wire.ReportPath)
 				}
 				duplicateReports(0.5)(w)
-			}, actions: []action{{50 * s, endLeader}, {51 * s, backLeader}, {55 * s, func(w *simulator.World) {
+			}, actions: []action{{50 * s, killLeader}, {51 * s, restartLeader}, {55 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
 					if i%3 == 0 {
 						partitionWorker(w, k, true) // until a new session
-						deaf = append(deaf, k)
+						unreachable = append(unreachable, k)
 					}
 				}
 			}}, {75 * s, func(w *simulator.World) {
-				for _, k := range deaf {
+				for _, k := range unreachable {
 					partitionWorker(w, k, false)
 				}
-				deaf = nil
+				unreachable = nil
 			}}, {110 * s, duplicateReports(0)}}},
 			func() string {
-				if reports.executed < 20 {
+				if reportCopies.executed < 20 {
 					return "copies of reports"
 				}
 				return ""
 			}},
 		{scenario{name: "a leader is cut from the state service and the others, jobs are cancelled through the new one", seed: 93,
-			actions: []action{{20 * s, func(w *simulator.World) { w.Submit(array(201, 6, 300)) }}, {50 * s, cut.partition}, {60 * s, func(w *simulator.World) {
-				other = w.Leader()
+			actions: []action{{20 * s, func(w *simulator.World) { w.Submit(array(201, 6, 300)) }}, {50 * s, leaderCut.partition}, {60 * s, func(w *simulator.World) {
+				acceptedBy = w.Leader()
 				begun := time.Now()
 				job := array(999, 1, 1)
-				if w.PostJob(cut.node, &job) == 201 {
-					other = cut.node
+				if w.PostJob(leaderCut.node, &job) == 201 {
+					acceptedBy = leaderCut.node
 				}
-				waited = time.Since(begun)
+				refusalTime = time.Since(begun)
 				cancelled = w.Cancel("job-000201")
-			}}, {95 * s, cut.heal}}},
+			}}, {95 * s, leaderCut.heal}}},
 			func() string {
 				if cancelled != "aborted" {
 					return "a cancellation through the new leader"
 				}
-				if other == cut.node {
+				if acceptedBy == leaderCut.node {
 					return "a new leader, and none that is cut off and accepts"
 				}
-				if waited > 100*ms {
-					return "a plain refusal at once, but one after " + waited.String()
+				if refusalTime > 100*ms {
+					return "a plain refusal at once, but one after " + refusalTime.String()
 				}
 				return ""
 			}},
@@ -154,32 +154,32 @@
 				for i, k := range w.Cloud.Workers() {
 					if len(k.RunningTasks()) > 0 && i%2 == 0 {
 						k.SetInboundLost(true)
-						deaf = append(deaf, k)
+						unreachable = append(unreachable, k)
 					} else if i%5 == 1 {
 						partitionWorker(w, k, true)
 					}
 				}
-			}}, {46 * s, endLeader}, {49 * s, backLeader}, {100 * s, func(w *simulator.World) {
+			}}, {46 * s, killLeader}, {49 * s, restartLeader}, {100 * s, func(w *simulator.World) {
 				for _, k := range w.Cloud.Workers() {
 					partitionWorker(w, k, false)
 				}
-				for _, k := range deaf {
+				for _, k := range unreachable {
 					k.SetInboundLost(false)
 				}
 			}}}},
 			func() string {
-				if len(deaf) == 0 {
+				if len(unreachable) == 0 {
 					return "deaf machines with tasks"
 				}
 				return ""
 			}},
 		{scenario{name: "jobs of two or three tasks end far apart across changes of leader", seed: 95,
-			actions: []action{{45 * s, endLeader}, {47 * s, backLeader}, {60 * s, endLeader}, {63 * s, backLeader}, {75 * s, killAllNodes}, {78 * s, startAllNodes}}}, nil},
+			actions: []action{{45 * s, killLeader}, {47 * s, restartLeader}, {60 * s, killLeader}, {63 * s, restartLeader}, {75 * s, killAllNodes}, {78 * s, startAllNodes}}}, nil},
 		{scenario{name: "a command or its answer is held up for seconds, and the machine goes on", seed: 96,
 			setup: func(w *simulator.World) {
 				commands.observe(w.WorkerFaults, wire.CommandsPath)
 				w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay, w.WorkerFaults.LateJitter, w.WorkerFaults.LoseResponse = 0.4, s, 30*s, 0.1
-			}, actions: []action{{50 * s, endLeader}, {51 * s, backLeader}, {90 * s, func(w *simulator.World) {
+			}, actions: []action{{50 * s, killLeader}, {51 * s, restartLeader}, {90 * s, func(w *simulator.World) {
 				w.WorkerFaults.Update(func(f *simulator.Faults) { f.ExecuteLate, f.LoseResponse = 0, 0 })
 			}}}},
 			func() string {
@@ -196,11 +196,11 @@
 			addTeam(&p, "green", 40, 60, 0, 0)
 			runScenario(t, c.scenario, p, machineTypes[:1], smallJobsWorkload)
 			if c.missing != nil {
-				if lacks := c.missing(); lacks != "" {
-					t.Errorf("the day lacks %s", lacks)
+				if missing := c.missing(); missing != "" {
+					t.Errorf("the day lacks %s", missing)
 				}
 			}
 		})
 	}
-	t.Logf("late writes %+v, copies of reports %+v, late commands %+v; refused in %v", writes, reports, commands, waited)
+	t.Logf("late writes %+v, copies of reports %+v, late commands %+v; refused in %v", writes, reportCopies, commands, refusalTime)
 }
--- a/internal/simulator/meetings_test.go
+++ b/internal/simulator/meetings_test.go
@@ -34,46 +34,46 @@
 }
 
 // refuseOne refuses one node the state service, or serves it again.
-func setStateRefused(w *simulator.World, i int, on bool) {
-	w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseClients[w.NodeAddr(i)] = on })
+func setStateRefused(w *simulator.World, i int, refused bool) {
+	w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseClients[w.NodeAddr(i)] = refused })
 }
 
 // play plays the day: long tasks of every kind run by the minute, some jobs are
 // cancelled in the refusal.
 func (d *leaderRefused) run(t *testing.T, seed uint64) {
 	const s = time.Second
-	const at = 60 * s
-	lasts := d.outageLength
-	if lasts == 0 {
-		lasts = 75 * s
+	const refusedAt = 60 * s
+	outageLength := d.outageLength
+	if outageLength == 0 {
+		outageLength = 75 * s
 	}
 	var outage time.Time
-	acts := []action{
-		{at, func(w *simulator.World) {
+	actions := []action{
+		{refusedAt, func(w *simulator.World) {
 			d.oldLeader = max(w.Leader(), 0)
 			setStateRefused(w, d.oldLeader, true)
 		}},
-		{at + d.outageAfter, setStateDown(true)},
-		{at + d.outageAfter, func(*simulator.World) { outage = time.Now() }},
-		{at + d.outageAfter + 14*s, func(w *simulator.World) {
+		{refusedAt + d.outageAfter, setStateDown(true)},
+		{refusedAt + d.outageAfter, func(*simulator.World) { outage = time.Now() }},
+		{refusedAt + d.outageAfter + 14*s, func(w *simulator.World) {
 			for _, k := range w.Cloud.Workers() {
 				if len(k.RunningTasks()) > 0 && k.LastAcknowledged().After(outage.Add(s)) {
 					d.servedByOldLeader++
 				}
 			}
 		}},
-		{at + d.outageAfter + lasts, setStateDown(false)},
-		{at + d.outageAfter + lasts + 10*s, func(w *simulator.World) { setStateRefused(w, d.oldLeader, false) }},
+		{refusedAt + d.outageAfter + outageLength, setStateDown(false)},
+		{refusedAt + d.outageAfter + outageLength + 10*s, func(w *simulator.World) { setStateRefused(w, d.oldLeader, false) }},
 	}
 	for _, a := range d.extraActions {
-		acts = append(acts, action{at + a.at, a.do})
+		actions = append(actions, action{refusedAt + a.at, a.do})
 	}
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:0]
 	addTeam(&p, "blue", 40, 200, 0, 0)
 	addTeam(&p, "green", 40, 200, 0, 0)
 	var world *simulator.World
-	runScenario(t, scenario{seed: seed, setup: d.setup, actions: acts}, p, machineTypes[:1], func(t *testing.T, u *users) {
+	runScenario(t, scenario{seed: seed, setup: d.setup, actions: actions}, p, machineTypes[:1], func(t *testing.T, u *users) {
 		w := u.w
 		world = w
 		for i := range 24 {
@@ -85,7 +85,7 @@
 				job = array(100+i, 4, 120)
 				job.DueS = nil
 			case 2:
-				job = gangState(200+i, 2, 120)
+				job = gang(200+i, 2, 120)
 				job.OneZone, job.CheckpointS = false, 0
 			}
 			u.after(0, func() {
@@ -95,7 +95,7 @@
 				}
 				switch {
 				case i < 12: // cancelled while the leader is refused
-					time.Sleep(time.Until(u.startedAt.Add(at + d.cancelAfter + time.Duration(i)*20*time.Millisecond)))
+					time.Sleep(time.Until(u.startedAt.Add(refusedAt + d.cancelAfter + time.Duration(i)*20*time.Millisecond)))
 					if w.Cancel(job.ID) == "aborted" && (outage.IsZero() || time.Since(outage) < s) {
 						d.confirmedEarly++
 						if outage.IsZero() {
@@ -103,7 +103,7 @@
 						}
 					}
 				case i%3 == 0: // a service that goes on
-					time.Sleep(at + d.outageAfter + lasts + 60*s)
+					time.Sleep(refusedAt + d.outageAfter + outageLength + 60*s)
 					u.expectState(job.ID, "running")
 				default:
 					u.expectState(job.ID, "done")
@@ -132,7 +132,9 @@
 // has the term. Without the bound on what is answered unread, ran_cancelled is broken.
 func TestLeaderRefusedThenOutage(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	peers := func(on bool) func(*simulator.World) { return func(w *simulator.World) { w.BlockPeerLinks(on) } }
+	peers := func(blocked bool) func(*simulator.World) {
+		return func(w *simulator.World) { w.BlockPeerLinks(blocked) }
+	}
 	for _, c := range []struct {
 		name     string
 		scenario leaderRefused
@@ -192,17 +194,17 @@
 	{"machines deaf", func(r *rand.Rand, at time.Duration) []action {
 		one, in := r.IntN(2) == 0, 2+r.IntN(4)
 		zone := []string{"a", "b", "c"}[r.IntN(3)]
-		deaf := map[string]bool{}
+		isolated := map[string]bool{}
 		return []action{{at, func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				if one && k.Zone() == zone || !one && i%in == 0 {
 					k.SetInboundLost(true)
-					deaf[k.Name()] = true
+					isolated[k.Name()] = true
 				}
 			}
 		}}, {at + randomDuration(r, 5, 60), func(w *simulator.World) {
 			for _, k := range w.Cloud.Workers() {
-				if deaf[k.Name()] {
+				if isolated[k.Name()] {
 					k.SetInboundLost(false)
 				}
 			}
@@ -213,10 +215,10 @@
 		return []action{{at, cut.partition}, {at + randomDuration(r, 5, 60), cut.heal}}
 	}},
 	{"leader refused, then all", func(r *rand.Rand, at time.Duration) []action {
-		lead, out := 0, at+time.Duration(r.IntN(8000))*time.Millisecond
-		over := out + randomDuration(r, 5, 60)
-		return []action{{at, func(w *simulator.World) { lead = max(w.Leader(), 0); setStateRefused(w, lead, true) }}, {out, setStateDown(true)}, {over, setStateDown(false)},
-			{over + randomDuration(r, 0, 20), func(w *simulator.World) { setStateRefused(w, lead, false) }}}
+		leader, outageStart := 0, at+time.Duration(r.IntN(8000))*time.Millisecond
+		outageEnd := outageStart + randomDuration(r, 5, 60)
+		return []action{{at, func(w *simulator.World) { leader = max(w.Leader(), 0); setStateRefused(w, leader, true) }}, {outageStart, setStateDown(true)}, {outageEnd, setStateDown(false)},
+			{outageEnd + randomDuration(r, 0, 20), func(w *simulator.World) { setStateRefused(w, leader, false) }}}
 	}},
 	{"all end, one is back at once", func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, killAllNodes}, {at + time.Duration(1+r.IntN(900))*time.Millisecond, startNode(r.IntN(3))}, {at + randomDuration(r, 3, 12), startAllNodes}}
@@ -241,16 +243,16 @@
 	}},
 	{"machines mute", func(r *rand.Rand, at time.Duration) []action {
 		in := 2 + r.IntN(4)
-		mute := map[*simulator.Worker]bool{}
+		isolated := map[*simulator.Worker]bool{}
 		return []action{{at, func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				if i%in == 0 {
 					k.SetOutboundLost(true)
-					mute[k] = true
+					isolated[k] = true
 				}
 			}
 		}}, {at + randomDuration(r, 5, 60), func(*simulator.World) {
-			for k := range mute {
+			for k := range isolated {
 				k.SetOutboundLost(false)
 			}
 		}}}
@@ -264,15 +266,15 @@
 				}
 			}
 		}
-		ended, end := 0, at+randomDuration(r, 5, 15)
+		killed, end := 0, at+randomDuration(r, 5, 15)
 		return []action{{at, keep(o.capture)}, {end, func(w *simulator.World) {
-			ended = max(w.Leader(), 0)
-			w.Kill(ended)
+			killed = max(w.Leader(), 0)
+			w.Kill(killed)
 			for range 30 {
 				time.Sleep(200 * time.Millisecond)
 				o.replay(w, 8)
 			}
-		}}, {end + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }}, {end + 7*time.Second, keep(nil)}}
+		}}, {end + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(killed) }}, {end + 7*time.Second, keep(nil)}}
 	}},
 	{"cancelled now, machines hang", func(r *rand.Rand, at time.Duration) []action {
 		many, h := 1+r.IntN(5), &activeFaults{}
@@ -306,18 +308,18 @@
 	}},
 	{"odd requests", func(r *rand.Rand, at time.Duration) []action {
 		o := rand.New(rand.NewPCG(r.Uint64(), 1))
-		lasts := randomDuration(r, 10, 40)
-		return []action{{at, func(w *simulator.World) { sendInvalidRequests(w, o, lasts) }}, {at + lasts, func(*simulator.World) {}}}
+		duration := randomDuration(r, 10, 40)
+		return []action{{at, func(w *simulator.World) { sendInvalidRequests(w, o, duration) }}, {at + duration, func(*simulator.World) {}}}
 	}},
 	{"leaders change", func(r *rand.Rand, at time.Duration) []action {
-		var out []action
+		var actions []action
 		for range 2 + r.IntN(4) {
-			ended := 0
-			out = append(out, action{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
-				action{at + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }})
+			killed := 0
+			actions = append(actions, action{at, func(w *simulator.World) { killed = max(w.Leader(), 0); w.Kill(killed) }},
+				action{at + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(killed) }})
 			at += randomDuration(r, 4, 12)
 		}
-		return out
+		return actions
 	}},
 	{"all away", func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, killAllNodes}, {at + randomDuration(r, 12, 30), startAllNodes}}
@@ -326,9 +328,9 @@
 
 // oddRequests are users who submit again what is not over, cancel what is done, and send jobs
 // that fit no machine or lack a field: none of those is ever accepted, by any node.
-func sendInvalidRequests(w *simulator.World, r *rand.Rand, lasts time.Duration) {
+func sendInvalidRequests(w *simulator.World, r *rand.Rand, duration time.Duration) {
 	n := 0
-	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
 		known := w.AcceptedJobs()
 		for _, id := range slices.Sorted(maps.Keys(known)) {
 			if r.IntN(8) > 0 {
@@ -420,7 +422,7 @@
 		for _, k := range chosen {
 			troubles = append(troubles, kinds[k])
 		}
-		d := randomScenario(r, seed, uint64(7000+seed), troubles, 40, 70)
-		t.Run(d.name, func(t *testing.T) { runPartitionScenario(t, d) })
+		sc := randomScenario(r, seed, uint64(7000+seed), troubles, 40, 70)
+		t.Run(sc.name, func(t *testing.T) { runPartitionScenario(t, sc) })
 	}
 }
--- a/internal/simulator/nights_test.go
+++ b/internal/simulator/nights_test.go
@@ -33,17 +33,17 @@
 		}}, {at + randomDuration(r, 30, 90), func(w *simulator.World) { w.Cloud.SetBootFactor(nil) }}}
 	}},
 	{name: "silent for a minute", actions: func(r *rand.Rand, at time.Duration) []action {
-		many, silent := r.IntN(4), map[int]bool{} // of the nodes; all three, mostly
+		count, frozen := r.IntN(4), map[int]bool{} // of the nodes; all three, mostly
 		return []action{{at, func(w *simulator.World) {
-			silent[max(w.Leader(), 0)] = true
-			for i := range min(many, 3) {
-				silent[i] = true
+			frozen[max(w.Leader(), 0)] = true
+			for i := range min(count, 3) {
+				frozen[i] = true
 			}
-			for i := range silent {
+			for i := range frozen {
 				w.Freeze(i, true)
 			}
 		}}, {at + randomDuration(r, 60, 90), func(w *simulator.World) {
-			for i := range silent {
+			for i := range frozen {
 				w.Freeze(i, false)
 			}
 		}}}
@@ -55,9 +55,9 @@
 	{name: "ends, and is back at once", actions: func(r *rand.Rand, at time.Duration) []action {
 		var out []action
 		for range 1 + r.IntN(6) {
-			ended := 0
-			out = append(out, action{at, func(w *simulator.World) { ended = max(w.Leader(), 0); w.Kill(ended) }},
-				action{at + time.Duration(1+r.IntN(300))*time.Millisecond, func(w *simulator.World) { w.StartNode(ended) }})
+			killed := 0
+			out = append(out, action{at, func(w *simulator.World) { killed = max(w.Leader(), 0); w.Kill(killed) }},
+				action{at + time.Duration(1+r.IntN(300))*time.Millisecond, func(w *simulator.World) { w.StartNode(killed) }})
 			at += time.Duration(301+r.IntN(4000)) * time.Millisecond
 		}
 		return out
@@ -125,27 +125,27 @@
 func TestRandomFaultScenarios(t *testing.T) {
 	for seed := range *randomFaultRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 31))
-		d := scenario{seed: uint64(4000 + seed)}
+		sc := scenario{seed: uint64(4000 + seed)}
 		var names []string
 		var jobs []func(u *users)
 		for _, k := range r.Perm(len(operationalFaults))[:2+r.IntN(3)] {
 			kind, at := operationalFaults[k], randomDuration(r, 25, 75)
 			names = append(names, kind.name)
 			if kind.actions != nil {
-				d.actions = append(d.actions, kind.actions(r, at)...)
+				sc.actions = append(sc.actions, kind.actions(r, at)...)
 			}
 			if kind.workload != nil {
 				jobs = append(jobs, func(u *users) { kind.workload(r, u, at) })
 			}
 		}
 		slices.Sort(names)
-		d.name = fmt.Sprintf("%d %s", seed, strings.Join(names, ", "))
-		t.Run(d.name, func(t *testing.T) {
+		sc.name = fmt.Sprintf("%d %s", seed, strings.Join(names, ", "))
+		t.Run(sc.name, func(t *testing.T) {
 			p := platform()
 			p.Params.Teams = p.Params.Teams[:1] // blue
 			addTeam(&p, "green", 100, 200, 0, 0)
 			addTeam(&p, "guest", 0, 0, 0, 0)
-			runScenario(t, d, p, machineTypes[:1], func(t *testing.T, u *users) {
+			runScenario(t, sc, p, machineTypes[:1], func(t *testing.T, u *users) {
 				threeZoneWorkload(t, u)
 				for _, f := range jobs {
 					f(u)
--- a/internal/simulator/seven_test.go
+++ b/internal/simulator/seven_test.go
@@ -45,13 +45,13 @@
 // met plays a named meeting at both sizes with each seed. make gives the day, who submits,
 // and what says afterwards what did not happen: "" where it did.
 func runAtEachBudget(t *testing.T, build func(seed uint64) (scenario, func(*testing.T, *users), func() string)) {
-	for _, size := range stateBudgets {
+	for _, budget := range stateBudgets {
 		for _, seed := range raceSeeds {
-			t.Run(fmt.Sprint(size.name, "-", seed), func(t *testing.T) {
-				d, jobs, lacks := build(seed)
-				d.seed = seed
-				runScenario(t, d, size.platform(), machineTypes[:1], jobs)
-				if what := lacks(); what != "" {
+			t.Run(fmt.Sprint(budget.name, "-", seed), func(t *testing.T) {
+				sc, jobs, missing := build(seed)
+				sc.seed = seed
+				runScenario(t, sc, budget.platform(), machineTypes[:1], jobs)
+				if what := missing(); what != "" {
 					t.Errorf("the day lacks %s", what)
 				}
 			})
@@ -172,22 +172,22 @@
 	const s, ms = time.Second, time.Millisecond
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		l := &followUpRequests{random: simulator.NewStreams(seed), cancels: true}
-		one := int(seed) % 3
-		other := (one + 1) % 3
+		restarted := int(seed) % 3
+		other := (restarted + 1) % 3
 		at := func(d time.Duration) time.Duration { return d + time.Duration(seed%7)*150*ms }
-		d := scenario{setup: l.install, setupFaultsEnd: true, actions: []action{
-			{at(30 * s), killNode(one)}, {at(30*s + 300*ms), startNode(one)},
+		sc := scenario{setup: l.install, setupFaultsEnd: true, actions: []action{
+			{at(30 * s), killNode(restarted)}, {at(30*s + 300*ms), startNode(restarted)},
 			// Whether users are told something of themselves in these 0.3 s is chance.
 			{at(30*s + 100*ms), func(*simulator.World) { l.onConfirmation("job-001000") }},
 			{at(45 * s), func(w *simulator.World) { setStateRefused(w, other, true) }}, {at(62 * s), func(w *simulator.World) { setStateRefused(w, other, false) }},
 			{at(70 * s), killAllNodes}, {at(70*s + 200*ms), startNode(other)}, {at(72 * s), startAllNodes},
 		}}
-		return d, func(_ *testing.T, u *users) { submitShortJobs(u, 20*s, 90*s, 400*ms) }, func() string {
+		return sc, func(_ *testing.T, u *users) { submitShortJobs(u, 20*s, 90*s, 400*ms) }, func() string {
 			t.Logf("%d things told, answers %v, without one %v, repeats %d, odd ones of them %d", l.confirmations, l.answers, l.unanswered, l.repeats, l.repeatsChanged)
 			switch {
 			case l.confirmations < 200 || slices.Min(l.answers[:]) < 200:
 				return "looks at every node"
-			case l.unanswered[one] == 0 || l.unanswered[other] == 0:
+			case l.unanswered[restarted] == 0 || l.unanswered[other] == 0:
 				return "looks at a node that can't tell"
 			case l.repeats < 200 || l.repeatsChanged < 60:
 				return "repeated submissions"
@@ -231,7 +231,7 @@
 // tells nor acts as if it had failed, and a repeat finds its own write by reading it.
 func TestWriteResponseLost(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	hit := map[string]int{}
+	lostByKind := map[string]int{}
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		l := &followUpRequests{random: simulator.NewStreams(seed), cancels: true}
 		lost := 0
@@ -241,13 +241,13 @@
 			}
 		}
 		h := &activeFaults{}
-		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+		sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 			l.install(w)
 			w.StateFaults.OnUnanswered = func(_ string, status int, body []byte) {
 				if status == http.StatusOK {
 					lost++
 					for _, k := range writeKinds(body) {
-						hit[k]++
+						lostByKind[k]++
 					}
 				}
 			}
@@ -260,7 +260,7 @@
 			submitShortJobs(u, 5*s, 90*s, 700*ms)
 			smallJobsWorkload(t, u)
 		}
-		return d, jobs, func() string {
+		return sc, jobs, func() string {
 			if lost < 30 {
 				return "answers that were lost"
 			}
@@ -268,11 +268,11 @@
 		}
 	})
 	for _, k := range []string{"c/job/", "b/open/", "b/done/", "b/machine/", "b/rent/", "c/leader", "raised c/leader", "drop b/open/", "drop b/rent/", "batch"} {
-		if hit[k] == 0 {
+		if lostByKind[k] == 0 {
 			t.Errorf("no answer to a write of %s was lost", k)
 		}
 	}
-	t.Logf("answers lost, by kind: %v", hit)
+	t.Logf("answers lost, by kind: %v", lostByKind)
 }
 
 // TestLimitsAtATakeover: every team is at its limit while jobs are cancelled whose machines
@@ -282,17 +282,17 @@
 	const s, ms = time.Second, time.Millisecond
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		h := &activeFaults{}
-		var cut []*simulator.Worker
-		var lead int
+		var partitioned []*simulator.Worker
+		var leader int
 		var cancelled []string
-		left := 0 // tasks of cancelled jobs on machines out of reach as the leader ends
-		out := func(w *simulator.World) {
+		unstopped := 0 // tasks of cancelled jobs on machines out of reach as the leader ends
+		loseMachines := func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				switch {
 				case len(k.RunningTasks()) == 0:
 				case i%3 == 0:
 					partitionWorker(w, k, true)
-					cut = append(cut, k)
+					partitioned = append(partitioned, k)
 				case i%3 == 1:
 					k.SetHung(true)
 					h.hungWorkers = append(h.hungWorkers, k)
@@ -300,9 +300,9 @@
 			}
 		}
 		at := 50*s + time.Duration(seed%5)*700*ms
-		long := 8*s + time.Duration(seed%3)*8*s // shorter and longer than a lease
-		d := scenario{actions: []action{
-			{at, out},
+		outage := 8*s + time.Duration(seed%3)*8*s // shorter and longer than a lease
+		sc := scenario{actions: []action{
+			{at, loseMachines},
 			{at + s, func(w *simulator.World) {
 				for i := range 6 {
 					id := fmt.Sprintf("job-%06d", 100+i)
@@ -312,20 +312,20 @@
 				}
 			}},
 			{at + 1500*ms, func(w *simulator.World) {
-				for _, k := range append(slices.Clone(cut), h.hungWorkers...) {
+				for _, k := range append(slices.Clone(partitioned), h.hungWorkers...) {
 					for _, task := range k.RunningTasks() {
 						if job, _, _ := strings.Cut(task, "/"); slices.Contains(cancelled, job) {
-							left++
+							unstopped++
 						}
 					}
 				}
-				lead = max(w.Leader(), 0)
-				w.Kill(lead)
+				leader = max(w.Leader(), 0)
+				w.Kill(leader)
 			}},
-			{at + 1800*ms, func(w *simulator.World) { w.StartNode(lead) }},
-			{at + long, h.resumeWorkers},
-			{at + long, func(w *simulator.World) {
-				for _, k := range cut {
+			{at + 1800*ms, func(w *simulator.World) { w.StartNode(leader) }},
+			{at + outage, h.resumeWorkers},
+			{at + outage, func(w *simulator.World) {
+				for _, k := range partitioned {
 					partitionWorker(w, k, false)
 				}
 			}},
@@ -344,9 +344,9 @@
 				})
 			}
 		}
-		return d, jobs, func() string {
-			if left < 4 {
-				return fmt.Sprintf("tasks of cancelled jobs on machines out of reach (%d)", left)
+		return sc, jobs, func() string {
+			if unstopped < 4 {
+				return fmt.Sprintf("tasks of cancelled jobs on machines out of reach (%d)", unstopped)
 			}
 			return ""
 		}
@@ -359,42 +359,42 @@
 func TestCancellationDuringTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	// A confirmation reaches the leader by its watch, within this time.
-	const slow, known = 200 * ms, 400 * ms
+	const writeDelay, propagation = 200 * ms, 400 * ms
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		var w *simulator.World
-		lead, next := 0, 0
-		var ended, begun time.Time
+		leader, next := 0, 0
+		var killedAt, nextSince time.Time
 		before, between, after := 0, 0, 0
 		at := 45 * s
-		var out *simulator.Worker // the takeover does not settle before it is heard
-		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
-			w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = slow })
+		var unreachable *simulator.Worker // the takeover does not settle before it is heard
+		sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+			w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = writeDelay })
 		}, actions: []action{{at, func(w *simulator.World) {
 			for _, k := range w.Cloud.Workers() {
 				if len(k.RunningTasks()) > 0 {
-					out = k
+					unreachable = k
 				}
 			}
-			partitionWorker(w, out, true)
-			lead = max(w.Leader(), 0)
+			partitionWorker(w, unreachable, true)
+			leader = max(w.Leader(), 0)
 			switch seed % 2 {
 			case 0:
-				setStateRefused(w, lead, true)
+				setStateRefused(w, leader, true)
 			default:
-				w.Kill(lead)
+				w.Kill(leader)
 			}
-			ended = time.Now()
+			killedAt = time.Now()
 			for {
 				time.Sleep(5 * ms)
-				if next = w.Leader(); next >= 0 && next != lead {
-					begun = time.Now()
+				if next = w.Leader(); next >= 0 && next != leader {
+					nextSince = time.Now()
 					return
 				}
 			}
 		}}, {at + 12*s, func(w *simulator.World) {
-			setStateRefused(w, lead, false)
-			w.StartNode(lead)
-			partitionWorker(w, out, false)
+			setStateRefused(w, leader, false)
+			w.StartNode(leader)
+			partitionWorker(w, unreachable, false)
 			w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = 0 })
 		}}}}
 		jobs := func(_ *testing.T, u *users) {
@@ -420,9 +420,9 @@
 					u.mu.Lock()
 					defer u.mu.Unlock()
 					switch {
-					case ended.IsZero():
+					case killedAt.IsZero():
 						before++
-					case begun.IsZero():
+					case nextSince.IsZero():
 						between++
 					default:
 						after++
@@ -430,10 +430,10 @@
 				})
 			}
 		}
-		return d, jobs, func() string {
+		return sc, jobs, func() string {
 			n, longest := w.StartsAfterCancel()
 			t.Logf("cancelled %d before, %d between two leaders, %d after; %d starts after a confirmation, %v at the latest", before, between, after, n, longest)
-			if longest > known {
+			if longest > propagation {
 				t.Errorf("a task was started %v after the confirmation", longest)
 			}
 			if before == 0 || between < 4 || after < 4 {
@@ -452,23 +452,23 @@
 	const rounds = 9
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		var writes replayCounts
-		young := 0 // machines with tasks that were up for less than three seconds as a leader ended
+		newMachines := 0 // machines with tasks that were up for less than three seconds as a leader ended
 		// When a machine is up and has a task is chance: the leader ends as soon as one does,
 		// or as none does for half a minute.
-		end := func(w *simulator.World) {
+		crashLeader := func(w *simulator.World) {
 			for wait := time.Duration(0); wait < 30*s; wait += 20 * ms {
 				if found := busyNewMachines(w); found > 0 {
-					young += found
+					newMachines += found
 					break
 				}
 				time.Sleep(20 * ms)
 			}
-			lead := max(w.Leader(), 0)
-			w.Kill(lead)
+			leader := max(w.Leader(), 0)
+			w.Kill(leader)
 			time.Sleep(4 * s)
-			w.StartNode(lead)
+			w.StartNode(leader)
 		}
-		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+		sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 			writes.observe(w.StateFaults, wire.CommitPath)
 			w.Cloud.SetBootFactor(func(n int) float64 { return 0.02 + 0.1*float64(n%2) }) // 0.3 s and 1.8 s
 			w.Settings.IdleReturnS = 2                                                    // so that the next jobs need new machines
@@ -486,9 +486,9 @@
 					w.Submit(job)
 				}
 			}
-			d.actions = append(d.actions, action{at, submit}, action{at + time.Duration(seed%4)*300*ms + time.Duration(i)*100*ms, end})
+			sc.actions = append(sc.actions, action{at, submit}, action{at + time.Duration(seed%4)*300*ms + time.Duration(i)*100*ms, crashLeader})
 		}
-		d.actions = append(d.actions, action{(35 + 60*rounds) * s, delayWrites(0)})
+		sc.actions = append(sc.actions, action{(35 + 60*rounds) * s, delayWrites(0)})
 		jobs := func(_ *testing.T, u *users) {
 			u.after((40+60*rounds)*s, func() {
 				for i := range rounds {
@@ -498,10 +498,10 @@
 				}
 			})
 		}
-		return d, jobs, func() string {
-			t.Logf("%d machines with tasks were up for less than three seconds as a leader ended; late writes %+v", young, writes)
-			if young < 3 {
-				return fmt.Sprintf("young machines with tasks as a leader ends (%d)", young)
+		return sc, jobs, func() string {
+			t.Logf("%d machines with tasks were up for less than three seconds as a leader ended; late writes %+v", newMachines, writes)
+			if newMachines < 3 {
+				return fmt.Sprintf("young machines with tasks as a leader ends (%d)", newMachines)
 			}
 			if writes.executed+writes.rejected == 0 {
 				return "late writes"
@@ -546,22 +546,22 @@
 }
 
 // arrive has copies of reports of up to half a minute ago arrive everywhere.
-func (o *reportReplayer) replay(w *simulator.World, many int) {
+func (o *reportReplayer) replay(w *simulator.World, count int) {
 	o.mu.Lock()
-	var some []capturedReport
-	for len(some) < many && len(o.captured) > 0 {
+	var copies []capturedReport
+	for len(copies) < count && len(o.captured) > 0 {
 		k := o.captured[o.random.IntN(len(o.captured))]
 		if time.Since(k.at) < 30*time.Second {
-			some = append(some, k)
+			copies = append(copies, k)
 		} else {
-			many--
+			count--
 		}
 	}
 	o.mu.Unlock()
-	slices.SortFunc(some, func(a, b capturedReport) int { return a.at.Compare(b.at) })
+	slices.SortFunc(copies, func(a, b capturedReport) int { return a.at.Compare(b.at) })
 	for i := range 3 {
 		go func() {
-			for _, k := range some {
+			for _, k := range copies {
 				status := w.SendReportCopy(i, k.body)
 				o.mu.Lock()
 				o.copies++
@@ -581,43 +581,43 @@
 	const s, ms = time.Second, time.Millisecond
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		o := &reportReplayer{random: rand.New(rand.NewPCG(seed, 38))}
-		var out []*simulator.Worker
-		lead := 0
-		d := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
+		var unreachable []*simulator.Worker
+		leader := 0
+		sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 			for _, f := range w.NodeFaults {
 				f.OnRequest = o.capture
 			}
 		}}
 		for i := range 4 {
 			at := 35*s + time.Duration(i)*25*s
-			d.actions = append(d.actions, action{at - 3*s, func(w *simulator.World) {
+			sc.actions = append(sc.actions, action{at - 3*s, func(w *simulator.World) {
 				for n, k := range w.Cloud.Workers() {
 					if (n+i)%4 == 0 {
 						partitionWorker(w, k, true) // its old reports are all that comes
-						out = append(out, k)
+						unreachable = append(unreachable, k)
 					}
 				}
 			}}, action{at, func(w *simulator.World) {
-				lead = max(w.Leader(), 0)
-				w.Kill(lead)
+				leader = max(w.Leader(), 0)
+				w.Kill(leader)
 				for range 40 { // the next one begins some three seconds later
 					time.Sleep(150 * ms)
 					o.replay(w, 12)
 				}
-			}}, action{at + 300*ms, func(w *simulator.World) { w.StartNode(lead) }},
+			}}, action{at + 300*ms, func(w *simulator.World) { w.StartNode(leader) }},
 				action{at + 8500*ms, func(w *simulator.World) { o.replay(w, 40) }}, // it has started, stopped and reaped by then
 				action{at + 9*s + time.Duration(i%2)*10*s, func(w *simulator.World) {
-					for _, k := range out {
+					for _, k := range unreachable {
 						partitionWorker(w, k, false)
 					}
-					out = nil
+					unreachable = nil
 				}})
 		}
 		jobs := func(t *testing.T, u *users) {
 			submitShortJobs(u, 10*s, 130*s, 900*ms)
 			smallJobsWorkload(t, u)
 		}
-		return d, jobs, func() string {
+		return sc, jobs, func() string {
 			t.Logf("%d copies of reports, %d taken by a leader", o.copies, o.takenByLeader)
 			if o.takenByLeader < 20 {
 				return "copies that a new leader took"
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func gangState(id, tasks int, run float64) simulator.Spec {
+func gang(id, tasks int, run float64) simulator.Spec {
 	return simulator.Spec{
 		ID: fmt.Sprintf("job-%06d", id), Class: "train", Team: "blue", Shape: "ensemble", Urgency: "high",
 		Tasks: tasks, CPUs: 4, MemGB: 4, Image: "im3", ImageGB: 1, OneZone: true, Spot: true,
@@ -175,9 +175,9 @@
 const inFlightGrace = 15 * time.Second
 
 // over is when the last trouble of the day is.
-func (d *scenario) faultsOver() time.Duration {
+func (sc *scenario) faultsOver() time.Duration {
 	var last time.Duration
-	for _, a := range d.actions {
+	for _, a := range sc.actions {
 		last = max(last, a.at)
 	}
 	return last + inFlightGrace
@@ -300,7 +300,7 @@
 		})
 	}
 	for i := range 4 {
-		job := gangState(200+i, 2+r.IntN(3), 8)
+		job := gang(200+i, 2+r.IntN(3), 8)
 		u.afterRandom(100, func() { u.runToDone(job) })
 	}
 	for i := range 2 {
@@ -354,7 +354,7 @@
 func gangWorkload(t *testing.T, u *users) {
 	r := u.random
 	for i := range 10 {
-		job := gangState(200+i, []int{1, 2, 4}[i%3], 10+20*r.Float64())
+		job := gang(200+i, []int{1, 2, 4}[i%3], 10+20*r.Float64())
 		job.Team, job.CPUs, job.GPUs, job.MemGB = []string{"radar", "river"}[i%2], 57, 8, 410
 		job.Spot, job.OneZone = i%2 == 1, i%2 == 0
 		job.Image, job.ImageGB = fmt.Sprint("gang", i%3), []float64{3, 6, 12}[i%3]
@@ -363,7 +363,7 @@
 	// One of its machines has the image, the others fetch it for twice as long as
 	// the one waits.
 	for i, tasks := range []int{1, 3} {
-		job := gangState(250+i, tasks, 10)
+		job := gang(250+i, tasks, 10)
 		job.Team, job.CPUs, job.GPUs, job.MemGB, job.Image, job.ImageGB = "radar", 57, 8, 410, "large", 12
 		u.after(time.Duration(60*i)*time.Second, func() { u.runToDone(job) })
 	}
@@ -385,7 +385,7 @@
 		for want, job := range map[string]simulator.Spec{
 			"more than its team's limit": {Tasks: 9, GPUs: 8}, "more than any machine": {Tasks: 1, GPUs: 9},
 		} {
-			bad := gangState(299, job.Tasks, 5)
+			bad := gang(299, job.Tasks, 5)
 			bad.Team, bad.GPUs = "radar", job.GPUs
 			if got := u.w.PostJob(1, &bad); got != http.StatusUnprocessableEntity {
 				t.Errorf("a gang that needs %s is answered %d", want, got)
@@ -397,8 +397,8 @@
 // TestGangDays plays days of whole machines, gangs and borrowed GPUs.
 func TestGangScenarios(t *testing.T) {
 	const s = time.Second
-	few := func(w *simulator.World) { w.Cloud.Capacity = 9 }
-	wave := func(w *simulator.World) {
+	fewMachines := func(w *simulator.World) { w.Cloud.Capacity = 9 }
+	reclaimWave := func(w *simulator.World) {
 		for i, k := range w.Cloud.Workers() {
 			switch i % 3 {
 			case 0:
@@ -410,14 +410,14 @@
 	}
 	for _, sc := range []scenario{
 		{name: "quiet", seed: 21},
-		{name: "fewer machines than work", seed: 22, setup: few},
-		{name: "takeover in mid-gang", seed: 23, setup: few, actions: []action{
+		{name: "fewer machines than work", seed: 22, setup: fewMachines},
+		{name: "takeover in mid-gang", seed: 23, setup: fewMachines, actions: []action{
 			{41 * s, killNode(0)}, {47 * s, startNode(0)}, {60 * s, killNode(1)}, {66 * s, startNode(1)}, {80 * s, killAllNodes}, {86 * s, startAllNodes},
 		}},
-		{name: "machines are taken in a wave", seed: 24, actions: []action{{50 * s, wave}, {75 * s, wave}}},
+		{name: "machines are taken in a wave", seed: 24, actions: []action{{50 * s, reclaimWave}, {75 * s, reclaimWave}}},
 		{name: "late and lost commands", seed: 25, setup: func(w *simulator.World) {
 			w.WorkerFaults.LoseResponse, w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay = 0.1, 0.1, 25*time.Second
-		}, actions: []action{{45 * s, killNode(0)}, {51 * s, startNode(0)}, {60 * s, wave}}},
+		}, actions: []action{{45 * s, killNode(0)}, {51 * s, startNode(0)}, {60 * s, reclaimWave}}},
 	} {
 		t.Run(sc.name, func(t *testing.T) {
 			p, types := wholeMachinePlatform()
@@ -441,19 +441,19 @@
 	}
 }
 
-func partitionNode(w *simulator.World, i int, other string, cut bool) {
-	w.Net.BlockLink(w.NodeAddr(i), other, cut)
+func partitionNode(w *simulator.World, i int, other string, blocked bool) {
+	w.Net.BlockLink(w.NodeAddr(i), other, blocked)
 }
 
-func partitionNodeFromWorkers(w *simulator.World, i int, cut bool) {
+func partitionNodeFromWorkers(w *simulator.World, i int, blocked bool) {
 	for _, k := range w.Cloud.Workers() {
-		w.Net.BlockLink(w.NodeAddr(i), k.Address(), cut)
+		w.Net.BlockLink(w.NodeAddr(i), k.Address(), blocked)
 	}
 }
 
-func partitionWorker(w *simulator.World, k *simulator.Worker, cut bool) {
+func partitionWorker(w *simulator.World, k *simulator.Worker, blocked bool) {
 	for i := range 3 {
-		w.Net.BlockLink(w.NodeAddr(i), k.Address(), cut)
+		w.Net.BlockLink(w.NodeAddr(i), k.Address(), blocked)
 	}
 }
 
@@ -468,11 +468,11 @@
 		w.Submit(service(1, 1))
 		time.Sleep(60 * time.Second)
 		w.ExpectLiveness()
-		waits := service(2, 1)
-		w.Submit(waits)
+		waiting := service(2, 1)
+		w.Submit(waiting)
 		killAllNodes(w)
 		for range 100 {
-			w.Poll(waits.ID)
+			w.Poll(waiting.ID)
 			time.Sleep(time.Second)
 		}
 		for _, rule := range []string{"forgotten: no question about job-000002", "neglected: job-000002"} {
