--- a/internal/simulator/cut_test.go
+++ b/internal/simulator/cut_test.go
@@ -13,16 +13,16 @@
 	"aspenstall/internal/simulator"
 )
 
-var randomPartitionRuns = flag.Int("drawn", 12, "how many drawn days of cuts TestDrawnCuts plays")
+var randomPartitionRuns = flag.Int("drawn", 12, "how many random scenarios TestRandomPartitions runs")
 
-// wideJobs keep some twenty machines busy in three zones: services above all, of
-// which some end while a zone is cut off, and arrays beside them.
+// threeZoneWorkload keeps about twenty machines in three zones busy. It submits mostly services, of
+// which some are cancelled while a zone is partitioned, and some arrays.
 func threeZoneWorkload(t *testing.T, u *users) {
 	const s = time.Second
 	w := u.w
 	for i := range 12 {
 		job := service(500+i, 6)
-		if i >= 8 { // the others are in two zones
+		if i >= 8 { // the other services are spread over two zones
 			job.Zone, job.Spread = "c", false
 		}
 		u.after(time.Duration(i)*s, func() {
@@ -40,20 +40,22 @@
 	}
 }
 
-// cuts are troubles that a day begins and ends: what they took is remembered in
-// between.
+// activeFaults begins and ends faults, and keeps in between which zone, workers and nodes they
+// affect.
 type activeFaults struct {
-	partitionedZone string // of the node that led when the cut began, or another's
+	partitionedZone string // chosen relative to the node that led when the partition began
 	hungWorkers     []*simulator.Worker
 	frozenNode      int
 	killedNode      int
 }
 
+// setZonePartition returns an action that partitions a zone or heals it.
 func setZonePartition(zone string, partitioned bool) func(*simulator.World) {
 	return func(w *simulator.World) { w.Net.PartitionZone(zone, partitioned) }
 }
 
-// cutOff cuts off the zone of the node that comes so many after the leader.
+// partitionZone returns an action that partitions the zone of the node that follows the leader by
+// an offset; 0 is the leader's own zone.
 func (c *activeFaults) partitionZone(offset int) func(*simulator.World) {
 	return func(w *simulator.World) {
 		c.partitionedZone = w.Nodes[(max(w.Leader(), 0)+offset)%3].Zone
@@ -63,6 +65,7 @@
 
 func (c *activeFaults) healZone(w *simulator.World) { w.Net.PartitionZone(c.partitionedZone, false) }
 
+// hangWorkers makes every third worker hang.
 func (c *activeFaults) hangWorkers(w *simulator.World) {
 	for i, k := range w.Cloud.Workers() {
 		if i%3 == 0 {
@@ -86,6 +89,8 @@
 
 func (c *activeFaults) unfreezeNode(w *simulator.World) { w.Freeze(c.frozenNode, false) }
 
+// setStateDown returns an action that begins or ends an outage of the state service. Its leases are
+// renewed when the outage ends.
 func setStateDown(down bool) func(*simulator.World) {
 	return func(w *simulator.World) {
 		w.StateFaults.Update(func(f *simulator.Faults) { f.Down = down })
@@ -95,27 +100,32 @@
 	}
 }
 
+// refuseLeaderReads makes the state service refuse all reads of the current leader.
 func refuseLeaderReads(w *simulator.World) {
 	w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseReadClients[w.NodeAddr(max(w.Leader(), 0))] = true })
 }
 
-// fill submits more than there is room for.
+// submitExcessJobs submits more tasks than there is room for.
 func submitExcessJobs(w *simulator.World) {
 	for i := range 3 {
 		w.Submit(array(700+i, 40, 40))
 	}
 }
 
+// refuseRequestsContaining returns an action that makes the state service refuse requests whose body
+// contains the text; "" refuses none.
 func refuseRequestsContaining(text string) func(*simulator.World) {
 	return func(w *simulator.World) {
 		w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseContaining = text })
 	}
 }
 
+// allowReads ends refuseLeaderReads.
 func allowReads(w *simulator.World) {
 	w.StateFaults.Update(func(f *simulator.Faults) { clear(f.RefuseReadClients) })
 }
 
+// runPartitionScenario runs a scenario with threeZoneWorkload on machines of one type.
 func runPartitionScenario(t *testing.T, sc scenario) {
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:1] // blue
@@ -123,40 +133,40 @@
 	runScenario(t, sc, p, machineTypes[:1], threeZoneWorkload)
 }
 
-// TestCutDays plays days on which many machines or a controller fall silent
-// together and go on later. What fails without which guard is in
-// docs/design/zone-cut.md.
+// TestPartitionScenarios runs scenarios in which many machines or a controller stop communicating
+// at the same time and continue later. docs/design/zone-cut.md lists which scenario fails without
+// which safeguard.
 func TestPartitionScenarios(t *testing.T) {
 	const s = time.Second
 	c := &activeFaults{}
 	for _, sc := range []scenario{
-		{name: "a zone without the leader is cut off for a while", seed: 31, keepsLeases: true, actions: []action{{50 * s, c.partitionZone(1)}, {70 * s, c.healZone}}},
-		{name: "the leader's zone is cut off for a while", seed: 32, keepsLeases: true, actions: []action{{50 * s, c.partitionZone(0)}, {70 * s, c.healZone}}},
-		{name: "a zone is cut off for longer than its leases last", seed: 33, actions: []action{{50 * s, c.partitionZone(1)}, {110 * s, c.healZone}}},
-		{name: "the leader's zone is cut off for longer than that", seed: 34, actions: []action{{50 * s, c.partitionZone(0)}, {110 * s, c.healZone}}},
-		{name: "a zone is cut off and mended twice", seed: 35, actions: []action{
+		{name: "a zone without the leader is partitioned for a while", seed: 31, keepsLeases: true, actions: []action{{50 * s, c.partitionZone(1)}, {70 * s, c.healZone}}},
+		{name: "the leader's zone is partitioned for a while", seed: 32, keepsLeases: true, actions: []action{{50 * s, c.partitionZone(0)}, {70 * s, c.healZone}}},
+		{name: "a zone is partitioned for longer than its leases last", seed: 33, actions: []action{{50 * s, c.partitionZone(1)}, {110 * s, c.healZone}}},
+		{name: "the leader's zone is partitioned for longer than its leases last", seed: 34, actions: []action{{50 * s, c.partitionZone(0)}, {110 * s, c.healZone}}},
+		{name: "a zone is partitioned and healed twice", seed: 35, actions: []action{
 			{45 * s, setZonePartition("b", true)}, {60 * s, setZonePartition("b", false)}, {63 * s, setZonePartition("b", true)}, {83 * s, setZonePartition("b", false)},
 		}},
-		{name: "two leaders are cut off one after the other", seed: 36, actions: []action{
+		{name: "two leaders are partitioned one after the other", seed: 36, actions: []action{
 			{45 * s, c.partitionZone(0)}, {65 * s, c.healZone}, {66 * s, c.partitionZone(0)}, {90 * s, c.healZone},
 		}},
-		{name: "controllers end while a zone is cut off", seed: 37, actions: []action{
+		{name: "controllers crash while a zone is partitioned", seed: 37, actions: []action{
 			{45 * s, setZonePartition("a", true)}, {52 * s, killNode(0)}, {56 * s, startNode(0)}, {58 * s, killNode(1)}, {62 * s, startNode(1)}, {85 * s, setZonePartition("a", false)},
 		}},
-		{name: "a zone is cut off in an outage of the state service", seed: 38, actions: []action{
+		{name: "a zone is partitioned in an outage of the state service", seed: 38, actions: []action{
 			{45 * s, setStateDown(true)}, {50 * s, setZonePartition("b", true)}, {62 * s, setStateDown(false)}, {88 * s, setZonePartition("b", false)},
 		}},
-		{name: "many machines hang and go on", seed: 39, actions: []action{{45 * s, c.hangWorkers}, {70 * s, c.resumeWorkers}, {80 * s, c.hangWorkers}, {88 * s, c.resumeWorkers}}},
-		{name: "the leader stands still for half a minute", seed: 40, actions: []action{{45 * s, c.freezeLeader}, {75 * s, c.unfreezeNode}, {78 * s, c.freezeLeader}, {108 * s, c.unfreezeNode}}},
-		{name: "a leader ends before the record of a cut that is over does", seed: 43, actions: []action{
+		{name: "many machines hang and resume", seed: 39, actions: []action{{45 * s, c.hangWorkers}, {70 * s, c.resumeWorkers}, {80 * s, c.hangWorkers}, {88 * s, c.resumeWorkers}}},
+		{name: "the leader is frozen for half a minute", seed: 40, actions: []action{{45 * s, c.freezeLeader}, {75 * s, c.unfreezeNode}, {78 * s, c.freezeLeader}, {108 * s, c.unfreezeNode}}},
+		{name: "the leader crashes before the record of a healed partition is deleted", seed: 43, actions: []action{
 			{50 * s, c.partitionZone(1)}, {58 * s, refuseRequestsContaining("b/kept/")}, {60 * s, c.healZone}, {66 * s, submitExcessJobs}, {75 * s, func(w *simulator.World) {
 				w.Net.PartitionZone(c.partitionedZone, true)
 				c.killedNode = max(w.Leader(), 0)
 				w.Kill(c.killedNode)
 			}}, {95 * s, c.healZone}, {96 * s, refuseRequestsContaining("")}, {96 * s, func(w *simulator.World) { w.StartNode(c.killedNode) }},
 		}},
-		{name: "the leader reads nothing from the state service", seed: 42, actions: []action{{50 * s, refuseLeaderReads}, {130 * s, allowReads}}},
-		{name: "all controllers end in an outage of the state service", seed: 41, actions: []action{
+		{name: "the state service refuses the leader's reads", seed: 42, actions: []action{{50 * s, refuseLeaderReads}, {130 * s, allowReads}}},
+		{name: "all controllers crash in an outage of the state service", seed: 41, actions: []action{
 			{45 * s, setStateDown(true)}, {50 * s, killAllNodes}, {54 * s, startAllNodes}, {66 * s, setStateDown(false)},
 		}},
 	} {
@@ -164,10 +174,10 @@
 	}
 }
 
-// TestLeaseEnds: a stand-in's worker ends its tasks when its lease is over and not
-// later, as the protocol has it. It looked twice a second, so up to half a second too
-// late, and drawn days broke ran_twice: a leader that counted the lease down rightly
-// started the tasks elsewhere meanwhile.
+// TestTasksEndWithLease tests that a simulated worker ends its tasks exactly when its lease expires,
+// as the protocol requires. A worker that checked only twice a second ended them up to half a second
+// late. Random scenarios then violated ran_twice, because the leader, which computed the expiry
+// correctly, had already started the tasks elsewhere.
 func TestTasksEndWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
@@ -184,30 +194,31 @@
 			}
 		}
 		if k == nil {
-			t.Fatal("nothing runs")
+			t.Fatal("no task runs")
 		}
 		lease := time.Duration(p.Params.Workers.LeaseS * float64(time.Second))
 		killAllNodes(w)
 		leaseEnd := k.LastAcknowledged().Add(lease)
 		time.Sleep(time.Until(leaseEnd) - time.Millisecond)
 		if len(k.RunningTasks()) == 0 {
-			t.Error("its tasks ended before its lease did")
+			t.Error("the tasks ended before the lease expired")
 		}
 		time.Sleep(2 * time.Millisecond)
 		if got := k.RunningTasks(); len(got) > 0 {
-			t.Errorf("%v run after the lease", got)
+			t.Errorf("%v still run after the lease expired", got)
 		}
 	})
 }
 
-// trouble is a kind of trouble; it gives the acts of one that begins at a time.
+// faultKind is a kind of fault. actions returns the actions of one fault that begins at the given
+// time, with its other parameters drawn from r.
 type faultKind struct {
 	name    string
 	actions func(r *rand.Rand, at time.Duration) []action
 }
 
-// drawn is the day of a seed on which troubles begin, each at a time that is drawn from
-// so many seconds on.
+// randomScenario returns the scenario of a seed in which each of the faults begins at a random time,
+// between from and to seconds after the start.
 func randomScenario(r *rand.Rand, number int, seed uint64, faults []faultKind, from, to int) scenario {
 	sc := scenario{seed: seed}
 	var names []string
@@ -220,9 +231,10 @@
 	return sc
 }
 
-// troubleKinds are the kinds that TestDrawnCuts combines.
+// partitionFaults are the kinds of faults that TestRandomPartitions combines. The first is part of
+// each of its scenarios.
 var partitionFaults = []faultKind{
-	{"zone cut", func(r *rand.Rand, at time.Duration) []action {
+	{"zone partitioned", func(r *rand.Rand, at time.Duration) []action {
 		c := &activeFaults{}
 		return []action{{at, c.partitionZone(r.IntN(3))}, {at + randomDuration(r, 12, 60), c.healZone}}
 	}},
@@ -230,18 +242,18 @@
 		c := &activeFaults{}
 		return []action{{at, c.freezeLeader}, {at + randomDuration(r, 4, 30), c.unfreezeNode}}
 	}},
-	{"leader ends", func(r *rand.Rand, at time.Duration) []action {
+	{"leader crashes", func(r *rand.Rand, at time.Duration) []action {
 		killed := 0
 		return []action{{at, func(w *simulator.World) { killed = max(w.Leader(), 0); w.Kill(killed) }},
 			{at + randomDuration(r, 2, 10), func(w *simulator.World) { w.StartNode(killed) }}}
 	}},
-	{"all end", func(r *rand.Rand, at time.Duration) []action {
+	{"all controllers crash", func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, killAllNodes}, {at + randomDuration(r, 2, 10), startAllNodes}}
 	}},
-	{"state out", func(r *rand.Rand, at time.Duration) []action {
+	{"state service down", func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, setStateDown(true)}, {at + randomDuration(r, 4, 35), setStateDown(false)}}
 	}},
-	{"state out for one", func(r *rand.Rand, at time.Duration) []action {
+	{"state service refuses one controller", func(r *rand.Rand, at time.Duration) []action {
 		i := r.IntN(3)
 		refuse := func(refused bool) func(*simulator.World) {
 			return func(w *simulator.World) {
@@ -250,7 +262,7 @@
 		}
 		return []action{{at, refuse(true)}, {at + randomDuration(r, 4, 40), refuse(false)}}
 	}},
-	{"peers refused", func(r *rand.Rand, at time.Duration) []action {
+	{"peer links blocked", func(r *rand.Rand, at time.Duration) []action {
 		block := func(blocked bool) func(*simulator.World) {
 			return func(w *simulator.World) { w.BlockPeerLinks(blocked) }
 		}
@@ -258,14 +270,15 @@
 	}},
 }
 
+// randomDuration returns a duration from from to less than to seconds, in whole milliseconds.
 func randomDuration(r *rand.Rand, from, to int) time.Duration {
 	return time.Duration(from*1000+r.IntN((to-from)*1000)) * time.Millisecond
 }
 
-// TestDrawnCuts plays days on which a zone is cut off and one to three other
-// troubles fall into the same half minute, drawn by seed. The long form, outside CI:
+// TestRandomPartitions runs random scenarios, by seed, in which a zone is partitioned and one to
+// three other faults begin in the same half minute. The long form, outside CI:
 //
-//	go test ./internal/simulator -run TestDrawnCuts -drawn 500
+//	go test ./internal/simulator -run TestRandomPartitions -drawn 500
 func TestRandomPartitions(t *testing.T) {
 	for seed := range *randomPartitionRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 22))
--- a/internal/simulator/ends_test.go
+++ b/internal/simulator/ends_test.go
@@ -14,26 +14,26 @@
 	"aspenstall/internal/simulator"
 )
 
-var randomExitRuns = flag.Int("ends", 8, "how many drawn days of ends TestEndedAnywhere plays")
+var randomExitRuns = flag.Int("ends", 8, "how many random scenarios TestProcessExitAtAnyRequest runs")
 
-// steps are the requests of a node's, or to it, with which its process may end: those
-// of an election, a takeover, a write, a command, a rental and an answer.
+// exitPoints are the requests of or to a controller during which its process may crash: those of an
+// election, a takeover, a write, a command, a rental and a response.
 var exitPoints = []struct {
 	name    string
-	service string // whose faults: state, cloud, worker, node
+	service string // the service that handles the request: state, cloud, worker or node
 	match   func(r *http.Request, body []byte) bool
 }{
 	{"grants a lease", "state", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodPost && r.URL.Path == "/leases" }},
-	{"takes the leadership", "state", func(r *http.Request, b []byte) bool {
+	{"acquires leadership", "state", func(r *http.Request, b []byte) bool {
 		return r.URL.Path == "/commit" && bytes.Contains(b, []byte("writes")) && bytes.Count(b, []byte("c/leader")) == 2
 	}},
-	{"renews", "state", func(r *http.Request, _ []byte) bool { return strings.HasSuffix(r.URL.Path, "/renew") }},
-	{"ends a lease", "state", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodDelete }},
-	{"reads the books", "state", func(r *http.Request, _ []byte) bool { return r.URL.Query().Get("starts") == "b/" }},
-	{"reads the records", "state", func(r *http.Request, _ []byte) bool {
+	{"renews a lease", "state", func(r *http.Request, _ []byte) bool { return strings.HasSuffix(r.URL.Path, "/renew") }},
+	{"revokes a lease", "state", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodDelete }},
+	{"reads the scheduler's records", "state", func(r *http.Request, _ []byte) bool { return r.URL.Query().Get("starts") == "b/" }},
+	{"reads the shared records", "state", func(r *http.Request, _ []byte) bool {
 		return r.URL.Path == "/keys" && r.URL.Query().Get("starts") == "c/"
 	}},
-	{"opens a job", "state", func(r *http.Request, b []byte) bool { return bytes.Contains(b, []byte("b/open/")) }},
+	{"writes a started record", "state", func(r *http.Request, b []byte) bool { return bytes.Contains(b, []byte("b/open/")) }},
 	{"records machines", "state", func(r *http.Request, b []byte) bool { return bytes.Contains(b, []byte("b/machine/")) }},
 	{"records a rental", "state", func(r *http.Request, b []byte) bool { return bytes.Contains(b, []byte("b/rent/")) }},
 	{"writes a job", "state", func(r *http.Request, b []byte) bool {
@@ -41,24 +41,25 @@
 	}},
 	{"commands a worker", "worker", func(*http.Request, []byte) bool { return true }},
 	{"starts a task", "worker", func(_ *http.Request, b []byte) bool { return bytes.Contains(b, []byte("start")) }},
-	{"rents", "cloud", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodPost && r.URL.Path == "/machines" }},
-	{"returns machines", "cloud", func(r *http.Request, _ []byte) bool { return r.URL.Path == "/machines/return" }},
+	{"rents machines", "cloud", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodPost && r.URL.Path == "/machines" }},
+	{"releases machines", "cloud", func(r *http.Request, _ []byte) bool { return r.URL.Path == "/machines/return" }},
 	{"answers a report", "node", func(r *http.Request, _ []byte) bool { return r.URL.Path == "/agent/beat" }},
 	{"answers a user", "node", func(r *http.Request, _ []byte) bool { return strings.HasPrefix(r.URL.Path, "/v2/") }},
 }
 
-// ends draws with which requests processes end, and counts how often each step did.
+// exitInjector draws the requests during which processes crash, and counts the crashes by exit
+// point.
 type exitInjector struct {
 	mu        sync.Mutex
 	r         *rand.Rand
-	point     int // that the next process ends with; negative: none
-	remaining int // so many ends follow at whatever the process does next
+	point     int // index in exitPoints of the next crash; negative: none
+	remaining int // further crashes to follow the next one, each at a newly drawn point
 	mode      simulator.CrashPoint
 	lateBy    time.Duration
-	hits      map[string]int
+	hits      map[string]int // crashes by the exit point's name
 }
 
-// arm has the next process end that comes to a step.
+// arm draws an exit point: the next process that reaches it crashes.
 func (e *exitInjector) arm(w *simulator.World) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,6 +72,8 @@
 	}
 }
 
+// onRequest returns a hook for the faults of a service that decides if a request is the one to crash
+// during.
 func (e *exitInjector) onRequest(service string) func(r *http.Request, body []byte) simulator.CrashPoint {
 	return func(r *http.Request, body []byte) simulator.CrashPoint {
 		e.mu.Lock()
@@ -87,19 +90,19 @@
 		if e.remaining--; e.remaining < 0 {
 			e.point = -1
 		} else {
-			// What it does first when it is back, or soon.
+			// The next crash is at a request soon after the restart.
 			e.point, e.mode = e.r.IntN(len(exitPoints)), simulator.CrashPoint(1+e.r.IntN(3))
 		}
 		return mode
 	}
 }
 
-// TestEndedAnywhere plays days on which processes end with a request of an election, a
-// takeover, a write, a command or an answer: before it is executed, after it with half
-// of the answer sent, or so that it is executed many seconds later; and are back after
-// a millisecond to 0.3 s, to end again. The long form, outside CI:
+// TestProcessExitAtAnyRequest runs scenarios in which processes crash during a request of an
+// election, a takeover, a write, a command or a response: before the request is executed, after it
+// with half of the response sent, or so that it is executed many seconds later. They restart after
+// 1 ms to 0.3 s, and may crash again at once. The long form, outside CI:
 //
-//	go test ./internal/simulator -run TestEndedAnywhere -ends 300
+//	go test ./internal/simulator -run TestProcessExitAtAnyRequest -ends 300
 func TestProcessExitAtAnyRequest(t *testing.T) {
 	hits := map[string]int{}
 	for seed := range *randomExitRuns {
@@ -122,10 +125,10 @@
 			runPartitionScenario(t, sc)
 		})
 	}
-	t.Logf("ends by step: %v", hits)
+	t.Logf("crashes by exit point: %v", hits)
 	for _, s := range exitPoints {
-		if hits[s.name] == 0 && *randomExitRuns >= 100 && s.name != "ends a lease" {
-			t.Errorf("no process ended while it %s", s.name)
+		if hits[s.name] == 0 && *randomExitRuns >= 100 && s.name != "revokes a lease" {
+			t.Errorf("no process crashed while it %s", s.name)
 		}
 	}
 }
--- a/internal/simulator/further_test.go
+++ b/internal/simulator/further_test.go
@@ -11,24 +11,26 @@
 	"aspenstall/internal/wire"
 )
 
-// atTheEnd are users who call a job off, ask about it and submit it again as its last task
-// ends.
+// completionRaces are users who cancel a job, poll it and submit it again while its last task
+// completes.
 type completionRaces struct {
 	w           *simulator.World
 	random      *simulator.Streams // by job
 	mu          sync.Mutex
-	finalStates map[string]string
+	finalStates map[string]string // what the cancelling user was told, by job
 }
 
+// install makes the world call onLastTask for each job.
 func (e *completionRaces) install(w *simulator.World) {
 	e.w, e.finalStates = w, map[string]string{}
 	w.OnLastTaskDone(e.onLastTask)
 }
 
+// onLastTask sends the requests for a job whose last task is done, after random delays.
 func (e *completionRaces) onLastTask(id string) {
 	e.mu.Lock()
 	r := e.random.Stream(id)
-	within := []int{60, 700}[r.IntN(2)] // most jobs are done long before the latter
+	within := []int{60, 700}[r.IntN(2)] // most jobs are recorded as done long before 700 ms
 	cancelDelay, pollDelay := time.Duration(r.IntN(within))*time.Millisecond, time.Duration(r.IntN(700))*time.Millisecond
 	node := r.IntN(3)
 	e.mu.Unlock()
@@ -47,8 +49,8 @@
 	e.finalStates[id] = state
 }
 
-// bound are jobs that may run in one zone only, arrays and services, spread ones and arrays
-// whose tasks have to be together.
+// zoneBoundWorkload submits arrays and services: some may run in a given zone only, some need all
+// tasks in one zone, some are spread over zones.
 func zoneBoundWorkload(_ *testing.T, u *users) {
 	const s = time.Second
 	for i := range 10 {
@@ -81,8 +83,9 @@
 	}
 }
 
-// TestFurtherMeetings brings about the other meetings that operators have named, each at both
-// sizes of settings, and says if one did not happen.
+// TestFaultCombinationsByStateBudget runs further combinations of faults that operators reported, at
+// both budgets of the state service. A test fails if the combination did not occur, or if a rule or
+// an expected state is violated.
 func TestFaultCombinationsByStateBudget(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	type combination struct {
@@ -98,21 +101,21 @@
 		name  string
 		build func(seed uint64) combination
 	}{
-		{"a cancellation, a question and a submission at the end of a job's last task", func(seed uint64) combination {
+		{"a job is cancelled, polled and resubmitted as its last task completes", func(seed uint64) combination {
 			e := &completionRaces{random: simulator.NewStreams(seed)}
 			return combination{scenario{setup: e.install, setupFaultsEnd: true}, func(_ *testing.T, u *users) { submitShortJobs(u, 10*s, 100*s, 500*ms) }, func() string {
 				n := map[string]int{}
 				for _, f := range e.finalStates {
 					n[f]++
 				}
-				t.Logf("told at the end: %v", n)
+				t.Logf("final states told to users: %v", n)
 				if n["done"] < 10 || n["aborted"] < 10 {
 					return "jobs that were done and jobs that were cancelled"
 				}
 				return ""
 			}}
 		}},
-		{"more work than room, urgent and not, over slow links", func(seed uint64) combination {
+		{"more work than capacity at all priorities over slow links", func(seed uint64) combination {
 			fleetFull := false
 			sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 				w.Cloud.Capacity = 10
@@ -141,11 +144,11 @@
 				return ""
 			}}
 		}},
-		{"workers reach no controller while direct commands reach them", func(seed uint64) combination {
+		{"reports of workers are lost while direct commands arrive", func(seed uint64) combination {
 			isolated := map[*simulator.Worker]bool{}
-			startedLater := map[string]bool{} // tasks that such a machine was given after its first session ended
-			seen := map[string]bool{}
-			var crashedAt time.Time // a new leader's first seconds: it can't know yet
+			startedLater := map[string]bool{} // tasks started on such a machine after the session in which its reports were lost
+			seen := map[string]bool{} // tasks of later sessions, also those started by a new leader
+			var crashedAt time.Time // a new leader can't know yet in its first 9 s which reports are lost
 			firstSession := map[*simulator.Worker]uint64{}
 			watch := func(w *simulator.World) {
 				for range 140 {
@@ -178,17 +181,17 @@
 				}
 			}}}}
 			return combination{sc, smallJobsWorkload, func() string {
-				t.Logf("%d mute machines, given after their sessions ended: %v; a new leader gave %d in its first seconds", len(isolated), startedLater, len(seen)-len(startedLater))
+				t.Logf("%d machines with lost reports, tasks started after their sessions ended: %v; a new leader started %d in its first seconds", len(isolated), startedLater, len(seen)-len(startedLater))
 				if len(startedLater) > 0 {
-					t.Errorf("mute machines were given work again: %v", startedLater)
+					t.Errorf("machines with lost reports were given tasks again: %v", startedLater)
 				}
 				if len(isolated) < 2 {
-					return "mute machines"
+					return "machines with lost reports"
 				}
 				return ""
 			}}
 		}},
-		{"every controller and its zone are cut off for longer than a lease, and back", func(seed uint64) combination {
+		{"all zones with their controllers are partitioned for longer than a lease", func(seed uint64) combination {
 			partitionAll := func(on bool) func(*simulator.World) {
 				return func(w *simulator.World) {
 					for _, z := range []string{"a", "b", "c"} {
@@ -198,11 +201,11 @@
 			}
 			return combination{scenario{actions: []action{{45 * s, partitionAll(true)}, {45*s + 26*s, partitionAll(false)}}}, smallJobsWorkload, nil}
 		}},
-		{"a zone with workers and a controller is cut off for longer than a lease, twice", func(seed uint64) combination {
+		{"a zone with workers and a controller is partitioned twice for longer than a lease", func(seed uint64) combination {
 			c := &activeFaults{}
 			return combination{scenario{actions: []action{{45 * s, c.partitionZone(int(seed) % 3)}, {68 * s, c.healZone}, {80 * s, c.partitionZone(0)}, {104 * s, c.healZone}}}, zoneBoundWorkload, nil}
 		}},
-		{"jobs bound to one zone, spread ones and ones together lose machines, with a takeover", func(seed uint64) combination {
+		{"zone-bound and spread jobs lose machines during a takeover", func(seed uint64) combination {
 			lost := 0
 			kill, restart := leaderCrash()
 			h := &activeFaults{}
@@ -216,12 +219,12 @@
 			}}, {41 * s, h.hangWorkers}, {42 * s, kill}, {42*s + 300*ms, restart}, {55 * s, h.resumeWorkers}, {70 * s, h.hangWorkers}, {95 * s, h.resumeWorkers}}}
 			return combination{sc, zoneBoundWorkload, func() string {
 				if lost < 2 {
-					return "machines that were lost with tasks"
+					return "terminated machines with tasks"
 				}
 				return ""
 			}}
 		}},
-		{"leaders change ten times in two minutes, also inside an outage", func(seed uint64) combination {
+		{"the leader changes ten times in two minutes, also in an outage of the state service", func(seed uint64) combination {
 			terms := map[int]int{}
 			var sc scenario
 			for i := range 10 {
@@ -237,10 +240,10 @@
 				return ""
 			}}
 		}},
-		{"all controllers are away for longer than a lease", func(seed uint64) combination {
+		{"all controllers are down for longer than a lease", func(seed uint64) combination {
 			return combination{scenario{actions: []action{{45 * s, killAllNodes}, {70 * s, startAllNodes}, {90 * s, killAllNodes}, {90*s + 300*ms, startAllNodes}}}, smallJobsWorkload, nil}
 		}},
-		{"a hang ends after a cancellation's time", func(seed uint64) combination {
+		{"machines hang for longer than a cancellation may take", func(seed uint64) combination {
 			h := &activeFaults{}
 			var ids []string
 			sc := scenario{actions: []action{{40 * s, h.hangWorkers}, {41 * s, func(w *simulator.World) {
@@ -269,7 +272,7 @@
 				return ""
 			}}
 		}},
-		{"a quarter of the reports arrive again after what the new leader did", func(seed uint64) combination {
+		{"a quarter of the reports arrive again after a new leader has acted", func(seed uint64) combination {
 			var reports replayCounts
 			kill, restart := leaderCrash()
 			sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
@@ -294,7 +297,7 @@
 				runScenario(t, m.scenario, size.platform(), machineTypes[:1], m.jobs)
 				if m.missing != nil {
 					if what := m.missing(); what != "" {
-						t.Errorf("the day lacks %s", what)
+						t.Errorf("the scenario lacks %s", what)
 					}
 				}
 			})
--- a/internal/simulator/meetings_days_test.go
+++ b/internal/simulator/meetings_days_test.go
@@ -8,9 +8,11 @@
 	"aspenstall/internal/wire"
 )
 
-// late counts what the stand-ins carried out late or again, by how it was answered.
+// replayCounts counts the requests that a simulated service executed late or again, by whether they
+// succeeded or were rejected.
 type replayCounts struct{ executed, rejected int }
 
+// observe counts the requests to a path of the service that has these faults.
 func (l *replayCounts) observe(f *simulator.Faults, path string) {
 	f.OnRepeated = func(p string, status int) {
 		if p == path {
@@ -23,7 +25,8 @@
 	}
 }
 
-// fewTasks are jobs of two or three tasks that end far apart, beside what runs on and on.
+// smallJobsWorkload submits jobs of two or three tasks whose completions are far apart, and services
+// and an array that run throughout.
 func smallJobsWorkload(_ *testing.T, u *users) {
 	const s = time.Second
 	for i := range 9 {
@@ -46,9 +49,9 @@
 	u.after(5*s, func() { u.runToDone(long) })
 }
 
-// TestMeetings brings about each meeting of two troubles that operators have named, in
-// their order, and says if it did not happen. What must hold, beside the rules: every job
-// that was not cancelled runs or is done once the troubles are over (users.must).
+// TestFaultCombinations runs the combinations of two faults that operators reported. A test fails if
+// the combination did not occur or if a rule is violated. It also fails if a job that was not
+// cancelled neither runs nor is done once the faults are over (users.expectState).
 func TestFaultCombinations(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	var writes, reportCopies, commands replayCounts
@@ -66,7 +69,8 @@
 			leaders[i] = true
 		}
 	}
-	// Who leads after an end is chance: alone is a node that has not led yet, if there is one.
+	// Which node leads after a crash is random. startNewLeader starts a node that has not led yet,
+	// if there is one, while no other runs.
 	startNewLeader := func(w *simulator.World) {
 		for i := range w.Nodes {
 			if !leaders[i] || i == len(w.Nodes)-1 {
@@ -77,20 +81,20 @@
 	}
 	for _, c := range []struct {
 		scenario scenario
-		missing  func() string // what did not happen; "": it did
+		missing  func() string // what did not occur; "": the combination occurred
 	}{
-		{scenario{name: "a transaction without an answer is carried out late, after newer ones", seed: 90,
+		{scenario{name: "an unanswered transaction is executed late, after newer ones", seed: 90,
 			setup: func(w *simulator.World) {
 				writes.observe(w.StateFaults, wire.CommitPath)
 				delayWrites(0.4)(w)
 			}, actions: []action{{150 * s, delayWrites(0)}}},
 			func() string {
 				if writes.executed == 0 || writes.rejected == 0 {
-					return "late writes: one that was carried out and one that a newer one had overtaken"
+					return "late writes: an executed one and one rejected because of a newer one"
 				}
 				return ""
 			}},
-		{scenario{name: "controllers hand over and back, all end, and one returns within a second", seed: 91,
+		{scenario{name: "leaders change, all controllers crash and one restarts within a second", seed: 91,
 			setup: func(w *simulator.World) { delayWrites(0.1)(w) },
 			actions: []action{{40 * s, killLeader}, {40*s + 300*ms, restartLeader}, {47 * s, noteLeader}, {48 * s, killLeader}, {48*s + 300*ms, restartLeader}, {56 * s, noteLeader},
 				{57 * s, killAllNodes}, {57*s + 200*ms, startNewLeader}, {61 * s, noteLeader}, {63 * s, noteLeader}, {65 * s, noteLeader}, {66 * s, startAllNodes},
@@ -101,7 +105,7 @@
 				}
 				return ""
 			}},
-		{scenario{name: "an old report arrives after newer ones, also of an earlier session", seed: 92,
+		{scenario{name: "an old report arrives after newer ones, also one of an earlier session", seed: 92,
 			setup: func(w *simulator.World) {
 				for _, n := range w.NodeFaults {
 					reportCopies.observe(n, wire.ReportPath)
@@ -126,7 +130,7 @@
 				}
 				return ""
 			}},
-		{scenario{name: "a leader is cut from the state service and the others, jobs are cancelled through the new one", seed: 93,
+		{scenario{name: "a leader is partitioned from state service and peers, jobs are cancelled through the new leader", seed: 93,
 			actions: []action{{20 * s, func(w *simulator.World) { w.Submit(array(201, 6, 300)) }}, {50 * s, leaderCut.partition}, {60 * s, func(w *simulator.World) {
 				acceptedBy = w.Leader()
 				begun := time.Now()
@@ -142,14 +146,14 @@
 					return "a cancellation through the new leader"
 				}
 				if acceptedBy == leaderCut.node {
-					return "a new leader, and none that is cut off and accepts"
+					return "a new leader: the partitioned one still accepts jobs"
 				}
 				if refusalTime > 100*ms {
-					return "a plain refusal at once, but one after " + refusalTime.String()
+					return "an immediate refusal; it came after " + refusalTime.String()
 				}
 				return ""
 			}},
-		{scenario{name: "a leader ends while machines with long tasks can't be reached or don't hear the next one", seed: 94,
+		{scenario{name: "a leader crashes while machines with long tasks are unreachable or lose inbound messages", seed: 94,
 			actions: []action{{45 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
 					if len(k.RunningTasks()) > 0 && i%2 == 0 {
@@ -169,13 +173,13 @@
 			}}}},
 			func() string {
 				if len(unreachable) == 0 {
-					return "deaf machines with tasks"
+					return "machines with tasks that lose inbound messages"
 				}
 				return ""
 			}},
-		{scenario{name: "jobs of two or three tasks end far apart across changes of leader", seed: 95,
+		{scenario{name: "completions of small jobs are spread over several leaders", seed: 95,
 			actions: []action{{45 * s, killLeader}, {47 * s, restartLeader}, {60 * s, killLeader}, {63 * s, restartLeader}, {75 * s, killAllNodes}, {78 * s, startAllNodes}}}, nil},
-		{scenario{name: "a command or its answer is held up for seconds, and the machine goes on", seed: 96,
+		{scenario{name: "a command or its response is delayed for seconds while the machine continues", seed: 96,
 			setup: func(w *simulator.World) {
 				commands.observe(w.WorkerFaults, wire.CommandsPath)
 				w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay, w.WorkerFaults.LateJitter, w.WorkerFaults.LoseResponse = 0.4, s, 30*s, 0.1
@@ -184,7 +188,7 @@
 			}}}},
 			func() string {
 				if commands.executed == 0 || commands.rejected == 0 {
-					return "late commands: one that was executed and one that came too late"
+					return "late commands: an executed one and one rejected as too late"
 				}
 				return ""
 			}},
@@ -197,10 +201,10 @@
 			runScenario(t, c.scenario, p, machineTypes[:1], smallJobsWorkload)
 			if c.missing != nil {
 				if missing := c.missing(); missing != "" {
-					t.Errorf("the day lacks %s", missing)
+					t.Errorf("the scenario lacks %s", missing)
 				}
 			}
 		})
 	}
-	t.Logf("late writes %+v, copies of reports %+v, late commands %+v; refused in %v", writes, reportCopies, commands, refusalTime)
+	t.Logf("late writes %+v, copies of reports %+v, late commands %+v; refusal took %v", writes, reportCopies, commands, refusalTime)
 }
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -27,6 +27,7 @@
 	p.Params.Teams = append(p.Params.Teams, config.Team{Name: name, CPUs: cpus, CPUsMax: cpusMax, GPUs: gpus, GPUsMax: gpusMax})
 }
 
+// platform returns settings with two teams, small budgets of the services and short leases.
 func platform() config.Platform {
 	var p config.Platform
 	addTeam(&p, "blue", 16, 40, 0, 0)
@@ -39,11 +40,13 @@
 	return p
 }
 
+// machineTypes are a small type in three zones and a type with GPUs in two.
 var machineTypes = []simulator.MachineType{
 	{Name: "s4", CPUs: 4, MemGB: 16, CacheGB: 40, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.07, BootS: 15, Zones: []string{"a", "b", "c"}},
 	{Name: "g16", CPUs: 16, GPUs: 2, MemGB: 64, CacheGB: 40, FetchGBps: 1, Price: 0.9, SpotPrice: 0.3, BootS: 20, Zones: []string{"a", "b"}},
 }
 
+// array returns an array job of small spot tasks of team blue that run for so many seconds.
 func array(id, tasks int, run float64) simulator.Spec {
 	return simulator.Spec{
 		ID: fmt.Sprintf("job-%06d", id), Class: "sweep", Team: "blue", Shape: "batch", Urgency: "standard",
@@ -51,6 +54,7 @@
 	}
 }
 
+// service returns a production service of team green that is spread over zones.
 func service(id, tasks int) simulator.Spec {
 	return simulator.Spec{
 		ID: fmt.Sprintf("job-%06d", id), Class: "web", Team: "green", Shape: "standing", Urgency: "production",
@@ -58,6 +62,8 @@
 	}
 }
 
+// gang returns a gang of team blue, in one zone, whose tasks run for so many seconds and save
+// checkpoints.
 func gang(id, tasks int, run float64) simulator.Spec {
 	return simulator.Spec{
 		ID: fmt.Sprintf("job-%06d", id), Class: "train", Team: "blue", Shape: "ensemble", Urgency: "high",
@@ -66,13 +72,13 @@
 	}
 }
 
-// TestDays plays whole days against the real controllers under fake time and
-// looks for broken rules and for work that does not get done.
+// TestScenarios runs fault scenarios against the real controllers under fake time. It fails if a
+// rule of the checker is violated or if a job does not reach its expected state.
 func TestScenarios(t *testing.T) {
 	s := time.Second
 	for _, sc := range []scenario{
 		{name: "quiet", seed: 1},
-		{name: "answers lost", seed: 2, setup: func(w *simulator.World) {
+		{name: "responses lost", seed: 2, setup: func(w *simulator.World) {
 			w.StateFaults.LoseResponse, w.StateFaults.LoseRequest = 0.05, 0.05
 			w.WorkerFaults.LoseResponse, w.WorkerFaults.LoseRequest = 0.2, 0.1
 			w.CloudFaults.LoseResponse = 0.2
@@ -122,7 +128,7 @@
 				w.State.RenewLeases()
 			}},
 		}},
-		{name: "cut from the state service and from workers", seed: 8, actions: []action{
+		{name: "partitioned from the state service and from workers", seed: 8, actions: []action{
 			{40 * s, func(w *simulator.World) { partitionNode(w, 0, w.StateAddr(), true) }},
 			{60 * s, func(w *simulator.World) {
 				partitionNode(w, 0, w.StateAddr(), false)
@@ -143,7 +149,7 @@
 		{name: "a faulty machine", seed: 10, actions: []action{
 			{30 * s, func(w *simulator.World) { w.Cloud.Workers()[0].SetFailsTasks() }},
 		}},
-		{name: "all at once", seed: 11, setup: func(w *simulator.World) {
+		{name: "all faults combined", seed: 11, setup: func(w *simulator.World) {
 			w.StateFaults.LoseResponse, w.StateFaults.ExecuteLate, w.StateFaults.LateDelay = 0.02, 0.02, 8*time.Second
 			w.WorkerFaults.LoseResponse, w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay = 0.1, 0.1, 25*time.Second
 		}, actions: []action{
@@ -155,26 +161,27 @@
 	}
 }
 
-// act is something that happens at a time of a day.
+// action is a change to the simulated world at a time since the scenario started.
 type action struct {
 	at time.Duration
 	do func(w *simulator.World)
 }
 
-// day is a day to be played.
+// scenario is a sequence of faults that runScenario plays.
 type scenario struct {
 	name           string
 	seed           uint64
 	setup          func(w *simulator.World)
 	actions        []action
-	keepsLeases    bool // no worker's lease may run out
-	setupFaultsEnd bool // with its last act, what setup began is over too
+	keepsLeases    bool // no worker's lease may expire
+	setupFaultsEnd bool // the last action also ends the faults that setup began
 }
 
-// settles is for what a trouble leaves behind: copies and late writes that are under way.
+// inFlightGrace is the time after the last fault for requests that are still in flight: copies and
+// late writes.
 const inFlightGrace = 15 * time.Second
 
-// over is when the last trouble of the day is.
+// faultsOver returns the time since the start at which the last fault and its effects are over.
 func (sc *scenario) faultsOver() time.Duration {
 	var last time.Duration
 	for _, a := range sc.actions {
@@ -183,26 +190,28 @@
 	return last + inFlightGrace
 }
 
-// users is who submits jobs on a day.
+// users are the simulated users who submit jobs during a scenario.
 type users struct {
 	w          *simulator.World
-	startedAt  time.Time // when the day began
+	startedAt  time.Time // when the scenario began
 	random     *rand.Rand
 	group      sync.WaitGroup
 	mu         sync.Mutex
-	unfinished []string
+	unfinished []string // failed expectations, by job
 }
 
+// after runs f after a delay; runScenario waits for it.
 func (u *users) after(d time.Duration, f func()) {
 	u.group.Go(func() { time.Sleep(d); f() })
 }
 
-// sometime does so within so many seconds.
+// afterRandom runs f after a random delay of less than so many seconds.
 func (u *users) afterRandom(seconds int, f func()) {
 	u.after(time.Duration(u.random.IntN(seconds))*time.Second, f)
 }
 
-// must has the job come to a state, unless a trouble of the day calls it off.
+// expectState waits up to 400 s until the job reaches the state, and records a failure if it does
+// not. A job that was cancelled meanwhile is no failure.
 func (u *users) expectState(id, state string) {
 	if !u.w.AwaitState(id, state, 400*time.Second) && u.w.AcceptedJobs()[id] != "aborted" {
 		u.mu.Lock()
@@ -211,20 +220,21 @@
 	}
 }
 
+// runToDone submits a job and expects it to be done.
 func (u *users) runToDone(job simulator.Spec) {
 	if u.w.Submit(job) {
 		u.expectState(job.ID, "done")
 	}
 }
 
-// logDir keeps the logs, at debug, of days that fail: a seed does not repeat exactly, so
-// a failure is worked out from the run that failed.
+// logDir is where the debug logs of failed scenarios are written. A seed does not reproduce a run
+// exactly, so a failure is analysed by the log of the run that failed. failedRuns numbers the files.
 var (
-	logDir     = flag.String("logs", "", "directory for the logs of days that fail")
+	logDir     = flag.String("logs", "", "directory for the logs of failed scenarios")
 	failedRuns atomic.Int64
 )
 
-// locked is a writer that many can use.
+// lockedWriter is a writer that is safe for concurrent use.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -236,7 +246,8 @@
 	return l.w.Write(b)
 }
 
-// play plays a day under fake time.
+// runScenario runs a scenario under fake time with the jobs that the workload submits. Liveness is
+// checked from the end of the faults on, where they end.
 func runScenario(t *testing.T, sc scenario, p config.Platform, types []simulator.MachineType, jobs func(t *testing.T, u *users)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulator.NewWorld(sc.seed, p, types)
@@ -264,7 +275,7 @@
 		}
 		jobs(t, u)
 		u.group.Wait()
-		time.Sleep(60 * time.Second) // what is late arrives, what is cancelled must be gone
+		time.Sleep(60 * time.Second) // late requests arrive, tasks of cancelled jobs must have stopped
 		for _, b := range w.Violations() {
 			t.Error(b)
 		}
@@ -272,15 +283,15 @@
 			t.Error(id)
 		}
 		if n := w.LeasesExpired(); sc.keepsLeases && n > 0 {
-			t.Errorf("%d workers' leases ran out", n)
+			t.Errorf("%d workers' leases expired", n)
 		}
 		if w.TaskStarts() == 0 {
-			t.Error("nothing ran")
+			t.Error("no task was started")
 		}
 	})
 }
 
-// mixedJobs are arrays, gangs and services side by side.
+// mixedWorkload submits arrays, gangs and services side by side.
 func mixedWorkload(t *testing.T, u *users) {
 	const s = time.Second
 	w, r := u.w, u.random
@@ -327,13 +338,13 @@
 	})
 	u.after(50*s, func() {
 		if got := w.Poll("job-999999"); got != "unknown" && got != "" {
-			t.Errorf("a job that nobody submitted is %q", got)
+			t.Errorf("a job that was never submitted is %q", got)
 		}
 	})
 }
 
-// wholeMachines is a platform of machines with eight GPUs, for which three teams
-// have guarantees and limits, in GPUs alone.
+// wholeMachinePlatform returns settings and a machine type with eight GPUs. Three teams have
+// guarantees and limits in GPUs alone.
 func wholeMachinePlatform() (config.Platform, []simulator.MachineType) {
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:0]
@@ -348,9 +359,8 @@
 		Price: 18, SpotPrice: 8, BootS: 20, Zones: []string{"a", "b"}}}
 }
 
-// gangJobs are gangs of whole machines, some in one zone, and arrays of single
-// GPUs that borrow what their teams leave. Some images take longer to fetch than
-// a worker lets a gang task wait.
+// gangWorkload submits gangs of whole machines, some in one zone, and arrays of single GPUs that
+// borrow unused quota. Some images take longer to fetch than a worker lets a gang task wait.
 func gangWorkload(t *testing.T, u *users) {
 	r := u.random
 	for i := range 10 {
@@ -360,8 +370,8 @@
 		job.Image, job.ImageGB = fmt.Sprint("gang", i%3), []float64{3, 6, 12}[i%3]
 		u.afterRandom(90, func() { u.runToDone(job) })
 	}
-	// One of its machines has the image, the others fetch it for twice as long as
-	// the one waits.
+	// One machine of the gang has the image. The others need twice as long to fetch it as the
+	// task on that machine waits for them.
 	for i, tasks := range []int{1, 3} {
 		job := gang(250+i, tasks, 10)
 		job.Team, job.CPUs, job.GPUs, job.MemGB, job.Image, job.ImageGB = "radar", 57, 8, 410, "large", 12
@@ -394,7 +404,7 @@
 	})
 }
 
-// TestGangDays plays days of whole machines, gangs and borrowed GPUs.
+// TestGangScenarios runs scenarios with gangs of whole machines and arrays on borrowed GPUs.
 func TestGangScenarios(t *testing.T) {
 	const s = time.Second
 	fewMachines := func(w *simulator.World) { w.Cloud.Capacity = 9 }
@@ -411,10 +421,10 @@
 	for _, sc := range []scenario{
 		{name: "quiet", seed: 21},
 		{name: "fewer machines than work", seed: 22, setup: fewMachines},
-		{name: "takeover in mid-gang", seed: 23, setup: fewMachines, actions: []action{
+		{name: "takeover while gangs run", seed: 23, setup: fewMachines, actions: []action{
 			{41 * s, killNode(0)}, {47 * s, startNode(0)}, {60 * s, killNode(1)}, {66 * s, startNode(1)}, {80 * s, killAllNodes}, {86 * s, startAllNodes},
 		}},
-		{name: "machines are taken in a wave", seed: 24, actions: []action{{50 * s, reclaimWave}, {75 * s, reclaimWave}}},
+		{name: "machines are reclaimed in waves", seed: 24, actions: []action{{50 * s, reclaimWave}, {75 * s, reclaimWave}}},
 		{name: "late and lost commands", seed: 25, setup: func(w *simulator.World) {
 			w.WorkerFaults.LoseResponse, w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay = 0.1, 0.1, 25*time.Second
 		}, actions: []action{{45 * s, killNode(0)}, {51 * s, startNode(0)}, {60 * s, reclaimWave}}},
@@ -426,7 +436,10 @@
 	}
 }
 
-func killNode(i int) func(*simulator.World)  { return func(w *simulator.World) { w.Kill(i) } }
+// killNode returns an action that kills a controller's process.
+func killNode(i int) func(*simulator.World) { return func(w *simulator.World) { w.Kill(i) } }
+
+// startNode returns an action that starts a controller's process.
 func startNode(i int) func(*simulator.World) { return func(w *simulator.World) { w.StartNode(i) } }
 
 func killAllNodes(w *simulator.World) {
@@ -441,24 +454,27 @@
 	}
 }
 
+// partitionNode blocks or restores the link between a controller and an address.
 func partitionNode(w *simulator.World, i int, other string, blocked bool) {
 	w.Net.BlockLink(w.NodeAddr(i), other, blocked)
 }
 
+// partitionNodeFromWorkers blocks or restores the links between a controller and all workers.
 func partitionNodeFromWorkers(w *simulator.World, i int, blocked bool) {
 	for _, k := range w.Cloud.Workers() {
 		w.Net.BlockLink(w.NodeAddr(i), k.Address(), blocked)
 	}
 }
 
+// partitionWorker blocks or restores the links between a worker and all controllers.
 func partitionWorker(w *simulator.World, k *simulator.Worker, blocked bool) {
 	for i := range 3 {
 		w.Net.BlockLink(w.NodeAddr(i), k.Address(), blocked)
 	}
 }
 
-// TestLivenessIsChecked: the checker finds it where nobody answers about a job, and where a
-// job waits beside room for it, once troubles are over.
+// TestLivenessChecker tests that the checker reports a job about which no controller answers, and a
+// job that waits although there is room for it, once faults are over.
 func TestLivenessChecker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulator.NewWorld(62, platform(), machineTypes[:1])
