--- a/internal/simulator/further_test.go
+++ b/internal/simulator/fault_combinations_budget_test.go
@@ -17,7 +17,7 @@
 	w           *simulator.World
 	random      *simulator.Streams // by job
 	mu          sync.Mutex
-	finalStates map[string]string // what the cancelling user was told, by job
+	finalStates map[string]string // the state answered to the last cancellation, by job
 }
 
 // install makes the world call onLastTask for each job.
@@ -108,7 +108,7 @@
 				for _, f := range e.finalStates {
 					n[f]++
 				}
-				t.Logf("final states told to users: %v", n)
+				t.Logf("final states answered to users: %v", n)
 				if n["done"] < 10 || n["aborted"] < 10 {
 					return "jobs that were done and jobs that were cancelled"
 				}
@@ -147,8 +147,8 @@
 		{"reports of workers are lost while direct commands arrive", func(seed uint64) combination {
 			isolated := map[*simulator.Worker]bool{}
 			startedLater := map[string]bool{} // tasks started on such a machine after the session in which its reports were lost
-			seen := map[string]bool{} // tasks of later sessions, also those started by a new leader
-			var crashedAt time.Time // a new leader can't know yet in its first 9 s which reports are lost
+			seen := map[string]bool{}         // tasks of later sessions, also those started by a new leader
+			var crashedAt time.Time           // a new leader can't know yet in its first 9 s which reports are lost
 			firstSession := map[*simulator.Worker]uint64{}
 			watch := func(w *simulator.World) {
 				for range 140 {
@@ -192,10 +192,10 @@
 			}}
 		}},
 		{"all zones with their controllers are partitioned for longer than a lease", func(seed uint64) combination {
-			partitionAll := func(on bool) func(*simulator.World) {
+			partitionAll := func(partitioned bool) func(*simulator.World) {
 				return func(w *simulator.World) {
 					for _, z := range []string{"a", "b", "c"} {
-						w.Net.PartitionZone(z, on)
+						w.Net.PartitionZone(z, partitioned)
 					}
 				}
 			}
@@ -225,16 +225,16 @@
 			}}
 		}},
 		{"the leader changes ten times in two minutes, also in an outage of the state service", func(seed uint64) combination {
-			terms := map[int]int{}
+			leaders := map[int]int{}
 			var sc scenario
 			for i := range 10 {
 				at := 30*s + time.Duration(i)*11*s
 				kill, restart := leaderCrash()
-				sc.actions = append(sc.actions, action{at, kill}, action{at + 300*ms, restart}, action{at + 10*s, func(w *simulator.World) { terms[w.Leader()]++ }})
+				sc.actions = append(sc.actions, action{at, kill}, action{at + 300*ms, restart}, action{at + 10*s, func(w *simulator.World) { leaders[w.Leader()]++ }})
 			}
 			sc.actions = append(sc.actions, action{72 * s, setStateDown(true)}, action{100 * s, setStateDown(false)})
 			return combination{sc, smallJobsWorkload, func() string {
-				if len(terms) < 2 {
+				if len(leaders) < 2 {
 					return "several leaders"
 				}
 				return ""
@@ -289,12 +289,12 @@
 			}}
 		}},
 	} {
-		for n, size := range stateBudgets {
-			t.Run(c.name+"/"+size.name, func(t *testing.T) {
+		for n, budget := range stateBudgets {
+			t.Run(c.name+"/"+budget.name, func(t *testing.T) {
 				seed := raceSeeds[n]
 				m := c.build(seed)
 				m.seed = seed
-				runScenario(t, m.scenario, size.platform(), machineTypes[:1], m.jobs)
+				runScenario(t, m.scenario, budget.platform(), machineTypes[:1], m.jobs)
 				if m.missing != nil {
 					if what := m.missing(); what != "" {
 						t.Errorf("the scenario lacks %s", what)
--- a/internal/simulator/meetings_test.go
+++ b/internal/simulator/fault_combinations_random_test.go
@@ -15,31 +15,31 @@
 	"aspenstall/internal/wire"
 )
 
-var randomCombinationRuns = flag.Int("meetings", 8, "how many drawn days TestDrawnMeetings plays")
+var randomCombinationRuns = flag.Int("meetings", 8, "how many random scenarios TestRandomFaultCombinations runs")
 
-// refused is a day on which the state service refuses the leader alone, another
-// controller confirms cancellations to users, and then nobody has the state service for
-// longer than a cancellation may take, while workers stay with the old leader.
+// leaderRefused is a scenario in which the state service first refuses the leader alone while another
+// controller confirms cancellations to users. Then the state service is down for all for longer than
+// a cancellation may take, while workers stay with the old leader.
 type leaderRefused struct {
 	cancelAfter       time.Duration // from the refusal to the first cancellations
 	outageAfter       time.Duration // from the refusal to the outage
-	outageLength      time.Duration // the outage; 0: longer than a cancellation may take
-	newLeader         bool          // another leads by then, and workers hear it
+	outageLength      time.Duration // 0: 75 s, longer than a cancellation may take
+	newLeader         bool          // another controller leads by the outage, and workers get its responses
 	setup             func(w *simulator.World)
-	extraActions      []action // times count from the refusal
-	confirmed         int      // cancellations that were told before the outage began
-	confirmedEarly    int      // and by the time it had lasted a second
-	servedByOldLeader int      // workers with tasks that the old leader answered in the outage
+	extraActions      []action // their times count from the refusal
+	confirmed         int      // cancellations confirmed before the outage began
+	confirmedEarly    int      // cancellations confirmed before the outage had lasted a second
+	servedByOldLeader int      // workers with tasks that the old leader answered during the outage
 	oldLeader         int
 }
 
-// refuseOne refuses one node the state service, or serves it again.
+// setStateRefused makes the state service refuse one node, or serve it again.
 func setStateRefused(w *simulator.World, i int, refused bool) {
 	w.StateFaults.Update(func(f *simulator.Faults) { f.RefuseClients[w.NodeAddr(i)] = refused })
 }
 
-// play plays the day: long tasks of every kind run by the minute, some jobs are
-// cancelled in the refusal.
+// run runs the scenario: long tasks of every kind run when the refusal begins after a minute, and
+// some jobs are cancelled during the refusal.
 func (d *leaderRefused) run(t *testing.T, seed uint64) {
 	const s = time.Second
 	const refusedAt = 60 * s
@@ -94,7 +94,7 @@
 					return
 				}
 				switch {
-				case i < 12: // cancelled while the leader is refused
+				case i < 12: // cancelled while the state service refuses the leader
 					time.Sleep(time.Until(u.startedAt.Add(refusedAt + d.cancelAfter + time.Duration(i)*20*time.Millisecond)))
 					if w.Cancel(job.ID) == "aborted" && (outage.IsZero() || time.Since(outage) < s) {
 						d.confirmedEarly++
@@ -102,7 +102,7 @@
 							d.confirmed++
 						}
 					}
-				case i%3 == 0: // a service that goes on
+				case i%3 == 0: // a service that keeps running
 					time.Sleep(refusedAt + d.outageAfter + outageLength + 60*s)
 					u.expectState(job.ID, "running")
 				default:
@@ -112,57 +112,58 @@
 		}
 	})
 	jobs, longest := world.CancellationDelay()
-	t.Logf("%d cancellations told before the outage, %d within a second of it; %d jobs had tasks then, the last was gone after %v; the old leader answered %d workers with tasks in the outage",
+	t.Logf("%d cancellations confirmed before the outage, %d by the end of its first second; %d cancelled jobs had tasks, the last task stopped after %v; the old leader answered %d workers with tasks during the outage",
 		d.confirmed, d.confirmedEarly, jobs, longest.Round(100*time.Millisecond), d.servedByOldLeader)
 	if d.confirmedEarly < 4 || jobs < 4 {
-		t.Error("hardly anything was cancelled in time: the day shows nothing")
+		t.Error("too few jobs were cancelled in time for the scenario to be conclusive")
 	}
 	if !d.newLeader && d.servedByOldLeader == 0 {
-		t.Error("no worker stayed with the old leader: the day shows nothing")
+		t.Error("no worker stayed with the old leader: the scenario is inconclusive")
 	}
 	if d.newLeader && world.Leader() == d.oldLeader {
-		t.Error("nobody else led")
+		t.Error("no other controller led")
 	}
 }
 
-// TestRefusedThenOut: the tasks of jobs whose cancellation another controller has
-// confirmed are gone in time, although the workers stay with a leader that the state
-// service refused before it failed for all. The outage begins right after the
-// confirmations, before and after the leader's lease is over, before and after another
-// has the term. Without the bound on what is answered unread, ran_cancelled is broken.
+// TestLeaderRefusedThenOutage tests that the tasks of cancelled jobs stop in time when another
+// controller confirmed the cancellation, although the workers stay with a leader that the state
+// service refused before it failed for all. The outage begins right after the confirmations, before
+// and after the leader's lease expires, and before and after another controller's term begins.
+// Without the limit on the answers that a leader gives without reading the state service,
+// ran_cancelled is violated.
 func TestLeaderRefusedThenOutage(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	peers := func(blocked bool) func(*simulator.World) {
+	blockPeers := func(blocked bool) func(*simulator.World) {
 		return func(w *simulator.World) { w.BlockPeerLinks(blocked) }
 	}
 	for _, c := range []struct {
 		name     string
 		scenario leaderRefused
 	}{
-		{"right after a confirmation", leaderRefused{cancelAfter: 0, outageAfter: 200 * ms}},
-		{"before its lease is over", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
-		{"cancelled as it is refused, out a second later", leaderRefused{cancelAfter: 0, outageAfter: s}},
-		{"its lease is over, nobody else leads", leaderRefused{cancelAfter: s, outageAfter: 2900 * ms}},
-		{"another has the term", leaderRefused{cancelAfter: s, outageAfter: 4 * s, newLeader: true}},
-		{"another leads, and some workers heard it", leaderRefused{cancelAfter: 2 * s, outageAfter: 7 * s, newLeader: true}},
-		{"peers are refused too", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, extraActions: []action{{0, peers(true)}}}},
-		{"peers are refused in the outage", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, extraActions: []action{{4 * s, peers(true)}, {30 * s, peers(false)}}}},
-		{"who confirmed ends in the outage and is back", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
-		{"the leader stands still for seconds", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
-		{"machines hang and go on", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
-		{"starts are under way", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, setup: func(w *simulator.World) {
+		{"outage right after a confirmation", leaderRefused{cancelAfter: 0, outageAfter: 200 * ms}},
+		{"outage before the leader's lease expires", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"cancelled when the refusal begins, outage a second later", leaderRefused{cancelAfter: 0, outageAfter: s}},
+		{"outage after the leader's lease expired, before another term", leaderRefused{cancelAfter: s, outageAfter: 2900 * ms}},
+		{"outage after another term began", leaderRefused{cancelAfter: s, outageAfter: 4 * s, newLeader: true}},
+		{"outage after some workers reached the new leader", leaderRefused{cancelAfter: 2 * s, outageAfter: 7 * s, newLeader: true}},
+		{"peer links are blocked from the refusal on", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, extraActions: []action{{0, blockPeers(true)}}}},
+		{"peer links are blocked during the outage", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, extraActions: []action{{4 * s, blockPeers(true)}, {30 * s, blockPeers(false)}}}},
+		{"the other controllers restart in the outage", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"the leader is frozen for seconds", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"machines hang and resume", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s}},
+		{"start commands are in flight", leaderRefused{cancelAfter: 500 * ms, outageAfter: 2 * s, setup: func(w *simulator.World) {
 			w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay, w.WorkerFaults.LateJitter, w.WorkerFaults.LatePath = 0.5, 20*s, 50*s, wire.CommandsPath
 		}}},
 	} {
 		d := &c.scenario
 		h := &activeFaults{}
 		switch {
-		case strings.HasPrefix(c.name, "who confirmed"):
+		case strings.HasPrefix(c.name, "the other controllers"):
 			for i := range 2 {
 				other := func(w *simulator.World) int { return (d.oldLeader + 1 + i) % 3 }
 				d.extraActions = append(d.extraActions, action{5 * s, func(w *simulator.World) { w.Kill(other(w)) }}, action{5*s + 300*ms, func(w *simulator.World) { w.StartNode(other(w)) }})
 			}
-		case strings.HasPrefix(c.name, "the leader stands"):
+		case strings.HasPrefix(c.name, "the leader is frozen"):
 			d.extraActions = []action{{1500 * ms, func(w *simulator.World) { w.Freeze(d.oldLeader, true) }}, {9 * s, func(w *simulator.World) { w.Freeze(d.oldLeader, false) }}}
 		case strings.HasPrefix(c.name, "machines hang"):
 			d.extraActions = []action{{s, h.hangWorkers}, {12 * s, h.resumeWorkers}, {30 * s, h.hangWorkers}, {40 * s, h.resumeWorkers}}
@@ -171,7 +172,8 @@
 	}
 }
 
-// meetingKinds are the kinds that TestDrawnMeetings combines with those of cuts.
+// combinationFaults are kinds of faults that TestRandomFaultCombinations combines with raceFaults and
+// partitionFaults.
 var combinationFaults = []faultKind{
 	{"late writes", func(r *rand.Rand, at time.Duration) []action {
 		share := 0.1 + 0.4*r.Float64()
@@ -191,13 +193,13 @@
 		}
 		return []action{{at, late(0.1 + 0.3*r.Float64())}, {at + randomDuration(r, 10, 40), late(0)}}
 	}},
-	{"machines deaf", func(r *rand.Rand, at time.Duration) []action {
-		one, in := r.IntN(2) == 0, 2+r.IntN(4)
+	{"machines lose inbound messages", func(r *rand.Rand, at time.Duration) []action {
+		byZone, every := r.IntN(2) == 0, 2+r.IntN(4)
 		zone := []string{"a", "b", "c"}[r.IntN(3)]
 		isolated := map[string]bool{}
 		return []action{{at, func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
-				if one && k.Zone() == zone || !one && i%in == 0 {
+				if byZone && k.Zone() == zone || !byZone && i%every == 0 {
 					k.SetInboundLost(true)
 					isolated[k.Name()] = true
 				}
@@ -210,20 +212,20 @@
 			}
 		}}}
 	}},
-	{"leader cut from state and peers", func(r *rand.Rand, at time.Duration) []action {
-		cut := &leaderPartition{}
-		return []action{{at, cut.partition}, {at + randomDuration(r, 5, 60), cut.heal}}
+	{"leader partitioned from state service and peers", func(r *rand.Rand, at time.Duration) []action {
+		isolatedLeader := &leaderPartition{}
+		return []action{{at, isolatedLeader.partition}, {at + randomDuration(r, 5, 60), isolatedLeader.heal}}
 	}},
-	{"leader refused, then all", func(r *rand.Rand, at time.Duration) []action {
+	{"state service refuses the leader, then all", func(r *rand.Rand, at time.Duration) []action {
 		leader, outageStart := 0, at+time.Duration(r.IntN(8000))*time.Millisecond
 		outageEnd := outageStart + randomDuration(r, 5, 60)
 		return []action{{at, func(w *simulator.World) { leader = max(w.Leader(), 0); setStateRefused(w, leader, true) }}, {outageStart, setStateDown(true)}, {outageEnd, setStateDown(false)},
 			{outageEnd + randomDuration(r, 0, 20), func(w *simulator.World) { setStateRefused(w, leader, false) }}}
 	}},
-	{"all end, one is back at once", func(r *rand.Rand, at time.Duration) []action {
+	{"all controllers crash, one restarts at once", func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, killAllNodes}, {at + time.Duration(1+r.IntN(900))*time.Millisecond, startNode(r.IntN(3))}, {at + randomDuration(r, 3, 12), startAllNodes}}
 	}},
-	{"slow state", func(r *rand.Rand, at time.Duration) []action {
+	{"slow state service", func(r *rand.Rand, at time.Duration) []action {
 		slow := func(d time.Duration) func(*simulator.World) {
 			return func(w *simulator.World) { w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = d }) }
 		}
@@ -231,9 +233,9 @@
 	}},
 }
 
-// newKinds are the kinds of trouble that the operators named last.
+// raceFaults are kinds of faults and of user behaviour that provoke the races of races_test.go.
 var raceFaults = []faultKind{
-	{"answers lost", func(r *rand.Rand, at time.Duration) []action {
+	{"write responses lost", func(r *rand.Rand, at time.Duration) []action {
 		lose := func(share float64) func(*simulator.World) {
 			return func(w *simulator.World) {
 				w.StateFaults.Update(func(f *simulator.Faults) { f.WithholdResponse, f.LatePath = share, wire.CommitPath })
@@ -241,12 +243,12 @@
 		}
 		return []action{{at, lose(0.1 + 0.5*r.Float64())}, {at + randomDuration(r, 10, 40), lose(0)}}
 	}},
-	{"machines mute", func(r *rand.Rand, at time.Duration) []action {
-		in := 2 + r.IntN(4)
+	{"machines lose outbound messages", func(r *rand.Rand, at time.Duration) []action {
+		every := 2 + r.IntN(4)
 		isolated := map[*simulator.Worker]bool{}
 		return []action{{at, func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
-				if i%in == 0 {
+				if i%every == 0 {
 					k.SetOutboundLost(true)
 					isolated[k] = true
 				}
@@ -257,9 +259,9 @@
 			}
 		}}}
 	}},
-	{"old reports for the next leader", func(r *rand.Rand, at time.Duration) []action {
+	{"old reports reach the next leader", func(r *rand.Rand, at time.Duration) []action {
 		o := &reportReplayer{random: rand.New(rand.NewPCG(r.Uint64(), 1))}
-		keep := func(f func(string, []byte)) func(*simulator.World) {
+		capture := func(f func(string, []byte)) func(*simulator.World) {
 			return func(w *simulator.World) {
 				for _, n := range w.NodeFaults {
 					n.Update(func(n *simulator.Faults) { n.OnRequest = f })
@@ -267,16 +269,16 @@
 			}
 		}
 		killed, end := 0, at+randomDuration(r, 5, 15)
-		return []action{{at, keep(o.capture)}, {end, func(w *simulator.World) {
+		return []action{{at, capture(o.capture)}, {end, func(w *simulator.World) {
 			killed = max(w.Leader(), 0)
 			w.Kill(killed)
 			for range 30 {
 				time.Sleep(200 * time.Millisecond)
 				o.replay(w, 8)
 			}
-		}}, {end + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(killed) }}, {end + 7*time.Second, keep(nil)}}
+		}}, {end + time.Duration(1+r.IntN(900))*time.Millisecond, func(w *simulator.World) { w.StartNode(killed) }}, {end + 7*time.Second, capture(nil)}}
 	}},
-	{"cancelled now, machines hang", func(r *rand.Rand, at time.Duration) []action {
+	{"machines hang as their jobs are cancelled", func(r *rand.Rand, at time.Duration) []action {
 		many, h := 1+r.IntN(5), &activeFaults{}
 		return []action{{at, func(w *simulator.World) {
 			jobs := map[string]bool{}
@@ -298,20 +300,20 @@
 			}
 		}}, {at + randomDuration(r, 3, 50), h.resumeWorkers}}
 	}},
-	{"cancelled at the end", func(r *rand.Rand, at time.Duration) []action {
+	{"jobs cancelled as they complete", func(r *rand.Rand, at time.Duration) []action {
 		e := &completionRaces{random: simulator.NewStreams(r.Uint64())}
 		return []action{{at, e.install}, {at + randomDuration(r, 10, 40), func(w *simulator.World) { w.OnLastTaskDone(nil) }}}
 	}},
-	{"close looks", func(r *rand.Rand, at time.Duration) []action {
+	{"reads after confirmations", func(r *rand.Rand, at time.Duration) []action {
 		l := &followUpRequests{random: simulator.NewStreams(r.Uint64())}
 		return []action{{at, l.install}, {at + randomDuration(r, 10, 40), func(w *simulator.World) { w.OnUserState(nil) }}}
 	}},
-	{"odd requests", func(r *rand.Rand, at time.Duration) []action {
+	{"invalid requests", func(r *rand.Rand, at time.Duration) []action {
 		o := rand.New(rand.NewPCG(r.Uint64(), 1))
 		duration := randomDuration(r, 10, 40)
 		return []action{{at, func(w *simulator.World) { sendInvalidRequests(w, o, duration) }}, {at + duration, func(*simulator.World) {}}}
 	}},
-	{"leaders change", func(r *rand.Rand, at time.Duration) []action {
+	{"leader changes", func(r *rand.Rand, at time.Duration) []action {
 		var actions []action
 		for range 2 + r.IntN(4) {
 			killed := 0
@@ -321,42 +323,42 @@
 		}
 		return actions
 	}},
-	{"all away", func(r *rand.Rand, at time.Duration) []action {
+	{"all controllers down", func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, killAllNodes}, {at + randomDuration(r, 12, 30), startAllNodes}}
 	}},
 }
 
-// oddRequests are users who submit again what is not over, cancel what is done, and send jobs
-// that fit no machine or lack a field: none of those is ever accepted, by any node.
+// sendInvalidRequests sends requests of users who resubmit known jobs, cancel jobs that are done, and
+// submit jobs that fit no machine or lack a field. No node may accept any of these as a new job.
 func sendInvalidRequests(w *simulator.World, r *rand.Rand, duration time.Duration) {
 	n := 0
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
-		known := w.AcceptedJobs()
-		for _, id := range slices.Sorted(maps.Keys(known)) {
+		states := w.AcceptedJobs()
+		for _, id := range slices.Sorted(maps.Keys(states)) {
 			if r.IntN(8) > 0 {
 				continue
 			}
-			foreign := array(0, 1, 1)
-			foreign.ID, foreign.Team = id, "nobody"
-			node, body := r.IntN(3), []any{nil, map[string]any{"uid": id}, &foreign}[r.IntN(3)]
+			otherTeam := array(0, 1, 1)
+			otherTeam.ID, otherTeam.Team = id, "nobody"
+			node, body := r.IntN(3), []any{nil, map[string]any{"uid": id}, &otherTeam}[r.IntN(3)]
 			go w.Resubmit(node, id, body)
-			if known[id] == "done" {
+			if states[id] == "done" {
 				go w.CancelAt(node, id)
 			}
 		}
 		n++
-		large, lacking := array(990000+n, 1, 1), map[string]any{"uid": fmt.Sprintf("job-%06d", 980000+n), "herd": "sweep", "crew": "blue"}
-		large.CPUs = 500
+		tooLarge, incomplete := array(990000+n, 1, 1), map[string]any{"uid": fmt.Sprintf("job-%06d", 980000+n), "herd": "sweep", "crew": "blue"}
+		tooLarge.CPUs = 500
 		for i := range 3 {
 			go func() {
-				for what, body := range map[string]any{"fits no machine": &large, "lacks a field": lacking} {
+				for what, body := range map[string]any{"fits no machine": &tooLarge, "lacks a field": incomplete} {
 					switch status := w.PostJob(i, body); status {
 					case 0, http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusServiceUnavailable:
 					default:
-						w.ReportViolation("a job that %s is answered %d", what, status)
+						w.ReportViolation("a submission of a job that %s is answered with status %d", what, status)
 					}
 				}
-				if state := w.PollAt(i, large.ID); state != "" && state != "unknown" {
+				if state := w.PollAt(i, tooLarge.ID); state != "" && state != "unknown" {
 					w.ReportViolation("a job that fits no machine is %s", state)
 				}
 			}()
@@ -364,8 +366,8 @@
 	}
 }
 
-// lateWrites has a share of the transactions get no answer and be carried out 2 to 12 s
-// later, after newer ones.
+// delayWrites returns an action that leaves a share of the transactions unanswered and executes them
+// 2 to 12 s later, after newer ones. A share of 0 ends it.
 func delayWrites(share float64) func(*simulator.World) {
 	return func(w *simulator.World) {
 		w.StateFaults.Update(func(f *simulator.Faults) {
@@ -374,8 +376,8 @@
 	}
 }
 
-// lateReports has a copy of a share of the workers' reports arrive again, from 2 s to
-// well over a lease later.
+// duplicateReports returns an action that makes copies of a share of the workers' reports arrive again
+// 2 to 30 s later, which may be well after a lease. A share of 0 ends it.
 func duplicateReports(share float64) func(*simulator.World) {
 	return func(w *simulator.World) {
 		for _, n := range w.NodeFaults {
@@ -386,8 +388,8 @@
 	}
 }
 
-// apart cuts the leader off from the state service and the other controllers, not from
-// workers and users.
+// leaderPartition partitions the leader from the state service and the other controllers, but not from
+// workers and users. node is the partitioned controller.
 type leaderPartition struct{ node int }
 
 func (a *leaderPartition) partition(w *simulator.World) {
@@ -401,28 +403,28 @@
 	w.BlockPeerLinksOf(a.node, false)
 }
 
-// TestDrawnMeetings plays days on which two or three troubles meet in the same half
-// minute, those of meetings among those of cuts, drawn by seed: no rule is broken, and
-// every job that was not cancelled runs or is done once they are over. The long form,
-// outside CI:
+// TestRandomFaultCombinations runs random scenarios, by seed, in which two or three faults begin in the
+// same half minute. At least one of them is of combinationFaults or raceFaults. No rule may be
+// violated, and every job that was not cancelled must run or be done once the faults are over. The
+// long form, outside CI:
 //
-//	go test ./internal/simulator -run TestDrawnMeetings -meetings 500
+//	go test ./internal/simulator -run TestRandomFaultCombinations -meetings 500
 func TestRandomFaultCombinations(t *testing.T) {
-	ours := slices.Concat(combinationFaults, raceFaults)
-	kinds := slices.Concat(ours, partitionFaults)
+	required := slices.Concat(combinationFaults, raceFaults)
+	kinds := slices.Concat(required, partitionFaults)
 	for seed := range *randomCombinationRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 33))
-		chosen := []int{r.IntN(len(ours))}
+		chosen := []int{r.IntN(len(required))}
 		for many := 2 + r.IntN(2); len(chosen) < many; {
 			if k := r.IntN(len(kinds)); !slices.Contains(chosen, k) {
 				chosen = append(chosen, k)
 			}
 		}
-		var troubles []faultKind
+		var faults []faultKind
 		for _, k := range chosen {
-			troubles = append(troubles, kinds[k])
+			faults = append(faults, kinds[k])
 		}
-		sc := randomScenario(r, seed, uint64(7000+seed), troubles, 40, 70)
+		sc := randomScenario(r, seed, uint64(7000+seed), faults, 40, 70)
 		t.Run(sc.name, func(t *testing.T) { runPartitionScenario(t, sc) })
 	}
 }
--- a/internal/simulator/meetings_days_test.go
+++ b/internal/simulator/fault_combinations_test.go
@@ -55,8 +55,8 @@
 func TestFaultCombinations(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	var writes, reportCopies, commands replayCounts
-	leaderCut := &leaderPartition{}
-	var acceptedBy int
+	isolatedLeader := &leaderPartition{}
+	var otherLeader int
 	var cancelled string
 	var refusalTime time.Duration
 	var unreachable []*simulator.Worker
@@ -114,7 +114,7 @@
 			}, actions: []action{{50 * s, killLeader}, {51 * s, restartLeader}, {55 * s, func(w *simulator.World) {
 				for i, k := range w.Cloud.Workers() {
 					if i%3 == 0 {
-						partitionWorker(w, k, true) // until a new session
+						partitionWorker(w, k, true) // until the worker begins a new session
 						unreachable = append(unreachable, k)
 					}
 				}
@@ -131,22 +131,22 @@
 				return ""
 			}},
 		{scenario{name: "a leader is partitioned from state service and peers, jobs are cancelled through the new leader", seed: 93,
-			actions: []action{{20 * s, func(w *simulator.World) { w.Submit(array(201, 6, 300)) }}, {50 * s, leaderCut.partition}, {60 * s, func(w *simulator.World) {
-				acceptedBy = w.Leader()
+			actions: []action{{20 * s, func(w *simulator.World) { w.Submit(array(201, 6, 300)) }}, {50 * s, isolatedLeader.partition}, {60 * s, func(w *simulator.World) {
+				otherLeader = w.Leader()
 				begun := time.Now()
 				job := array(999, 1, 1)
-				if w.PostJob(leaderCut.node, &job) == 201 {
-					acceptedBy = leaderCut.node
+				if w.PostJob(isolatedLeader.node, &job) == 201 {
+					otherLeader = isolatedLeader.node
 				}
 				refusalTime = time.Since(begun)
 				cancelled = w.Cancel("job-000201")
-			}}, {95 * s, leaderCut.heal}}},
+			}}, {95 * s, isolatedLeader.heal}}},
 			func() string {
 				if cancelled != "aborted" {
 					return "a cancellation through the new leader"
 				}
-				if acceptedBy == leaderCut.node {
-					return "a new leader: the partitioned one still accepts jobs"
+				if otherLeader == isolatedLeader.node {
+					return "a new leader, or the partitioned one accepts jobs"
 				}
 				if refusalTime > 100*ms {
 					return "an immediate refusal; it came after " + refusalTime.String()
--- a/internal/simulator/nights_test.go
+++ b/internal/simulator/operational_faults_test.go
@@ -12,16 +12,17 @@
 	"aspenstall/internal/simulator"
 )
 
-var randomFaultRuns = flag.Int("nights", 8, "how many drawn nights TestDrawnNights plays")
+var randomFaultRuns = flag.Int("nights", 8, "how many random scenarios TestRandomFaultScenarios runs")
 
-// nightKinds are the troubles that TestDrawnNights combines: each gives what happens
-// from a time on, and what is submitted then beside the usual work.
+// operationalFaults are the faults and loads that TestRandomFaultScenarios combines. actions returns
+// what happens from the given time on; workload submits jobs or requests from then on, besides the
+// usual work.
 var operationalFaults = []struct {
 	name     string
 	actions  func(r *rand.Rand, at time.Duration) []action
 	workload func(r *rand.Rand, u *users, at time.Duration)
 }{
-	{name: "boots late or never", actions: func(r *rand.Rand, at time.Duration) []action {
+	{name: "machines boot late or never", actions: func(r *rand.Rand, at time.Duration) []action {
 		never, factor := r.IntN(4), 1+4*r.Float64()
 		return []action{{at, func(w *simulator.World) {
 			w.Cloud.SetBootFactor(func(n int) float64 {
@@ -32,8 +33,8 @@
 			})
 		}}, {at + randomDuration(r, 30, 90), func(w *simulator.World) { w.Cloud.SetBootFactor(nil) }}}
 	}},
-	{name: "silent for a minute", actions: func(r *rand.Rand, at time.Duration) []action {
-		count, frozen := r.IntN(4), map[int]bool{} // of the nodes; all three, mostly
+	{name: "controllers frozen for a minute", actions: func(r *rand.Rand, at time.Duration) []action {
+		count, frozen := r.IntN(4), map[int]bool{} // frozen nodes; often all three
 		return []action{{at, func(w *simulator.World) {
 			frozen[max(w.Leader(), 0)] = true
 			for i := range min(count, 3) {
@@ -48,19 +49,19 @@
 			}
 		}}}
 	}},
-	{name: "stands still for seconds", actions: func(r *rand.Rand, at time.Duration) []action {
+	{name: "leader frozen for seconds", actions: func(r *rand.Rand, at time.Duration) []action {
 		c := &activeFaults{}
 		return []action{{at, c.freezeLeader}, {at + randomDuration(r, 2, 12), c.unfreezeNode}}
 	}},
-	{name: "ends, and is back at once", actions: func(r *rand.Rand, at time.Duration) []action {
-		var out []action
+	{name: "leader crashes repeatedly and restarts at once", actions: func(r *rand.Rand, at time.Duration) []action {
+		var actions []action
 		for range 1 + r.IntN(6) {
 			killed := 0
-			out = append(out, action{at, func(w *simulator.World) { killed = max(w.Leader(), 0); w.Kill(killed) }},
+			actions = append(actions, action{at, func(w *simulator.World) { killed = max(w.Leader(), 0); w.Kill(killed) }},
 				action{at + time.Duration(1+r.IntN(300))*time.Millisecond, func(w *simulator.World) { w.StartNode(killed) }})
 			at += time.Duration(301+r.IntN(4000)) * time.Millisecond
 		}
-		return out
+		return actions
 	}},
 	{name: "machines fail every task", actions: func(r *rand.Rand, at time.Duration) []action {
 		return []action{{at, func(w *simulator.World) {
@@ -71,7 +72,7 @@
 			}
 		}}}
 	}},
-	{name: "jobs with a mistake", workload: func(r *rand.Rand, u *users, at time.Duration) {
+	{name: "jobs that always fail", workload: func(r *rand.Rand, u *users, at time.Duration) {
 		for i := range 3 {
 			job := array(800+i, 1+r.IntN(30), 10)
 			job.Broken = true
@@ -84,7 +85,7 @@
 			})
 		}
 	}},
-	{name: "users ask and ask", workload: func(r *rand.Rand, u *users, at time.Duration) {
+	{name: "users poll continuously", workload: func(r *rand.Rand, u *users, at time.Duration) {
 		for i := range 40 {
 			id := []string{"job-000500", "job-000600", "job-999999"}[i%3]
 			u.after(at, func() {
@@ -103,13 +104,13 @@
 			at += 50 * time.Millisecond
 		}
 		switch r.IntN(3) {
-		case 0: // long reruns
+		case 0: // a few long arrays
 			for i := range 3 {
 				guest(900+i, 60, 60)
 			}
-		case 1: // one vast array
+		case 1: // one very large array
 			guest(900, 3000, 2)
-		case 2: // a swarm of single tasks
+		case 2: // many jobs of a single task
 			for i := range 150 {
 				guest(900+i, 1, 15)
 			}
@@ -117,11 +118,11 @@
 	}},
 }
 
-// TestDrawnNights plays days on which two to four of the troubles of bad nights fall
-// into the same minute, drawn by seed: no rule is broken, and all work is done, guests'
-// too. The long form, outside CI:
+// TestRandomFaultScenarios runs random scenarios, by seed, in which two to four of operationalFaults
+// begin in the same minute. No rule may be violated, and all work must be done, also that of the team
+// without a guarantee. The long form, outside CI:
 //
-//	go test ./internal/simulator -run TestDrawnNights -nights 500
+//	go test ./internal/simulator -run TestRandomFaultScenarios -nights 500
 func TestRandomFaultScenarios(t *testing.T) {
 	for seed := range *randomFaultRuns {
 		r := rand.New(rand.NewPCG(uint64(seed), 31))
--- a/internal/simulator/ends_test.go
+++ b/internal/simulator/process_exit_test.go
@@ -27,7 +27,7 @@
 	{"acquires leadership", "state", func(r *http.Request, b []byte) bool {
 		return r.URL.Path == "/commit" && bytes.Contains(b, []byte("writes")) && bytes.Count(b, []byte("c/leader")) == 2
 	}},
-	{"renews a lease", "state", func(r *http.Request, _ []byte) bool { return strings.HasSuffix(r.URL.Path, "/renew") }},
+	{"renews", "state", func(r *http.Request, _ []byte) bool { return strings.HasSuffix(r.URL.Path, "/renew") }},
 	{"revokes a lease", "state", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodDelete }},
 	{"reads the scheduler's records", "state", func(r *http.Request, _ []byte) bool { return r.URL.Query().Get("starts") == "b/" }},
 	{"reads the shared records", "state", func(r *http.Request, _ []byte) bool {
@@ -41,7 +41,7 @@
 	}},
 	{"commands a worker", "worker", func(*http.Request, []byte) bool { return true }},
 	{"starts a task", "worker", func(_ *http.Request, b []byte) bool { return bytes.Contains(b, []byte("start")) }},
-	{"rents machines", "cloud", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodPost && r.URL.Path == "/machines" }},
+	{"rents", "cloud", func(r *http.Request, _ []byte) bool { return r.Method == http.MethodPost && r.URL.Path == "/machines" }},
 	{"releases machines", "cloud", func(r *http.Request, _ []byte) bool { return r.URL.Path == "/machines/return" }},
 	{"answers a report", "node", func(r *http.Request, _ []byte) bool { return r.URL.Path == "/agent/beat" }},
 	{"answers a user", "node", func(r *http.Request, _ []byte) bool { return strings.HasPrefix(r.URL.Path, "/v2/") }},
--- a/internal/simulator/seven_test.go
+++ b/internal/simulator/races_test.go
@@ -16,8 +16,8 @@
 	"aspenstall/internal/wire"
 )
 
-// sizes are the two sizes of settings that the named meetings are played with; the tight
-// one has 25 changes a second.
+// stateBudgets are the two request budgets of the state service that runAtEachBudget uses. The tight
+// one allows 25 writes a second.
 var stateBudgets = []struct {
 	name     string
 	platform func() config.Platform
@@ -30,7 +30,7 @@
 	}},
 }
 
-// twoTeams is a platform on which two teams share machines of one type.
+// twoTeams returns settings with two teams that have equal guarantees and limits.
 func twoTeams() config.Platform {
 	p := platform()
 	p.Params.Teams = p.Params.Teams[:0]
@@ -39,11 +39,11 @@
 	return p
 }
 
-// seeds are the luck that each named meeting is played with.
+// raceSeeds are the seeds that runAtEachBudget uses.
 var raceSeeds = []uint64{401, 402}
 
-// met plays a named meeting at both sizes with each seed. make gives the day, who submits,
-// and what says afterwards what did not happen: "" where it did.
+// runAtEachBudget runs a scenario at both state budgets with each seed. build returns the scenario, its
+// workload, and a function that reports afterwards what did not occur; "" if all occurred.
 func runAtEachBudget(t *testing.T, build func(seed uint64) (scenario, func(*testing.T, *users), func() string)) {
 	for _, budget := range stateBudgets {
 		for _, seed := range raceSeeds {
@@ -52,32 +52,34 @@
 				sc.seed = seed
 				runScenario(t, sc, budget.platform(), machineTypes[:1], jobs)
 				if what := missing(); what != "" {
-					t.Errorf("the day lacks %s", what)
+					t.Errorf("the scenario lacks %s", what)
 				}
 			})
 		}
 	}
 }
 
-// looks asks all nodes again and again within milliseconds after a user was told something,
-// and repeats the submission, also with other bodies; some users cancel at once.
+// followUpRequests polls all nodes repeatedly within milliseconds after a user got a job's state,
+// and repeats the submission, also with other bodies. Some users cancel the job at once.
 type followUpRequests struct {
 	w              *simulator.World
 	mu             sync.Mutex
 	random         *simulator.Streams // by job
-	cancels        bool               // some jobs of short are cancelled at once
-	confirmations  int                // what was looked at
-	answers        [3]int
-	unanswered     [3]int // questions without an answer, by node
-	repeats        int    // repeated submissions that were answered 200
-	repeatsChanged int    // those of them with a body that would be refused for a new job
+	cancels        bool               // some jobs of submitShortJobs are cancelled at once
+	confirmations  int                // states answered to users and followed up
+	answers        [3]int             // polls and submissions with an answer, by node
+	unanswered     [3]int             // those without an answer, by node
+	repeats        int                // repeated submissions that were answered with status 200
+	repeatsChanged int                // those of them whose body would be refused for a new job
 }
 
+// install makes the world call onConfirmation for each state answered to a user.
 func (l *followUpRequests) install(w *simulator.World) {
 	l.w = w
 	w.OnUserState(l.onConfirmation)
 }
 
+// countAnswer counts an answer of node i; the state "" stands for none.
 func (l *followUpRequests) countAnswer(i int, state string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,6 +90,7 @@
 	}
 }
 
+// resubmit repeats a submission at node i, with another body if one is given.
 func (l *followUpRequests) resubmit(i int, id string, body any) {
 	status, state := l.w.Resubmit(i, id, body)
 	l.countAnswer(i, state)
@@ -102,18 +105,18 @@
 	}
 }
 
-// look has users look at a job everywhere, and repeat what they said.
+// onConfirmation polls a job at all nodes, and repeats its submission there.
 func (l *followUpRequests) onConfirmation(id string) {
 	l.mu.Lock()
 	l.confirmations++
 	r := l.random.Stream(id)
 	cancel := l.cancels && id >= "job-001000" && r.IntN(6) == 0
 	first, pause := r.IntN(3), time.Duration(r.IntN(8000))*time.Microsecond
-	lacking := map[string]any{"uid": id, "herd": "sweep"}
-	foreign := array(0, 1, 1)
-	foreign.ID, foreign.Team = id, "nobody"
-	large := foreign
-	large.Team, large.CPUs = "blue", 4000
+	incomplete := map[string]any{"uid": id, "herd": "sweep"}
+	otherTeam := array(0, 1, 1)
+	otherTeam.ID, otherTeam.Team = id, "nobody"
+	tooLarge := otherTeam
+	tooLarge.Team, tooLarge.CPUs = "blue", 4000
 	l.mu.Unlock()
 	for i := range 3 {
 		go func() {
@@ -124,7 +127,7 @@
 		go l.resubmit(i, id, nil)
 		go func() {
 			time.Sleep(pause / 2)
-			l.resubmit(i, id, []any{lacking, &foreign, &large}[i])
+			l.resubmit(i, id, []any{incomplete, &otherTeam, &tooLarge}[i])
 		}()
 	}
 	if cancel {
@@ -136,8 +139,8 @@
 	}
 }
 
-// short are jobs of a few tasks that come all the time, until so long after the day began;
-// what is said of each afterwards is for the rules.
+// submitShortJobs submits jobs of a few tasks at regular intervals between two times since the start.
+// It expects each to end; the checker verifies the states that are answered afterwards.
 func submitShortJobs(u *users, from, until, every time.Duration) {
 	for i, at := 0, from; at < until; i, at = i+1, at+every {
 		job := array(1000+i, 1+i%3, float64(3+i%9))
@@ -152,7 +155,7 @@
 	}
 }
 
-// ended waits until a job is done or cancelled.
+// expectEnd waits up to 400 s until a job is done or cancelled, and records a failure if it is not.
 func (u *users) expectEnd(id string) {
 	for end := time.Now().Add(400 * time.Second); time.Now().Before(end); time.Sleep(time.Second) {
 		if s := u.w.Poll(id); s == "done" || s == "aborted" {
@@ -164,10 +167,10 @@
 	u.mu.Unlock()
 }
 
-// TestCloseLooks: users ask at all nodes within milliseconds, and repeat the submission,
-// right after a job was accepted, ended or confirmed as cancelled; some cancel at once. No
-// node answers something older, nor refuses what was accepted, also one that has just
-// started or that the state service just refused.
+// TestReadsAfterConfirmation tests reads right after a job was accepted, was done or was confirmed as
+// cancelled: users poll all nodes within milliseconds, and repeat the submission; some cancel at once.
+// No node may answer with an older state or refuse a job that was accepted. This holds also for a
+// node that has just started or that the state service has just refused.
 func TestReadsAfterConfirmation(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
@@ -177,18 +180,18 @@
 		at := func(d time.Duration) time.Duration { return d + time.Duration(seed%7)*150*ms }
 		sc := scenario{setup: l.install, setupFaultsEnd: true, actions: []action{
 			{at(30 * s), killNode(restarted)}, {at(30*s + 300*ms), startNode(restarted)},
-			// Whether users are told something of themselves in these 0.3 s is chance.
+			// Whether a user gets a state in these 0.3 s is random; this call ensures one follow-up.
 			{at(30*s + 100*ms), func(*simulator.World) { l.onConfirmation("job-001000") }},
 			{at(45 * s), func(w *simulator.World) { setStateRefused(w, other, true) }}, {at(62 * s), func(w *simulator.World) { setStateRefused(w, other, false) }},
 			{at(70 * s), killAllNodes}, {at(70*s + 200*ms), startNode(other)}, {at(72 * s), startAllNodes},
 		}}
 		return sc, func(_ *testing.T, u *users) { submitShortJobs(u, 20*s, 90*s, 400*ms) }, func() string {
-			t.Logf("%d things told, answers %v, without one %v, repeats %d, odd ones of them %d", l.confirmations, l.answers, l.unanswered, l.repeats, l.repeatsChanged)
+			t.Logf("%d states followed up, answers %v, unanswered %v, repeated submissions %d, of these with another body %d", l.confirmations, l.answers, l.unanswered, l.repeats, l.repeatsChanged)
 			switch {
 			case l.confirmations < 200 || slices.Min(l.answers[:]) < 200:
-				return "looks at every node"
+				return "answers of every node"
 			case l.unanswered[restarted] == 0 || l.unanswered[other] == 0:
-				return "looks at a node that can't tell"
+				return "unanswered requests to the restarted and the refused node"
 			case l.repeats < 200 || l.repeatsChanged < 60:
 				return "repeated submissions"
 			}
@@ -197,7 +200,7 @@
 	})
 }
 
-// kindsOf names the kinds of writes in a transaction.
+// writeKinds returns the kinds of writes in a transaction, named by key prefix.
 func writeKinds(body []byte) (kinds []string) {
 	var txn wire.Txn
 	if wire.Unmarshal(body, &txn) != nil {
@@ -226,9 +229,9 @@
 	return kinds
 }
 
-// TestAnswersLost: a transaction is carried out at once and only its answer is lost, while
-// other nodes read what it wrote. Whoever wrote takes the outcome for unknown: it neither
-// tells nor acts as if it had failed, and a repeat finds its own write by reading it.
+// TestWriteResponseLost tests transactions that are executed at once and of which only the response is
+// lost, while other nodes read what they wrote. The writer must treat the outcome as unknown: it
+// neither reports nor acts as if the write had failed, and a retry finds its own write by reading it.
 func TestWriteResponseLost(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	lostByKind := map[string]int{}
@@ -262,22 +265,22 @@
 		}
 		return sc, jobs, func() string {
 			if lost < 30 {
-				return "answers that were lost"
+				return "lost responses"
 			}
 			return ""
 		}
 	})
 	for _, k := range []string{"c/job/", "b/open/", "b/done/", "b/machine/", "b/rent/", "c/leader", "raised c/leader", "drop b/open/", "drop b/rent/", "batch"} {
 		if lostByKind[k] == 0 {
-			t.Errorf("no answer to a write of %s was lost", k)
+			t.Errorf("no response to a write of %s was lost", k)
 		}
 	}
-	t.Logf("answers lost, by kind: %v", lostByKind)
+	t.Logf("lost responses by kind of write: %v", lostByKind)
 }
 
-// TestLimitsAtATakeover: every team is at its limit while jobs are cancelled whose machines
-// are cut off or hang, and the leader changes. A task that may still be on a machine counts
-// against its team's limit until it is surely gone, in the new leader's count too.
+// TestLimitsAcrossTakeover tests team limits when every team is at its limit, jobs are cancelled whose
+// machines are partitioned or hang, and the leader changes. A task that may still run on a machine
+// counts against its team's limit until it has certainly stopped, also in the new leader's usage.
 func TestLimitsAcrossTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
@@ -285,7 +288,7 @@
 		var partitioned []*simulator.Worker
 		var leader int
 		var cancelled []string
-		unstopped := 0 // tasks of cancelled jobs on machines out of reach as the leader ends
+		unstopped := 0 // tasks of cancelled jobs on unreachable machines when the leader crashes
 		loseMachines := func(w *simulator.World) {
 			for i, k := range w.Cloud.Workers() {
 				switch {
@@ -346,19 +349,19 @@
 		}
 		return sc, jobs, func() string {
 			if unstopped < 4 {
-				return fmt.Sprintf("tasks of cancelled jobs on machines out of reach (%d)", unstopped)
+				return fmt.Sprintf("tasks of cancelled jobs on unreachable machines (%d)", unstopped)
 			}
 			return ""
 		}
 	})
 }
 
-// TestCancelledAsWorkChangesHands: jobs are cancelled in the seconds in which one
-// controller's work changes hands, running ones and waiting ones. No leader starts anything
-// of them after the confirmation: what is under way to the leader by then is all there is.
+// TestCancellationDuringTakeover tests that running and waiting jobs that are cancelled in the seconds
+// of a takeover have no task started after the confirmation. Starts are allowed only until the
+// confirmation has reached the leader.
 func TestCancellationDuringTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	// A confirmation reaches the leader by its watch, within this time.
+	// A confirmation reaches the leader by its watch, within the propagation time.
 	const writeDelay, propagation = 200 * ms, 400 * ms
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		var w *simulator.World
@@ -366,7 +369,7 @@
 		var killedAt, nextSince time.Time
 		before, between, after := 0, 0, 0
 		at := 45 * s
-		var unreachable *simulator.Worker // the takeover does not settle before it is heard
+		var unreachable *simulator.Worker // the takeover is not reconciled before this worker reports
 		sc := scenario{setupFaultsEnd: true, setup: func(w *simulator.World) {
 			w.StateFaults.Update(func(f *simulator.Faults) { f.MaxDelay = writeDelay })
 		}, actions: []action{{at, func(w *simulator.World) {
@@ -432,29 +435,29 @@
 		}
 		return sc, jobs, func() string {
 			n, longest := w.StartsAfterCancel()
-			t.Logf("cancelled %d before, %d between two leaders, %d after; %d starts after a confirmation, %v at the latest", before, between, after, n, longest)
+			t.Logf("cancelled %d before, %d between two leaders, %d after; %d starts after a confirmation, the latest after %v", before, between, after, n, longest)
 			if longest > propagation {
 				t.Errorf("a task was started %v after the confirmation", longest)
 			}
 			if before == 0 || between < 4 || after < 4 {
-				return "cancellations before, between and after the two leaders"
+				return "cancellations before, during and after the change of leader"
 			}
 			return ""
 		}
 	})
 }
 
-// TestUpAtOnceAndTheLeaderEnds: new machines are up within two seconds and get work at
-// once, writes lag, the leader ends. No machine has a task that the next leader could not
-// learn of before it could start it elsewhere or pass a limit.
+// TestLeaderCrashAfterFastBoot tests leader crashes while new machines boot within two seconds, get
+// tasks at once, and writes are delayed. The next leader must learn of every task on a machine before it
+// could start the task elsewhere or exceed a limit.
 func TestLeaderCrashAfterFastBoot(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	const rounds = 9
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
 		var writes replayCounts
-		newMachines := 0 // machines with tasks that were up for less than three seconds as a leader ended
-		// When a machine is up and has a task is chance: the leader ends as soon as one does,
-		// or as none does for half a minute.
+		newMachines := 0 // machines with tasks that were up for less than three seconds when a leader crashed
+		// When a new machine is up and has a task is random. The leader crashes as soon as there is
+		// one, or after half a minute without one.
 		crashLeader := func(w *simulator.World) {
 			for wait := time.Duration(0); wait < 30*s; wait += 20 * ms {
 				if found := busyNewMachines(w); found > 0 {
@@ -499,9 +502,9 @@
 			})
 		}
 		return sc, jobs, func() string {
-			t.Logf("%d machines with tasks were up for less than three seconds as a leader ended; late writes %+v", newMachines, writes)
+			t.Logf("%d machines with tasks were up for less than three seconds when a leader crashed; late writes %+v", newMachines, writes)
 			if newMachines < 3 {
-				return fmt.Sprintf("young machines with tasks as a leader ends (%d)", newMachines)
+				return fmt.Sprintf("new machines with tasks when a leader crashes (%d)", newMachines)
 			}
 			if writes.executed+writes.rejected == 0 {
 				return "late writes"
@@ -511,7 +514,7 @@
 	})
 }
 
-// youngAtWork counts the machines with tasks that have been up for less than three seconds.
+// busyNewMachines counts the machines with tasks that have been up for less than three seconds.
 func busyNewMachines(w *simulator.World) int {
 	found := 0
 	for _, k := range w.Cloud.Workers() {
@@ -522,20 +525,22 @@
 	return found
 }
 
-// oldReports keeps copies of workers' reports, and has them arrive at every node.
+// reportReplayer captures workers' reports, and sends copies of them to every node later.
 type reportReplayer struct {
 	mu            sync.Mutex
 	random        *rand.Rand
 	captured      []capturedReport
-	takenByLeader int // copies that a new leader took, by its answer
-	copies        int
+	takenByLeader int // copies that the leader answered with status 200
+	copies        int // copies sent
 }
 
+// capturedReport is the body of a report and when it arrived.
 type capturedReport struct {
 	at   time.Time
 	body []byte
 }
 
+// capture keeps a request if it is a worker's report.
 func (o *reportReplayer) capture(path string, body []byte) {
 	if path != wire.ReportPath {
 		return
@@ -545,7 +550,7 @@
 	o.captured = append(o.captured, capturedReport{time.Now(), bytes.Clone(body)})
 }
 
-// arrive has copies of reports of up to half a minute ago arrive everywhere.
+// replay sends copies of up to count random reports of the last half minute to every node.
 func (o *reportReplayer) replay(w *simulator.World, count int) {
 	o.mu.Lock()
 	var copies []capturedReport
@@ -574,9 +579,9 @@
 	}
 }
 
-// TestOldReportsAsALeaderBegins: an old report reaches every controller just as a new leader
-// begins. It proves what is on a machine only if it can't have been sent before the new
-// token was seen, and frees, finishes, places and renews nothing otherwise.
+// TestOldReportsDuringTakeover tests old reports that reach every controller just as a new leader's
+// term begins. A report is evidence of what runs on a machine only if it can't have been sent before the
+// worker saw the new token. Otherwise it must not release, complete, place or renew anything.
 func TestOldReportsDuringTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
@@ -593,19 +598,19 @@
 			sc.actions = append(sc.actions, action{at - 3*s, func(w *simulator.World) {
 				for n, k := range w.Cloud.Workers() {
 					if (n+i)%4 == 0 {
-						partitionWorker(w, k, true) // its old reports are all that comes
+						partitionWorker(w, k, true) // only copies of its old reports arrive
 						unreachable = append(unreachable, k)
 					}
 				}
 			}}, action{at, func(w *simulator.World) {
 				leader = max(w.Leader(), 0)
 				w.Kill(leader)
-				for range 40 { // the next one begins some three seconds later
+				for range 40 { // the next term begins about three seconds later
 					time.Sleep(150 * ms)
 					o.replay(w, 12)
 				}
 			}}, action{at + 300*ms, func(w *simulator.World) { w.StartNode(leader) }},
-				action{at + 8500*ms, func(w *simulator.World) { o.replay(w, 40) }}, // it has started, stopped and reaped by then
+				action{at + 8500*ms, func(w *simulator.World) { o.replay(w, 40) }}, // the new leader has started, stopped and acknowledged tasks by then
 				action{at + 9*s + time.Duration(i%2)*10*s, func(w *simulator.World) {
 					for _, k := range unreachable {
 						partitionWorker(w, k, false)
@@ -618,18 +623,18 @@
 			smallJobsWorkload(t, u)
 		}
 		return sc, jobs, func() string {
-			t.Logf("%d copies of reports, %d taken by a leader", o.copies, o.takenByLeader)
+			t.Logf("%d copies of reports, %d accepted by a leader", o.copies, o.takenByLeader)
 			if o.takenByLeader < 20 {
-				return "copies that a new leader took"
+				return "copies of reports that a leader accepted"
 			}
 			return ""
 		}
 	})
 }
 
-// TestSingleTasks: one-task jobs come four a second for minutes, a quarter of them
-// cancelled. Acceptances stay within the aim, cancellations are confirmed and carried out,
-// done is told on time, and everything else goes on: no backlog grows.
+// TestSteadySingleTaskJobs submits four one-task jobs a second for two minutes and cancels a quarter of
+// them. It tests that acceptance, confirmation and completion stay within their target times, that
+// other work continues, and that no backlog grows.
 func TestSteadySingleTaskJobs(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	runAtEachBudget(t, func(seed uint64) (scenario, func(*testing.T, *users), func() string) {
@@ -680,21 +685,22 @@
 			})
 		}
 		return scenario{}, jobs, func() string {
-			p95 := func(of []time.Duration) time.Duration {
-				slices.Sort(of)
-				return of[len(of)*95/100]
+			p95 := func(durations []time.Duration) time.Duration {
+				slices.Sort(durations)
+				return durations[len(durations)*95/100]
 			}
 			a, c, e := p95(accepted), p95(confirmed), p95(ended)
 			late := p95(ended[len(ended)*3/4:])
 			changes := float64(after-before) / (minutes * 60 * rate)
-			t.Logf("of %d jobs: accepted within %v, confirmed within %v, done within %v (95 of a hundred); %.2f changes a job", len(accepted), a, c, e, changes)
-			// Its record, that it is opened, its final record with the drop of that; little
-			// for machines. At five a job a leader would be out of its share of 25 a second.
+			t.Logf("of %d jobs: accepted within %v, confirmed within %v, done within %v (95th percentile); %.2f writes a job", len(accepted), a, c, e, changes)
+			// A job takes the write of its record, of its started record, and of its final record
+			// with the deletion of the started record; machines take few more. At five writes a job
+			// a leader would exceed its share of 25 writes a second.
 			if changes > 4.2 {
-				t.Errorf("%.2f changes a job", changes)
+				t.Errorf("%.2f writes a job", changes)
 			}
 			if a > 500*ms || c > 500*ms || e > 40*s || late > 60*s {
-				t.Errorf("accepted within %v, confirmed within %v, done within %v, the last of them %v", a, c, e, late)
+				t.Errorf("accepted within %v, confirmed within %v, done within %v, the slowest quarter within %v", a, c, e, late)
 			}
 			if len(confirmed) < minutes*60*rate/5 {
 				return "cancellations"
--- a/internal/simulator/reads_test.go
+++ b/internal/simulator/reads_test.go
@@ -9,10 +9,10 @@
 	"aspenstall/internal/simulator"
 )
 
-// TestReadsArePaced: however many users ask, all nodes together read for them with
-// half of the state service's requests at most, and each is answered. In a flood at
-// tolling fleet 35,000 requests were refused, and one submission in six waited for
-// more than half a second.
+// TestReadRateLimit tests that all nodes together use at most half of the state service's request
+// budget for users' polls, however many users poll, and that the polls are answered. Without the
+// limit, a flood of polls at the tolling fleet caused 35,000 refused requests, and one submission in
+// six waited for more than half a second.
 func TestReadRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
@@ -22,7 +22,7 @@
 		time.Sleep(20 * time.Second)
 		job := array(1, 1, 1000)
 		if !w.Submit(job) {
-			t.Fatal("not accepted")
+			t.Fatal("the job was not accepted")
 		}
 		before, _ := w.State.RequestCounts()
 		const seconds = 10
@@ -44,7 +44,7 @@
 		}
 		users.Wait()
 		after, _ := w.State.RequestCounts()
-		// Beside these: the nodes' watches and the leader's lease.
+		// 15 a second are for the nodes' watches and the leader's lease.
 		if most := p.Params.State.RPS*0.5 + 15; float64(after-before) > most*seconds {
 			t.Errorf("%d requests in %d s for %d polls, want at most %v a second", after-before, seconds, asked, most)
 		}
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -149,7 +149,7 @@
 		{name: "a faulty machine", seed: 10, actions: []action{
 			{30 * s, func(w *simulator.World) { w.Cloud.Workers()[0].SetFailsTasks() }},
 		}},
-		{name: "all faults combined", seed: 11, setup: func(w *simulator.World) {
+		{name: "several faults combined", seed: 11, setup: func(w *simulator.World) {
 			w.StateFaults.LoseResponse, w.StateFaults.ExecuteLate, w.StateFaults.LateDelay = 0.02, 0.02, 8*time.Second
 			w.WorkerFaults.LoseResponse, w.WorkerFaults.ExecuteLate, w.WorkerFaults.LateDelay = 0.1, 0.1, 25*time.Second
 		}, actions: []action{
--- a/internal/simulator/writes_test.go
+++ b/internal/simulator/writes_test.go
@@ -9,9 +9,9 @@
 	"aspenstall/internal/simulator"
 )
 
-// TestUsersWriteFirst: a leader that opens hundreds of jobs at once has a part of its
-// budget left for submissions that come to it. On a day with a swarm of single tasks
-// they were answered 503 in each burst of starts.
+// TestSubmissionWriteBudget tests that a leader that writes the started records of hundreds of jobs at
+// once has a part of its write budget left for submissions. Without it, submissions were answered
+// with status 503 during each burst of starts of many one-task jobs.
 func TestSubmissionWriteBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform()
