--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -57,7 +57,7 @@
 	Reason   string
 }
 
-// RaiseToken requests a new fencing token for the current term. Its result is passed to TokenRaised.
+// RaiseToken requests a new fencing token for the current term. Its result is passed to HandleTokenRaised.
 type RaiseToken struct{}
 
 // JobProgress reports that the task counts of a watched job changed.
--- a/internal/core/failure_attribution.go
+++ b/internal/core/failure_attribution.go
@@ -66,7 +66,7 @@
 	m.failedJobs[job] = true
 	if len(m.failedJobs) >= quarantineThreshold && now >= m.quarantinedUntil {
 		m.quarantinedUntil = now + c.cfg.Tuning.Quarantine
-		c.log("machine quarantined: several jobs failed on it", "machine", m.name)
+		c.log("quarantine: several jobs failed here", "machine", m.name)
 		c.drain(m, now, 0)
 	}
 }
@@ -78,7 +78,7 @@
 		return
 	}
 	if j.suspect() {
-		c.log("job is not suspect any more: one of its tasks runs", "job", j.spec.ID, "machines_failed_on", len(j.failedOn))
+		c.log("job is not at fault: a task of it runs", "job", j.spec.ID, "machines_failed_on", len(j.failedOn))
 		j.notBefore = 0
 		c.needsPlacement = true
 	}
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -204,7 +204,7 @@
 	case j.pending == 0:
 		j.incompleteSince = 0
 	case now-j.incompleteSince > gangReplacementTimeout:
-		c.log("gang restarts: no room for its missing tasks", "job", j.spec.ID, "tasks", j.pending)
+		c.log("gang starts anew: no room for what it lacks", "job", j.spec.ID, "tasks", j.pending)
 		c.stopGang(j, now, 0)
 	}
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -155,7 +155,7 @@
 		fmt.Printf("--- FAIL: %s\n%s", key, strings.Join(results.output[key], ""))
 	}
 	for _, k := range knownFailures {
-		fmt.Println("known failure:", k.line)
+		fmt.Println("known red:", k.line)
 	}
 	switch {
 	case len(failures) > 0:
--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -93,7 +93,7 @@
 	c := &n.clusterConfig
 	changed, err := c.follower.Resolve()
 	if err != nil {
-		n.log.Error("the configuration can't take effect; until it does, no task is placed and no job is accepted or refused by it", "err", err)
+		n.log.Error("configuration is not acted by: nothing is placed, taken or refused by it until then", "err", err)
 		if t := n.term; t != nil && errors.Is(err, clusterconfig.ErrNewerFormat) {
 			n.resign("the configuration can't be read")
 		}
@@ -246,5 +246,5 @@
 	}
 	state.noConfigIncarnation = s.Incarnation
 	n.acknowledgeConfig()
-	n.log.Warn("a controller does not support the configuration; its platform file is in force there", "peer", s.Node, "leads", s.Token != 0)
+	n.log.Warn("a controller does not act by the configuration: what is in force there is its platform file", "peer", s.Node, "leads", s.Token != 0)
 }
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -287,7 +287,7 @@
 	if n.leaseValid() {
 		out, after = n.notifier.senders[a.Subscription].Send(n.ctx, a, token)
 	}
-	outcomes := [...]string{"delivered", "not accepted", "outcome unknown", "refused"}
+	outcomes := [...]string{"delivered", "not taken", "in doubt", "refused"}
 	n.log.Info("notification "+outcomes[out], "subscription", a.Subscription, "job", a.Event.Job, "event", a.Event.Kind.String(), "key", a.Key,
 		"attempt", a.Attempt, "took_ms", time.Since(started).Milliseconds())
 	n.post(func() {
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -184,7 +184,7 @@
 			return
 		default:
 			if !failureLogged {
-				n.log.Info("lease renewal failed; retrying", "err", err, "may_act", n.leaseValid())
+				n.log.Info("lease not renewed; trying on", "err", err, "may_act", n.leaseValid())
 			}
 			failureLogged = true
 			pause = 150 * time.Millisecond
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -74,7 +74,7 @@
 	// which can postpone the request or tell its user to retry.
 	now := time.Now()
 	if writes > 0 && !c.writes.AllowN(now, writes) || !c.reads.AllowN(now, 1) {
-		return fmt.Errorf("over the client's rate budget: %w", ErrNotExecuted)
+		return fmt.Errorf("own rate budget: %w", ErrNotExecuted)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
