--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -485,6 +485,9 @@
 		time.Sleep(60 * time.Second)
 		w.ExpectLiveness()
 		waiting := service(2, 1)
+		for i := range 3 { // the leader must not start the task between the submission and its end
+			partitionNodeFromWorkers(w, i, true)
+		}
 		w.Submit(waiting)
 		killAllNodes(w)
 		for range 100 {
