--- a/internal/nomad/httpapi/agent.go
+++ b/internal/nomad/httpapi/agent.go
@@ -11,9 +11,9 @@
 	"aspenstall/internal/peer"
 )
 
-// nodes lists the machines. They are everybody's, and say nothing of what runs
-// on them. Nothing of them is recorded at an index: who waits here waits for a
-// change to the team's jobs, or for the time that was asked for.
+// listNodes lists the machines. All teams share them, and the list does not show what runs on them.
+// Machines have no index: a blocking query of them returns when the team's jobs change or when its
+// wait time is over.
 func listNodes(q *request) (any, error) {
 	list, err := q.fetchNodes()
 	if err != nil {
@@ -32,6 +32,7 @@
 	return paginate(q, out, p, func(n nodeView) string { return n.Name }), nil
 }
 
+// fetchNodes returns views of all machines, as the leader reports them.
 func (q *request) fetchNodes() ([]nodeView, error) {
 	if err := q.readRegistry(registry.Name{Team: q.team}, false, func(*registry.Registry) {}); err != nil {
 		return nil, err
@@ -65,11 +66,12 @@
 	CreateIndex, ModifyIndex uint64
 }
 
+// teamNamespace returns the namespace of the caller's team.
 func (q *request) teamNamespace() namespaceView {
-	return namespaceView{Name: q.team, Description: "the team's jobs; " + translate.DefaultNamespace + " is another name for it"}
+	return namespaceView{Name: q.team, Description: "the team's jobs; " + translate.DefaultNamespace + " is an alias"}
 }
 
-// namespaces lists the caller's team and no other.
+// listNamespaces lists the namespace of the caller's team only.
 func listNamespaces(q *request) (any, error) {
 	err := q.readRegistry(registry.Name{Team: q.team}, false, func(*registry.Registry) {})
 	return []namespaceView{q.teamNamespace()}, err
--- a/internal/nomad/httpapi/allocs.go
+++ b/internal/nomad/httpapi/allocs.go
@@ -14,22 +14,21 @@
 	"aspenstall/internal/peer"
 )
 
-// maxAllocs is how many tasks one answer lists; the next ones come with
-// next_token.
+// maxAllocsPerPage is the largest number of allocations in one response; next_token gives the rest.
 const maxAllocsPerPage = 5000
 
-// unit is a group of a job as allocations are listed.
+// groupAllocs is a group of a job whose tasks are listed as allocations.
 type groupAllocs struct {
 	job         registry.Job
-	groupIndex  int // which of the job's
+	groupIndex  int // index into job.Groups
 	record      core.JobRecord
 	modifyIndex uint64
-	firstTask   int // the first task that is listed
+	firstTask   int // index of the first task to list
 }
 
-func (u *groupAllocs) nativeID() string { return u.job.Groups[u.groupIndex].Native }
+func (g *groupAllocs) nativeID() string { return g.job.Groups[g.groupIndex].Native }
 
-// token says where a list of allocations begins.
+// pageToken is the position in the list of allocations where a page begins.
 type pageToken struct {
 	job   string
 	group int
@@ -38,17 +37,17 @@
 
 func (t pageToken) String() string { return fmt.Sprintf("%d.%d.%x", t.group, t.task, t.job) }
 
-func parsePageToken(s string) (pageToken, error) {
+func parsePageToken(resp string) (pageToken, error) {
 	var t pageToken
 	bad := statusErrorf(http.StatusBadRequest, "Invalid next_token")
-	part := strings.SplitN(s, ".", 3)
-	if len(part) != 3 {
+	parts := strings.SplitN(resp, ".", 3)
+	if len(parts) != 3 {
 		return t, bad
 	}
 	var err1, err2 error
-	t.group, err1 = strconv.Atoi(part[0])
-	t.task, err2 = strconv.Atoi(part[1])
-	name, err3 := hex.DecodeString(part[2])
+	t.group, err1 = strconv.Atoi(parts[0])
+	t.task, err2 = strconv.Atoi(parts[1])
+	name, err3 := hex.DecodeString(parts[2])
 	if err1 != nil || err2 != nil || err3 != nil || t.task < 0 {
 		return t, bad
 	}
@@ -56,9 +55,9 @@
 	return t, nil
 }
 
-// list lists the allocations of units: those of finished jobs are known, the
-// others the leader tells, all in one answer.
-func (q *request) listAllocs(units []groupAllocs) ([]allocView, error) {
+// listAllocs lists the allocations of groups. Those of finished native jobs follow from their
+// records; the leader supplies all others in one response.
+func (q *request) listAllocs(groups []groupAllocs) ([]allocView, error) {
 	p, err := q.parsePage()
 	if err != nil {
 		return nil, err
@@ -72,80 +71,81 @@
 		if err != nil {
 			return nil, err
 		}
-		units = skipToToken(units, from)
+		groups = skipToToken(groups, from)
 	}
-	shown, err := q.fetchJobViews(units, limit)
+	shown, err := q.fetchJobViews(groups, limit)
 	if err != nil {
 		return nil, err
 	}
 	now := core.Micros(time.Now().UnixMicro())
 	out := []allocView{}
-	for _, u := range units {
+	for _, g := range groups {
 		room := limit - len(out)
 		if room == 0 {
-			q.w.Header().Set("X-Nomad-NextToken", pageToken{u.job.ID, u.groupIndex, u.firstTask}.String())
+			q.w.Header().Set("X-Nomad-NextToken", pageToken{g.job.ID, g.groupIndex, g.firstTask}.String())
 			return out, nil
 		}
-		tasks, more := u.taskViews(shown, room)
+		tasks, more := g.taskViews(shown, room)
 		for _, t := range tasks {
-			out = append(out, newAllocView(&u.job, u.job.Groups[u.groupIndex], u.modifyIndex, now, t))
+			out = append(out, newAllocView(&g.job, g.job.Groups[g.groupIndex], g.modifyIndex, now, t))
 		}
 		if more {
-			q.w.Header().Set("X-Nomad-NextToken", pageToken{u.job.ID, u.groupIndex, tasks[len(tasks)-1].Index + 1}.String())
+			q.w.Header().Set("X-Nomad-NextToken", pageToken{g.job.ID, g.groupIndex, tasks[len(tasks)-1].Index + 1}.String())
 			return out, nil
 		}
 	}
 	return out, nil
 }
 
-// after are the units from a token on; they are in the order of names.
-func skipToToken(units []groupAllocs, t pageToken) []groupAllocs {
-	for len(units) > 0 && (units[0].job.ID < t.job || units[0].job.ID == t.job && units[0].groupIndex < t.group) {
-		units = units[1:]
+// skipToToken returns the groups from a page token on. The groups are sorted by job name.
+func skipToToken(groups []groupAllocs, t pageToken) []groupAllocs {
+	for len(groups) > 0 && (groups[0].job.ID < t.job || groups[0].job.ID == t.job && groups[0].groupIndex < t.group) {
+		groups = groups[1:]
 	}
-	if len(units) > 0 && units[0].job.ID == t.job && units[0].groupIndex == t.group {
-		units[0].firstTask = t.task
+	if len(groups) > 0 && groups[0].job.ID == t.job && groups[0].groupIndex == t.group {
+		groups[0].firstTask = t.task
 	}
-	return units
+	return groups
 }
 
-// ask asks the leader about the units that are not over, by native job. What
-// it leaves out is beyond the limit, where the list ends before.
-func (q *request) fetchJobViews(units []groupAllocs, limit int) (map[string]peer.JobView, error) {
-	a := &peer.ViewRequest{Limit: limit}
-	for _, u := range units {
-		if u.record.Phase == core.Pending {
-			a.Jobs = append(a.Jobs, peer.JobViewRequest{Job: u.nativeID(), FirstTask: u.firstTask})
+// fetchJobViews asks the leader for the tasks of the unfinished groups, and returns its answer by
+// native job. The leader omits only tasks beyond the limit, where the list ends anyway.
+func (q *request) fetchJobViews(groups []groupAllocs, limit int) (map[string]peer.JobView, error) {
+	req := &peer.ViewRequest{Limit: limit}
+	for _, g := range groups {
+		if g.record.Phase == core.Pending {
+			req.Jobs = append(req.Jobs, peer.JobViewRequest{Job: g.nativeID(), FirstTask: g.firstTask})
 		}
 	}
-	if len(a.Jobs) == 0 {
+	if len(req.Jobs) == 0 {
 		return nil, nil
 	}
 	ctx, cancel := q.withTimeout()
 	defer cancel()
-	s, err := q.backend.QueryLeader(ctx, a)
+	resp, err := q.backend.QueryLeader(ctx, req)
 	if err != nil {
 		return nil, err
 	}
 	out := map[string]peer.JobView{}
-	for _, j := range s.Jobs {
+	for _, j := range resp.Jobs {
 		out[j.Job] = j
 	}
 	return out, nil
 }
 
-// tasks are a unit's tasks that are done or on a machine, at most room of them.
-func (u *groupAllocs) taskViews(shown map[string]peer.JobView, room int) (tasks []core.TaskView, more bool) {
-	switch u.record.Phase {
+// taskViews returns a group's tasks that are done or on a machine, at most room of them, and whether
+// there are more.
+func (g *groupAllocs) taskViews(shown map[string]peer.JobView, room int) (tasks []core.TaskView, more bool) {
+	switch g.record.Phase {
 	case core.Done:
-		for i := u.firstTask; i < u.record.Spec.Tasks; i++ {
+		for i := g.firstTask; i < g.record.Spec.Tasks; i++ {
 			if len(tasks) == room {
 				return tasks, true
 			}
 			tasks = append(tasks, core.TaskView{Index: i, Done: true})
 		}
 	case core.Pending:
-		j := shown[u.nativeID()]
+		j := shown[g.nativeID()]
 		tasks, more = j.Tasks, j.More
 		if len(tasks) > room {
 			tasks, more = tasks[:room], true
@@ -155,6 +155,7 @@
 	return tasks, more
 }
 
+// groupAllocsOf returns the groups of a job.
 func groupAllocsOf(r *registry.Registry, j *registry.Job, index uint64) []groupAllocs {
 	var out []groupAllocs
 	for i, g := range j.Groups {
@@ -164,27 +165,27 @@
 	return out
 }
 
-// allocations lists all of the team's.
+// listAllocations lists the allocations of all jobs of the team.
 func listAllocations(q *request) (any, error) {
-	var units []groupAllocs
+	var groups []groupAllocs
 	err := q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
 		for _, j := range r.List(q.team, "") {
-			units = append(units, groupAllocsOf(r, j, r.ModifyIndex(j))...)
+			groups = append(groups, groupAllocsOf(r, j, r.ModifyIndex(j))...)
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	list, err := q.listAllocs(units)
+	list, err := q.listAllocs(groups)
 	if err != nil {
 		return nil, err
 	}
-	// As published, the prefix is of the id.
+	// As in the published API, the prefix applies to the allocation's ID.
 	if prefix := q.params.Get("prefix"); prefix != "" {
 		kept := []allocView{}
-		for _, a := range list {
-			if strings.HasPrefix(a.ID, prefix) {
-				kept = append(kept, a)
+		for _, req := range list {
+			if strings.HasPrefix(req.ID, prefix) {
+				kept = append(kept, req)
 			}
 		}
 		list = kept
@@ -193,19 +194,19 @@
 }
 
 func listJobAllocations(q *request) (any, error) {
-	var units []groupAllocs
+	var groups []groupAllocs
 	err := q.readRegistry(q.jobName(), true, func(r *registry.Registry) {
 		if j := r.Get(q.jobName()); j != nil {
-			units = groupAllocsOf(r, j, r.ModifyIndex(j))
+			groups = groupAllocsOf(r, j, r.ModifyIndex(j))
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	return q.listAllocs(units)
+	return q.listAllocs(groups)
 }
 
-// allocation finds one by its id, which names the native job and the task.
+// getAllocation finds an allocation by its ID, which is derived from the native job and the task.
 func getAllocation(q *request) (any, error) {
 	b, err := hex.DecodeString(strings.ReplaceAll(q.id, "-", ""))
 	missing := statusErrorf(http.StatusNotFound, "alloc not found")
@@ -213,7 +214,7 @@
 		return nil, missing
 	}
 	index := binary.BigEndian.Uint64(b[8:])
-	var u *groupAllocs
+	var g *groupAllocs
 	err = q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
 		if index >= core.MaxTasks {
 			return
@@ -222,7 +223,7 @@
 			for _, k := range groupAllocsOf(r, j, r.ModifyIndex(j)) {
 				if allocationID(k.nativeID(), int(index)) == q.id {
 					k.firstTask = int(index)
-					u = &k
+					g = &k
 				}
 			}
 		}
@@ -230,21 +231,21 @@
 	if err != nil {
 		return nil, err
 	}
-	if u == nil {
+	if g == nil {
 		return nil, missing
 	}
-	shown, err := q.fetchJobViews([]groupAllocs{*u}, 1)
+	shown, err := q.fetchJobViews([]groupAllocs{*g}, 1)
 	if err != nil {
 		return nil, err
 	}
-	tasks, _ := u.taskViews(shown, 1)
+	tasks, _ := g.taskViews(shown, 1)
 	if len(tasks) == 0 || tasks[0].Index != int(index) {
-		return nil, missing // it waits: it has no place yet
+		return nil, missing // the task is pending: it is on no machine yet
 	}
-	return newAllocView(&u.job, u.job.Groups[u.groupIndex], u.modifyIndex, core.Micros(time.Now().UnixMicro()), tasks[0]), nil
+	return newAllocView(&g.job, g.job.Groups[g.groupIndex], g.modifyIndex, core.Micros(time.Now().UnixMicro()), tasks[0]), nil
 }
 
-// evaluations lists the last decision on each of the team's jobs.
+// listEvaluations lists the last evaluation of each of the team's jobs.
 func listEvaluations(q *request) (any, error) {
 	p, err := q.parsePage()
 	if err != nil {
@@ -269,13 +270,13 @@
 	return out, err
 }
 
-// evaluated finds the job whose last decision has an id.
-func (q *request) findEvaluation(see func(r *registry.Registry, j *registry.Job)) error {
+// findEvaluation calls read with the job whose last evaluation has the ID in the path.
+func (q *request) findEvaluation(read func(r *registry.Registry, j *registry.Job)) error {
 	missing := true
 	err := q.readRegistry(registry.Name{Team: q.team}, false, func(r *registry.Registry) {
 		for _, j := range r.List(q.team, "") {
 			if evaluationID(j.Name, j.JobModifyIndex) == q.id {
-				see(r, j)
+				read(r, j)
 				missing = false
 			}
 		}
@@ -293,9 +294,9 @@
 }
 
 func listEvaluationAllocations(q *request) (any, error) {
-	var units []groupAllocs
-	if err := q.findEvaluation(func(r *registry.Registry, j *registry.Job) { units = groupAllocsOf(r, j, r.ModifyIndex(j)) }); err != nil {
+	var groups []groupAllocs
+	if err := q.findEvaluation(func(r *registry.Registry, j *registry.Job) { groups = groupAllocsOf(r, j, r.ModifyIndex(j)) }); err != nil {
 		return nil, err
 	}
-	return q.listAllocs(units)
+	return q.listAllocs(groups)
 }
--- a/internal/nomad/httpapi/backend.go
+++ b/internal/nomad/httpapi/backend.go
@@ -1,9 +1,8 @@
-// Package httpapi serves clients that speak Nomad's HTTP interface
-// (https://developer.hashicorp.com/nomad/api-docs): jobs, allocations,
-// evaluations, nodes and the event stream, with blocking queries. It reads and
-// writes the published JSON; what a request means is decided in packages
-// jobfile, translate and registry, and done by a Backend. What is not served is
-// answered 404 or 501 in one sentence.
+// Package httpapi serves Nomad's HTTP API (https://developer.hashicorp.com/nomad/api-docs): jobs,
+// allocations, evaluations, nodes and the event stream, with blocking queries. It reads and writes
+// the published JSON. Packages jobfile, translate and registry interpret a request, and a Backend
+// carries it out. A request for something that is not supported is answered with status 404 or 501
+// and one sentence.
 package httpapi
 
 import (
@@ -18,58 +17,59 @@
 
 // Errors of a Backend.
 var (
-	// ErrUnavailable: it cannot be said or done now; a retry finds out.
-	ErrUnavailable = errors.New("this cannot be done or said now; try again")
-	// ErrNoLeader: no node leads that could say where tasks are.
-	//lint:ignore ST1005 the published clients know it by this text
+	// ErrUnavailable means that the request cannot be served now, or that its outcome is not known.
+	// A retry finds out.
+	ErrUnavailable = errors.New("the request cannot be served now, or its outcome is not known; try again")
+	// ErrNoLeader means that there is no leader that knows where tasks are.
+	//lint:ignore ST1005 the published clients recognize the error by this text
 	ErrNoLeader = errors.New("No cluster leader")
-	// ErrBusy: too many queries wait already.
+	// ErrBusy means that the limit on concurrent blocking queries is reached.
 	ErrBusy = errors.New("too many blocking queries")
-	// ErrNoJob: there is no such job.
+	// ErrNoJob means that the job does not exist.
 	ErrNoJob = errors.New("job not found")
 )
 
-// RefusedError says why a job could never run here.
+// RefusedError reports why a job can never run on this cluster.
 type RefusedError struct{ Reason string }
 
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Query is a look at the registry.
+// Query describes a read of the registry, which may block.
 type Query struct {
-	Name         registry.Name // a job, or with an empty ID all of the team's
-	AfterIndex   uint64        // 0: answer at once; else once the index is higher, or
-	MaxWait      time.Duration // when this is over
-	WakeOnCounts bool          // answer also when the job's counts change
+	Name         registry.Name // a job; with an empty ID, all jobs of the team
+	AfterIndex   uint64        // answer once the index is higher than this; 0 answers at once
+	MaxWait      time.Duration // answer after this time even if the index is not higher
+	WakeOnCounts bool          // answer also when the job's task counts change
 }
 
-// Registered is what became of a registration.
+// RegisterResult is the state of a job after it was registered or deregistered.
 type RegisterResult struct {
 	Index     uint64 // the job's JobModifyIndex
 	Version   uint64
 	NativeIDs []string
 }
 
-// Members are the controllers and which of them leads, by the addresses at
-// which they reach one another.
+// Members lists the controllers and the leader, by the addresses at which they reach one another.
 type Members struct {
 	Self, Zone string
-	Leader     string // address; "" for none
-	Addresses  []string
+	Leader     string   // address; "" if there is no leader
+	Addresses  []string // of all controllers; the first one is this controller's
 }
 
-// Backend is a controller. Every method returns by itself before its context
-// ends or soon after.
+// Backend is a controller. Every method returns before its context ends or soon after.
 type Backend interface {
-	// Look runs see as the query says and returns the index that it saw. see
-	// must copy what it keeps, and not wait.
-	ReadRegistry(ctx context.Context, q Query, see func(*registry.Registry)) (uint64, error)
+	// ReadRegistry runs read when the query is due and returns the index of the registry that it read. read must
+	// copy what it keeps, and must not block.
+	ReadRegistry(ctx context.Context, q Query, read func(*registry.Registry)) (uint64, error)
 	Register(ctx context.Context, r registry.Registration) (RegisterResult, error)
-	// Plan says what a registration would change, and of which job.
+	// Plan returns what a registration would change, and the job as it is now (nil if there is none).
 	Plan(ctx context.Context, r registry.Registration) (*registry.Change, *registry.Job, error)
 	Deregister(ctx context.Context, n registry.Name, purge bool) (RegisterResult, error)
-	// ShowAll asks the leader where tasks and machines are.
-	QueryLeader(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error)
+	// QueryLeader asks the leader for views of tasks and machines.
+	QueryLeader(ctx context.Context, req *peer.ViewRequest) (*peer.ViewResponse, error)
 	Members(ctx context.Context) Members
+	// TranslationPolicy returns the limits that apply to the job files of a team.
 	TranslationPolicy(team string) translate.Policy
+	// Healthy reports whether requests can be served now.
 	Healthy() bool
 }
--- a/internal/nomad/httpapi/events.go
+++ b/internal/nomad/httpapi/events.go
@@ -11,10 +11,10 @@
 	"aspenstall/internal/nomad/registry"
 )
 
-// heartbeat is how often an idle stream says that it is alive.
+// heartbeatInterval is the interval of the empty objects that keep an idle stream alive.
 const heartbeatInterval = 10 * time.Second
 
-// event is one of the published events.
+// event is an event of the published event stream.
 type event struct {
 	Topic, Type, Key, Namespace string
 	FilterKeys                  []string
@@ -22,13 +22,13 @@
 	Payload                     map[string]any
 }
 
-// frame is what is sent at once: the events of one index.
+// eventFrame holds the events of one index, which are sent together.
 type eventFrame struct {
 	Index  uint64
 	Events []event
 }
 
-// topics are what a stream wants: keys by topic, "*" for any.
+// topicFilter selects the events of a stream: keys by topic, where "*" stands for any.
 type topicFilter map[string][]string
 
 var supportedTopics = []string{"Job", "Evaluation"}
@@ -62,12 +62,11 @@
 	return false
 }
 
-// eventStream sends the team's events, each index once, in order. It is a
-// blocking query that goes on: what a job is at an index follows from its
-// records, so that a stream can be resumed with the index on any node. A job
-// that changed twice meanwhile is told once, as it is.
+// streamEvents sends the team's events, each index once, in order. It repeats a blocking query: the
+// state of a job at an index follows from its records, so a client can resume the stream with the
+// index on any node. If a job changed twice between two reads, its latest state is sent once.
 func streamEvents(q *request) (any, error) {
-	want, err := parseTopics(q)
+	filter, err := parseTopics(q)
 	if err != nil {
 		return nil, err
 	}
@@ -82,13 +81,13 @@
 	}
 	team := registry.Name{Team: q.team}
 	if after == 0 {
-		// From now on, as published.
+		// As in the published API, a stream without an index begins with the next event.
 		if after, err = q.runQuery(Query{Name: team}, func(*registry.Registry) {}); err != nil {
 			return nil, err
 		}
 	}
 	q.w.Header().Set("Content-Type", "application/json")
-	// Nothing more is read but that the client goes away.
+	// No more requests are read; the connection is read only to notice that the client is gone.
 	_ = q.ctl.SetReadDeadline(time.Time{})
 	send := func(v any) bool {
 		b, err := json.Marshal(v)
@@ -108,10 +107,10 @@
 	for q.r.Context().Err() == nil {
 		var frames []eventFrame
 		index, err := q.backend.ReadRegistry(q.r.Context(), Query{Name: team, AfterIndex: after, MaxWait: heartbeatInterval}, func(r *registry.Registry) {
-			frames = framesAfter(r, q.team, after, want)
+			frames = framesAfter(r, q.team, after, filter)
 		})
 		if err != nil {
-			// The client comes back with the last index, to a node that can say.
+			// The client reconnects with its last index to a node that can serve it.
 			return nil, nil
 		}
 		for _, f := range frames {
@@ -127,22 +126,22 @@
 	return nil, nil
 }
 
-// framesAfter are the events of a team after an index, in order.
-func framesAfter(r *registry.Registry, team string, after uint64, want topicFilter) []eventFrame {
+// framesAfter returns the events of a team after an index, ordered by index.
+func framesAfter(r *registry.Registry, team string, after uint64, filter topicFilter) []eventFrame {
 	byIndex := map[uint64][]event{}
 	add := func(e event) {
-		if want.matches(e) {
+		if filter.matches(e) {
 			byIndex[e.Index] = append(byIndex[e.Index], e)
 		}
 	}
 	for _, j := range r.List(team, "") {
 		if j.JobModifyIndex > after {
-			kind := "JobRegistered"
+			eventType := "JobRegistered"
 			if j.Stopped {
-				kind = "JobDeregistered"
+				eventType = "JobDeregistered"
 			}
 			add(event{
-				Topic: "Job", Type: kind, Key: j.ID, Namespace: team, Index: j.JobModifyIndex, FilterKeys: []string{},
+				Topic: "Job", Type: eventType, Key: j.ID, Namespace: team, Index: j.JobModifyIndex, FilterKeys: []string{},
 				Payload: map[string]any{"Job": newJobStub(r, j)},
 			})
 			e := newEvalView(r, j)
@@ -151,12 +150,12 @@
 				FilterKeys: []string{j.ID}, Payload: map[string]any{"Evaluation": e},
 			})
 		}
-		if at := r.ModifyIndex(j); at > after && at > j.JobModifyIndex {
-			// Groups of it are done or were cancelled.
+		if modifyIndex := r.ModifyIndex(j); modifyIndex > after && modifyIndex > j.JobModifyIndex {
+			// Since the last registration, groups of the job have finished or were cancelled.
 			e := newEvalView(r, j)
-			e.TriggeredBy, e.ModifyIndex = "alloc-stop", at
+			e.TriggeredBy, e.ModifyIndex = "alloc-stop", modifyIndex
 			add(event{
-				Topic: "Evaluation", Type: "EvaluationUpdated", Key: e.ID, Namespace: team, Index: at,
+				Topic: "Evaluation", Type: "EvaluationUpdated", Key: e.ID, Namespace: team, Index: modifyIndex,
 				FilterKeys: []string{j.ID}, Payload: map[string]any{"Evaluation": e, "Job": newJobStub(r, j)},
 			})
 		}
--- a/internal/nomad/httpapi/jobs.go
+++ b/internal/nomad/httpapi/jobs.go
@@ -15,7 +15,7 @@
 	"aspenstall/internal/nomad/translate"
 )
 
-// jobs lists the team's jobs, or registers one.
+// handleJobs lists the team's jobs, or registers one.
 func handleJobs(q *request) (any, error) {
 	if q.r.Method != http.MethodGet {
 		return registerJob(q)
@@ -34,10 +34,10 @@
 	return out, err
 }
 
-// page is which part of a list is wanted.
+// pageParams selects a page of a list.
 type pageParams struct {
-	perPage    int    // 0: all
-	startToken string // the token of the first
+	perPage    int    // 0 for all
+	startToken string // the token of the page's first element
 }
 
 func (q *request) parsePage() (pageParams, error) {
@@ -55,8 +55,8 @@
 	return p, nil
 }
 
-// cut takes a page of a list that is sorted by token, and says where the next
-// begins.
+// paginate returns a page of a list that is sorted by token, and sets the header with the token of
+// the next page.
 func paginate[T any](q *request, list []T, p pageParams, token func(T) string) []T {
 	for len(list) > 0 && p.startToken != "" && token(list[0]) < p.startToken {
 		list = list[1:]
@@ -68,7 +68,7 @@
 	return list
 }
 
-// registration is what stands beside the job in a request.
+// registerRequest holds the fields beside the job in a register request.
 type registerRequest struct {
 	EnforceIndex   bool
 	JobModifyIndex uint64
@@ -76,7 +76,7 @@
 	Diff           bool
 }
 
-// read reads the job of a request and translates it for the caller's team.
+// readJob parses the job of a request and translates it for the caller's team.
 func (q *request) readJob() (*registerRequest, *jobfile.File, []translate.Group, error) {
 	b, err := q.readBody()
 	if err != nil {
@@ -103,7 +103,8 @@
 	return &reg, f, groups, nil
 }
 
-// problems is the answer to a file with problems.
+// badRequestIfProblems turns problems of a job file into an error with status 400, and returns other
+// errors as they are.
 func badRequestIfProblems(err error) error {
 	var ps jobfile.Problems
 	if errors.As(err, &ps) {
@@ -112,7 +113,7 @@
 	return err
 }
 
-// toRegister is a registration of a job that was read.
+// newRegistration returns the registration of a parsed job.
 func (q *request) newRegistration(reg *registerRequest, f *jobfile.File, groups []translate.Group) (registry.Registration, error) {
 	job := *f.Job
 	job.Namespace = q.team
@@ -148,7 +149,7 @@
 	}, nil
 }
 
-// warnings tells what of a file is ignored.
+// formatWarnings lists the parts of a job file that are ignored.
 func formatWarnings(f *jobfile.File) string {
 	ps := translate.Warnings(f)
 	if len(ps) == 0 {
@@ -157,7 +158,7 @@
 	return fmt.Sprintf("%d warning(s):\n%v", len(ps), ps)
 }
 
-// meta are the fields that answers to writes have.
+// responseMeta holds the fields that all responses to writes have.
 type responseMeta struct {
 	Index       uint64
 	LastContact int64
@@ -169,7 +170,7 @@
 	return responseMeta{Index: index, KnownLeader: true}
 }
 
-// parseJob reads HCL and answers with its JSON form.
+// parseJob parses a job file in HCL and returns its JSON form.
 func parseJob(q *request) (any, error) {
 	b, err := q.readBody()
 	if err != nil {
@@ -201,7 +202,7 @@
 	return f.Job, nil
 }
 
-// validateJob says what is wrong with a job.
+// validateJob returns the errors and warnings of a job.
 func validateJob(q *request) (any, error) {
 	out := struct {
 		DriverConfigValidated bool
@@ -210,11 +211,11 @@
 	}{DriverConfigValidated: true, ValidationErrors: []string{}}
 	_, f, _, err := q.readJob()
 	var ps jobfile.Problems
-	var bad *statusError
+	var badRequest *statusError
 	switch {
 	case errors.As(err, &ps):
-	case errors.As(err, &bad) && bad.status == http.StatusBadRequest:
-		ps = jobfile.Problems{{Text: bad.text}}
+	case errors.As(err, &badRequest) && badRequest.status == http.StatusBadRequest:
+		ps = jobfile.Problems{{Text: badRequest.text}}
 	case err != nil:
 		return nil, err
 	}
@@ -230,7 +231,7 @@
 	return &out, nil
 }
 
-// job answers for one job: reads it, registers a version, or ends it.
+// handleJob returns one job, registers a version of it, or deregisters it.
 func handleJob(q *request) (any, error) {
 	switch q.r.Method {
 	case http.MethodPost, http.MethodPut:
@@ -248,7 +249,7 @@
 	return orNotFound(out, cmp.Or(err, failed))
 }
 
-// found is an answer that may not be there.
+// orNotFound returns v, or an error with status 404 if v is nil.
 func orNotFound[T any](v *T, err error) (any, error) {
 	switch {
 	case err != nil:
@@ -274,7 +275,7 @@
 	}, nil
 }
 
-// plan says what a registration would change, and changes nothing.
+// planJob returns what a registration would change, without changing anything.
 func planJob(q *request) (any, error) {
 	reg, f, groups, err := q.readJob()
 	if err != nil {
@@ -290,11 +291,11 @@
 	r.EnforceIndex = false
 	ctx, cancel := q.withTimeout()
 	defer cancel()
-	ch, old, err := q.backend.Plan(ctx, r)
+	change, old, err := q.backend.Plan(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	return newJobPlan(r, ch, old, reg.Diff, formatWarnings(f)), nil
+	return newJobPlan(r, change, old, reg.Diff, formatWarnings(f)), nil
 }
 
 func getJobSummary(q *request) (any, error) {
@@ -328,8 +329,8 @@
 	return orNotFound(out, cmp.Or(err, failed))
 }
 
-// description is what a machine runs for a task of a native job: it asks with
-// the job's id, as it was told to start it.
+// getTaskDescription returns what a machine runs for a task of a native job. The machine requests it
+// with the native job's ID from its start command.
 func getTaskDescription(q *request) (any, error) {
 	if !q.tokens.isAgent(q.r.Header.Get("X-Nomad-Token")) {
 		if !q.badTokenLimiter.Allow() {
@@ -339,7 +340,7 @@
 	}
 	var out *taskDescription
 	var failed error
-	// A machine may be told to start what this node has not yet heard of.
+	// A machine may get a start command for a job that this node has not read yet.
 	_, err := q.runQuery(Query{Name: registry.Name{ID: q.id}}, func(r *registry.Registry) {
 		j, g := r.ByNative(q.id)
 		if j == nil {
@@ -350,7 +351,7 @@
 	return orNotFound(out, cmp.Or(err, failed))
 }
 
-// describe finds a group's task in its job's source.
+// describeTask finds a group's task in the job's source.
 func describeTask(r *registry.Registry, j *registry.Job, g *registry.Group) (*taskDescription, error) {
 	b, _, _, err := j.Source(j.Version)
 	if err != nil {
@@ -374,5 +375,5 @@
 	return nil, fmt.Errorf("job %s has no group %q", j.ID, g.Name)
 }
 
-// nanos is a time of day as clients read it.
+// unixNanos converts a time to nanoseconds, the unit of the published JSON.
 func unixNanos(t core.Micros) int64 { return int64(t) * 1000 }
--- a/internal/nomad/httpapi/routes.go
+++ b/internal/nomad/httpapi/routes.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// fixed are the paths without a name in them.
+// exactRoutes holds the routes whose path contains no name.
 var exactRoutes = map[string]route{
 	"/v1/jobs":          {handle: handleJobs, methods: "GET POST PUT"},
 	"/v1/jobs/parse":    {handle: parseJob, methods: "POST PUT"},
@@ -24,16 +24,16 @@
 	"/v1/event/stream":  {handle: streamEvents, methods: "GET"},
 }
 
-// named are the paths that end in a name.
+// prefixRoutes holds the routes whose path is a prefix and a name.
 var prefixRoutes = map[string]route{
 	"/v1/allocation/":      {handle: getAllocation, methods: "GET"},
 	"/v1/evaluation/":      {handle: getEvaluation, methods: "GET"},
 	"/v1/node/":            {handle: getNode, methods: "GET"},
 	"/v1/namespace/":       {handle: getNamespace, methods: "GET"},
-	"/v1/aspenstall/task/": {handle: getTaskDescription, methods: "GET", public: true}, // with a machine's token
+	"/v1/aspenstall/task/": {handle: getTaskDescription, methods: "GET", public: true}, // checks for a machine's token
 }
 
-// ofJob are the ends of paths below /v1/job/NAME/.
+// jobRoutes holds the routes below /v1/job/NAME/, by the last part of the path.
 var jobRoutes = map[string]route{
 	"":            {handle: handleJob, methods: "GET POST PUT DELETE"},
 	"plan":        {handle: planJob, methods: "POST PUT"},
@@ -44,7 +44,7 @@
 	"deployments": {handle: emptyList, methods: "GET"},
 	"deployment":  {handle: func(*request) (any, error) { return struct{}{}, nil }, methods: "GET"},
 	"dispatch":    notImplemented("dispatch: jobs are not dispatched; register one for each run"),
-	"evaluate":    notImplemented("evaluate: placing goes on by itself"),
+	"evaluate":    notImplemented("evaluate: jobs are evaluated continuously"),
 	"revert":      notImplemented("revert: register the old version's job again"),
 	"stable":      notImplemented("stable: versions are not rolled out step by step"),
 	"scale":       notImplemented("scale: register the job with another count"),
@@ -54,24 +54,25 @@
 	"action":      notImplemented("actions are not served"),
 }
 
+// notImplemented returns a route that answers with status 501 and the reason.
 func notImplemented(why string) route {
 	return route{methods: "GET POST PUT DELETE", handle: func(*request) (any, error) { return nil, statusErrorf(http.StatusNotImplemented, "%s", why) }}
 }
 
-// families are parts of the interface that are not served at all.
+// unsupportedPrefixes holds the parts of the API that are not served at all, by the path's first part,
+// and the reason.
 var unsupportedPrefixes = map[string]string{
-	"acl": "tokens are the operators' settings", "client": "machines are not asked by this way", "operator": "operators have their own settings",
+	"acl": "tokens are the operators' settings", "client": "machines cannot be queried through this API", "operator": "operators have their own settings",
 	"search": "list with a prefix instead", "volumes": "machines keep nothing", "volume": "machines keep nothing", "plugins": "machines keep nothing",
 	"services": "services are not announced", "service": "services are not announced", "scaling": "the number of tasks is the job's",
 	"system": "finished jobs are purged one by one", "vars": "there is no store of variables", "var": "there is no store of variables",
 	"sentinel": "there are no policies", "quota": "quotas are the operators' settings", "quotas": "quotas are the operators' settings",
 	"deployment": "versions are not rolled out step by step", "recommendation": "not served", "node_pools": "there is one pool",
-	"node": "machines are rented and returned by the scheduler", "agent": "one asks /v1/agent/self and /v1/agent/health",
+	"node": "machines are rented and returned by the scheduler", "agent": "only /v1/agent/self and /v1/agent/health are served",
 }
 
-// find finds a path's route and the name in it. Names may hold anything,
-// slashes too: those are escaped, and where a client does not, the path's end
-// decides.
+// findRoute returns a path's route and the name in the path. Names may hold any character. A slash in
+// a name should be escaped; where a client does not escape it, the last part of the path decides.
 func findRoute(path string) (route, string, error) {
 	if r, ok := exactRoutes[path]; ok {
 		return r, "", nil
@@ -111,13 +112,14 @@
 	return route{}, "", statusErrorf(http.StatusNotFound, "there is nothing at %s", path)
 }
 
+// unescapeName returns r and the unescaped name, or an error with status 400.
 func unescapeName(r route, escaped string) (route, string, error) {
 	id, err := url.PathUnescape(escaped)
 	if err != nil {
-		return route{}, "", statusErrorf(http.StatusBadRequest, "the path is not escaped as it should be")
+		return route{}, "", statusErrorf(http.StatusBadRequest, "the path is not escaped correctly")
 	}
 	return r, id, nil
 }
 
-// none answers a list of what there never is.
+// emptyList answers requests for lists that are always empty.
 func emptyList(*request) (any, error) { return []struct{}{}, nil }
--- a/internal/nomad/httpapi/server.go
+++ b/internal/nomad/httpapi/server.go
@@ -27,17 +27,17 @@
 
 const (
 	maxBodyBytes   = jobfile.MaxSource + 64<<10
-	defaultWait    = 5 * time.Minute // published, as is the next
+	defaultWait    = 5 * time.Minute // as published, like maxWait
 	maxWait        = 10 * time.Minute
-	ioTimeout      = 20 * time.Second // to read a request's body, and to write an answer
-	requestTimeout = 5 * time.Second  // for what does not block
+	ioTimeout      = 20 * time.Second // to read a request's body, and to write a response
+	requestTimeout = 5 * time.Second  // for requests that do not block
 	minGzipBytes   = 1 << 10
 	retryAfter     = time.Second
-	badTokensPerS  = 10 // a second, of all clients together
-	burstSeconds   = 2  // seconds' worth
+	badTokensPerS  = 10 // limit on requests with an unknown token, over all clients
+	burstSeconds   = 2  // a team's burst, in seconds of its rate
 )
 
-// Handler serves the interface on a backend.
+// Handler returns a handler that serves the API on a backend.
 func Handler(b Backend, s *config.Nomad, log *slog.Logger) http.Handler {
 	return &server{
 		backend: b, tokens: newTokenTable(s), log: log, requestsPerS: rate.Limit(s.RequestsPerS),
@@ -56,7 +56,7 @@
 	teamLimiters map[string]*rate.Limiter // by team
 }
 
-// failure is an answer other than 200: the published ones are a line of text.
+// statusError is a response with a status other than 200. Its body is a line of text, as published.
 type statusError struct {
 	status     int
 	text       string
@@ -65,6 +65,7 @@
 
 func (f *statusError) Error() string { return f.text }
 
+// statusErrorf returns a statusError with a formatted text.
 func statusErrorf(status int, format string, args ...any) error {
 	return &statusError{status: status, text: fmt.Sprintf(format, args...)}
 }
@@ -76,26 +77,25 @@
 	errTooManyRequests  = &statusError{status: http.StatusTooManyRequests, text: "too many requests", retryAfter: retryAfter}
 )
 
-// request is one request under way.
+// request is a request that is being served.
 type request struct {
 	*server
 	w      http.ResponseWriter
 	r      *http.Request
 	ctl    *http.ResponseController
 	team   string
-	id     string // what the path names
+	id     string // the name in the path, unescaped
 	params url.Values
 }
 
-// handler answers a request: with a value to be encoded, or nil if it has
-// answered by itself.
+// handler serves a request. It returns a value to be encoded, or nil if it has written the response.
 type handler func(*request) (any, error)
 
-// route finds who answers a path.
+// route is the handler of a path and the methods that it accepts.
 type route struct {
 	handle  handler
 	methods string
-	public  bool // without a token
+	public  bool // no team's token is needed
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -110,6 +110,7 @@
 	}
 }
 
+// dispatch checks the request's method, token, rate and common parameters, and calls the route's handler.
 func (q *request) dispatch() (any, error) {
 	rt, id, err := findRoute(q.r.URL.EscapedPath())
 	if err != nil {
@@ -133,7 +134,7 @@
 	return rt.handle(q)
 }
 
-// authorize finds the caller's team and whether it may ask so often.
+// authorize sets the caller's team and checks the team's rate limit.
 func (q *request) authorize() error {
 	token := q.r.Header.Get("X-Nomad-Token")
 	if token == "" {
@@ -160,8 +161,8 @@
 	return nil
 }
 
-// visible reports whether the namespace that is asked for is the caller's; the
-// others are as if they did not exist.
+// namespaceVisible reports whether the requested namespace is the caller's. Other namespaces are
+// treated as if they did not exist.
 func (q *request) namespaceVisible() bool {
 	switch ns := q.params.Get("namespace"); ns {
 	case "", "*", translate.DefaultNamespace, q.team:
@@ -172,12 +173,12 @@
 
 func (q *request) jobName() registry.Name { return registry.Name{Team: q.team, ID: q.id} }
 
-// work is the time that an answer may take which does not block.
+// withTimeout returns the context of a request that does not block.
 func (q *request) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(q.r.Context(), requestTimeout)
 }
 
-// body reads the request's body.
+// readBody reads the request's body.
 func (q *request) readBody() ([]byte, error) {
 	b, err := io.ReadAll(http.MaxBytesReader(q.w, q.r.Body, maxBodyBytes))
 	var tooLong *http.MaxBytesError
@@ -185,14 +186,14 @@
 	case errors.As(err, &tooLong):
 		return nil, statusErrorf(http.StatusRequestEntityTooLarge, "the request has more than %d bytes", maxBodyBytes)
 	case err != nil:
-		return nil, statusErrorf(http.StatusBadRequest, "the request was cut short")
+		return nil, statusErrorf(http.StatusBadRequest, "the request body is incomplete")
 	}
 	return b, nil
 }
 
-// query reads the parameters of a blocking query.
-func (q *request) parseQuery(of registry.Name, progress bool) (Query, error) {
-	out := Query{Name: of, WakeOnCounts: progress, MaxWait: defaultWait}
+// parseQuery reads the parameters of a blocking query.
+func (q *request) parseQuery(name registry.Name, wakeOnCounts bool) (Query, error) {
+	out := Query{Name: name, WakeOnCounts: wakeOnCounts, MaxWait: defaultWait}
 	if s := q.params.Get("index"); s != "" {
 		i, err := strconv.ParseUint(s, 10, 64)
 		if err != nil {
@@ -207,35 +208,37 @@
 		}
 		out.MaxWait = min(d, maxWait)
 	}
-	// As published: so that not all come back at once.
+	// As published: jitter of up to a sixteenth keeps clients from returning all at once.
 	out.MaxWait += rand.N(out.MaxWait/16 + 1)
 	return out, nil
 }
 
-// look looks at the registry as a blocking query and sets the headers of one.
-// Of a namespace that is not the caller's nothing is seen.
-func (q *request) readRegistry(of registry.Name, progress bool, see func(*registry.Registry)) error {
-	qu, err := q.parseQuery(of, progress)
+// readRegistry reads the registry as a blocking query and sets the query's headers. For a namespace
+// that is not the caller's, read is not called.
+func (q *request) readRegistry(name registry.Name, wakeOnCounts bool, read func(*registry.Registry)) error {
+	query, err := q.parseQuery(name, wakeOnCounts)
 	if err != nil {
 		return err
 	}
 	if !q.namespaceVisible() {
-		see = func(*registry.Registry) {}
+		read = func(*registry.Registry) {}
 	}
-	_, err = q.runQuery(qu, see)
+	_, err = q.runQuery(query, read)
 	return err
 }
 
-func (q *request) runQuery(qu Query, see func(*registry.Registry)) (uint64, error) {
+// runQuery runs read on the backend, sets the headers of a blocking query and returns the index that read
+// read at.
+func (q *request) runQuery(query Query, read func(*registry.Registry)) (uint64, error) {
 	limit := requestTimeout
-	if qu.AfterIndex > 0 {
-		limit += qu.MaxWait
+	if query.AfterIndex > 0 {
+		limit += query.MaxWait
 	}
-	// While it waits, nothing is read but that the client goes away.
+	// While the query waits, the connection is read only to notice that the client is gone.
 	_ = q.ctl.SetReadDeadline(time.Time{})
 	ctx, cancel := context.WithTimeout(q.r.Context(), limit)
 	defer cancel()
-	index, err := q.backend.ReadRegistry(ctx, qu, see)
+	index, err := q.backend.ReadRegistry(ctx, query, read)
 	if err != nil {
 		return 0, err
 	}
@@ -246,6 +249,8 @@
 	return index, nil
 }
 
+// writeError writes an error as a response. An unknown error is logged, and answered with status 500
+// without its text.
 func (q *request) writeError(err error) {
 	var f *statusError
 	var refused *RefusedError
@@ -281,6 +286,7 @@
 	_, _ = io.WriteString(q.w, f.text)
 }
 
+// writeJSON writes v as JSON, compressed if it is long and the client accepts gzip.
 func (q *request) writeJSON(status int, v any) {
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
@@ -299,7 +305,7 @@
 	if len(out) >= minGzipBytes && acceptsGzip(q.r) {
 		var z bytes.Buffer
 		w := gzip.NewWriter(&z)
-		_, _ = w.Write(out) // into memory: it does not fail
+		_, _ = w.Write(out) // writing to memory does not fail
 		_ = w.Close()
 		h.Set("Content-Encoding", "gzip")
 		out = z.Bytes()
@@ -310,6 +316,7 @@
 	_, _ = q.w.Write(out)
 }
 
+// acceptsGzip reports whether the client accepts a gzip-compressed response.
 func acceptsGzip(r *http.Request) bool {
 	for _, e := range strings.Split(r.Header.Get("Accept-Encoding"), ",") {
 		name, params, _ := strings.Cut(strings.TrimSpace(e), ";")
--- a/internal/nomad/httpapi/server_test.go
+++ b/internal/nomad/httpapi/server_test.go
@@ -18,7 +18,7 @@
 	"aspenstall/internal/peer"
 )
 
-// backend answers from an empty registry.
+// fakeBackend answers from an empty registry.
 type fakeBackend struct{ healthy bool }
 
 func (fakeBackend) ReadRegistry(_ context.Context, q Query, see func(*registry.Registry)) (uint64, error) {
@@ -68,7 +68,8 @@
 	return w
 }
 
-// A token names a team, two during its renewal; a machine's is no team's.
+// A token identifies a team, which may have two tokens during a rotation. A machine's token belongs to
+// no team.
 func TestTokens(t *testing.T) {
 	h := newTestHandler(1000)
 	for _, c := range []struct {
@@ -92,12 +93,12 @@
 		}
 	}
 	if w := doRequest(h, "GET", "/v1/namespaces", "", "", "Authorization", "Bearer of green"); w.Code != 200 {
-		t.Errorf("as a bearer: %d", w.Code)
+		t.Errorf("bearer token: %d", w.Code)
 	}
 }
 
-// A team that asks too often is told when to come back, and takes nothing from
-// others; who guesses tokens is slowed down.
+// A team over its rate limit gets status 429 with Retry-After, without effect on other teams. Requests
+// with unknown tokens are limited as well.
 func TestRateLimits(t *testing.T) {
 	h := newTestHandler(2)
 	count := func(token string, n, status int) int {
@@ -114,17 +115,17 @@
 		return got
 	}
 	if n := count("new of blue", 40, 200); n < 4 || n > 8 {
-		t.Errorf("%d of 40 at once were answered", n)
+		t.Errorf("%d of 40 requests at once were answered", n)
 	}
 	if n := count("of green", 3, 200); n != 3 {
 		t.Errorf("green: %d of 3", n)
 	}
 	if n := count("guess", 200, 429); n < 150 {
-		t.Errorf("%d of 200 guesses were slowed down", n)
+		t.Errorf("%d of 200 requests with an unknown token got 429", n)
 	}
 }
 
-// Names are whatever is escaped in the path; where nothing is, its end decides.
+// Names are unescaped; where a slash in a name is not escaped, the last part of the path decides.
 func TestFindRoute(t *testing.T) {
 	for path, want := range map[string]string{
 		"/v1/job/a":                    "a",
@@ -135,7 +136,7 @@
 		"/v1/job/a/b/versions":         "a/b",
 		"/v1/job/%C3%BC%252F":          "ü%2F",
 		"/v1/job/":                     "there is nothing",
-		"/v1/job/%zz":                  "not escaped",
+		"/v1/job/%zz":                  "not escaped correctly",
 		"/v1/evaluation/1-2":           "1-2",
 		"/v1/evaluation/1-2/x":         "there is nothing",
 		"/v1/allocation/":              "there is nothing",
@@ -158,7 +159,7 @@
 const validJob = `{"ID":"j","Type":"batch","TaskGroups":[{"Name":"g","Tasks":[{"Name":"t","Driver":"d","Config":{"image":"i"},
 "Leader":true,"Meta":{"aspenstall_class":"c","aspenstall_image_gb":"1","aspenstall_expect_s":"5"}}]}]}`
 
-// Requests about jobs: what is wrong is told in the published forms.
+// Errors in requests about jobs are reported with the published status codes and texts.
 func TestJobRequests(t *testing.T) {
 	h := newTestHandler(1000)
 	for _, c := range []struct {
@@ -195,7 +196,7 @@
 	}
 }
 
-// Long answers are compressed for who can read it.
+// Long responses are compressed for clients that accept gzip.
 func TestGzip(t *testing.T) {
 	h := newTestHandler(1000)
 	body := `{"JobHCL":` + fmt.Sprintf("%q", `job "a" { name = "`+strings.Repeat("n", 3000)+`" }`) + `}`
@@ -212,7 +213,7 @@
 		}
 		var j struct{ Name string }
 		if err := json.NewDecoder(r).Decode(&j); err != nil || len(j.Name) != 3000 || zipped != want {
-			t.Errorf("%q: compressed %v, %d letters, %v", accepts, zipped, len(j.Name), err)
+			t.Errorf("%q: compressed %v, %d characters, %v", accepts, zipped, len(j.Name), err)
 		}
 	}
 }
--- a/internal/nomad/httpapi/token.go
+++ b/internal/nomad/httpapi/token.go
@@ -8,15 +8,14 @@
 	"aspenstall/internal/config"
 )
 
-// HashToken is a token's keyed hash (HMAC-SHA256), which is all that the
-// settings hold.
+// HashToken returns a token's keyed hash (HMAC-SHA256). The settings hold only hashes of tokens.
 func HashToken(key []byte, token string) config.Hash {
 	m := hmac.New(sha256.New, key)
 	m.Write([]byte(token))
 	return config.Hash(m.Sum(nil))
 }
 
-// tokens tells whose a token is.
+// tokenTable finds the owner of a token by the token's hash.
 type tokenTable struct {
 	hashKey     []byte
 	teams       []teamToken
@@ -38,8 +37,8 @@
 	return t
 }
 
-// team is the team that a token names. Every hash is compared, each in constant
-// time, so that how long it takes says nothing.
+// teamOf returns the team that a token belongs to. It compares every hash, each in constant time,
+// so that the duration reveals nothing.
 func (t *tokenTable) teamOf(token string) (string, bool) {
 	h := HashToken(t.hashKey, token)
 	team, found := "", 0
@@ -51,7 +50,7 @@
 	return team, found == 1
 }
 
-// agent reports whether a token is a machine's.
+// isAgent reports whether a token belongs to the machines' agents.
 func (t *tokenTable) isAgent(token string) bool {
 	h := HashToken(t.hashKey, token)
 	found := 0
--- a/internal/nomad/httpapi/views.go
+++ b/internal/nomad/httpapi/views.go
@@ -11,7 +11,7 @@
 	"aspenstall/internal/nomad/registry"
 )
 
-// The published JSON of answers. Fields have the published names.
+// The types below are encoded as the published JSON. Their fields have the published names.
 
 type registerResponse struct {
 	EvalID          string
@@ -60,12 +60,12 @@
 	Diffs    []struct{}
 }
 
-// taskDescription is what a machine runs: the job, and which group of it.
+// taskDescription holds what a machine runs: the job and the group within it.
 type taskDescription struct {
 	Job     *jobfile.Job
 	Version uint64
 	Group   string
-	Meta    map[string]string // the job's, the group's and the task's
+	Meta    map[string]string // of the job, the group and the task; the task's values take precedence
 }
 
 func newJobSummary(r *registry.Registry, j *registry.Job) *jobSummary {
@@ -89,7 +89,7 @@
 	}
 }
 
-// fullOf is a version of a job as it was registered, with how it stands.
+// newFullJob returns a version of a job as it was registered, with its status.
 func newFullJob(r *registry.Registry, j *registry.Job, version uint64) (*fullJob, error) {
 	b, index, at, err := j.Source(version)
 	if err != nil {
@@ -143,49 +143,49 @@
 	Warnings           string
 }
 
-// planOf says what a change does, by group: which groups begin, end or go on.
-// It does not say which fields of them differ.
-func newJobPlan(reg registry.Registration, ch *registry.Change, old *registry.Job, diff bool, warnings string) *jobPlan {
+// newJobPlan returns the effect of a change by group: which groups start, stop or keep running. It does
+// not list the fields that differ.
+func newJobPlan(reg registry.Registration, change *registry.Change, old *registry.Job, diff bool, warnings string) *jobPlan {
 	p := &jobPlan{FailedTGAllocs: map[string]struct{}{}, Warnings: warnings}
 	p.Annotations.DesiredTGUpdates = map[string]*desiredUpdates{}
-	of := func(group string) *desiredUpdates {
+	updatesOf := func(group string) *desiredUpdates {
 		if p.Annotations.DesiredTGUpdates[group] == nil {
 			p.Annotations.DesiredTGUpdates[group] = &desiredUpdates{}
 		}
 		return p.Annotations.DesiredTGUpdates[group]
 	}
-	kept, ended := map[string]bool{}, map[string]int{}
-	for _, id := range ch.Keep {
+	kept, cancelledTasks := map[string]bool{}, map[string]int{}
+	for _, id := range change.Keep {
 		kept[id] = true
 	}
-	for _, rec := range ch.Cancel {
-		ended[rec.Spec.ID] = rec.Spec.Tasks
+	for _, rec := range change.Cancel {
+		cancelledTasks[rec.Spec.ID] = rec.Spec.Tasks
 	}
-	keptGroup := map[string]bool{}
+	groupKept := map[string]bool{}
 	if old != nil {
 		p.JobModifyIndex = old.JobModifyIndex
 		for _, g := range old.Groups {
-			keptGroup[g.Name] = kept[g.Native]
-			of(g.Name).Stop = uint64(ended[g.Native])
+			groupKept[g.Name] = kept[g.Native]
+			updatesOf(g.Name).Stop = uint64(cancelledTasks[g.Native])
 		}
 	}
 	d := &jobDiff{ID: reg.ID, Type: "None"}
-	if !ch.Empty() {
+	if !change.Empty() {
 		d.Type = "Edited"
 	}
 	if old == nil {
 		d.Type = "Added"
 	}
 	for _, g := range reg.Groups {
-		u := of(g.Name)
+		u := updatesOf(g.Name)
 		gd := groupDiff{Name: g.Name, Type: "None", Updates: map[string]uint64{}}
-		if keptGroup[g.Name] || ch.Empty() {
+		if groupKept[g.Name] || change.Empty() {
 			u.Ignore = uint64(g.Spec.Tasks)
 			gd.Updates["ignore"] = u.Ignore
 		} else {
 			u.Place = uint64(g.Spec.Tasks)
 			gd.Type, gd.Updates["create"] = "Added", u.Place
-			if _, was := keptGroup[g.Name]; was {
+			if _, existed := groupKept[g.Name]; existed {
 				gd.Type = "Edited"
 			}
 		}
@@ -197,7 +197,7 @@
 	return p
 }
 
-// uuid writes 16 bytes as clients expect ids.
+// formatUUID writes 16 bytes in the form of a UUID, which clients expect.
 func formatUUID(b [16]byte) string {
 	h := hex.EncodeToString(b[:])
 	return fmt.Sprintf("%s-%s-%s-%s-%s", h[:8], h[8:12], h[12:16], h[16:20], h[20:])
@@ -211,8 +211,8 @@
 	return h.Sum(nil)[:8]
 }
 
-// evaluationID is the id of the decision that a registration is: of its job and
-// index, and so the same on every node.
+// evaluationID returns the ID of the evaluation that stands for a registration. It is derived from the
+// job and the index, so it is the same on every node.
 func evaluationID(n registry.Name, index uint64) string {
 	var b [16]byte
 	copy(b[:], shortHash("evaluation", n.Team, n.ID))
@@ -220,7 +220,7 @@
 	return formatUUID(b)
 }
 
-// allocationID is a task's id, which it keeps wherever it runs.
+// allocationID returns the ID of a task, which does not change when the task moves to another machine.
 func allocationID(native string, index int) string {
 	var b [16]byte
 	copy(b[:], shortHash("allocation", native))
@@ -243,8 +243,8 @@
 	QueuedAllocations                                                  map[string]int
 }
 
-// evaluationOf is the decision that a job's last registration or
-// deregistration was: nothing is left to decide once it is written.
+// newEvalView returns the evaluation of a job's last registration or deregistration. It is always
+// complete: no decision is pending once the registration is written.
 func newEvalView(r *registry.Registry, j *registry.Job) evalView {
 	e := evalView{
 		ID: evaluationID(j.Name, j.JobModifyIndex), Namespace: j.Team, Type: j.Type, TriggeredBy: "job-register", JobID: j.ID,
@@ -279,7 +279,7 @@
 	CreateTime, ModifyTime                                        int64
 }
 
-// allocOf is a task that is done or on a machine.
+// newAllocView returns the allocation of a task that is done or on a machine.
 func newAllocView(j *registry.Job, g registry.Group, index uint64, now core.Micros, t core.TaskView) allocView {
 	a := allocView{
 		ID: allocationID(g.Native, t.Index), EvalID: evaluationID(j.Name, j.JobModifyIndex), Name: fmt.Sprintf("%s.%s[%d]", j.ID, g.Name, t.Index),
@@ -318,7 +318,7 @@
 		SchedulingEligibility: "eligible", Attributes: map[string]string{"aspenstall.spot": fmt.Sprint(m.Spot)}, Drivers: map[string]struct{}{},
 	}
 	if !m.Ready {
-		n.Status, n.StatusDescription = "down", "its worker is silent"
+		n.Status, n.StatusDescription = "down", "the worker does not report"
 	}
 	return n
 }
