--- a/internal/nomad/httpapi/backend.go
+++ b/internal/nomad/httpapi/backend.go
@@ -58,8 +58,8 @@
 
 // Backend is a controller. Every method returns before its context ends or soon after.
 type Backend interface {
-	// ReadRegistry runs read when the query is due and returns the index of the registry that it read. read must
-	// copy what it keeps, and must not block.
+	// ReadRegistry runs read when the query is due, and returns the index of the registry at that time.
+	// read must copy what it keeps, and must not block.
 	ReadRegistry(ctx context.Context, q Query, read func(*registry.Registry)) (uint64, error)
 	Register(ctx context.Context, r registry.Registration) (RegisterResult, error)
 	// Plan returns what a registration would change, and the job as it is now (nil if there is none).
--- a/internal/nomad/httpapi/server.go
+++ b/internal/nomad/httpapi/server.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// dispatch checks the request's method, token, rate and common parameters, and calls the route's handler.
+// dispatch checks the request's method, token, rate and common parameters, and calls the handler of
+// the route.
 func (q *request) dispatch() (any, error) {
 	rt, id, err := findRoute(q.r.URL.EscapedPath())
 	if err != nil {
@@ -227,8 +228,8 @@
 	return err
 }
 
-// runQuery runs read on the backend, sets the headers of a blocking query and returns the index that read
-// read at.
+// runQuery runs read on the backend when the query is due. It sets the headers of a blocking query and
+// returns the registry's index.
 func (q *request) runQuery(query Query, read func(*registry.Registry)) (uint64, error) {
 	limit := requestTimeout
 	if query.AfterIndex > 0 {
--- a/internal/nomad/jobfile/eval.go
+++ b/internal/nomad/jobfile/eval.go
@@ -11,15 +11,15 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// How much evaluating one file may cost: a small file can ask for any amount
-// of work and memory.
+// Limits on the cost of evaluating one file. Without them, a small file can take any amount of work
+// and memory.
 const (
-	maxEvalSteps = 200_000 // expressions evaluated, blocks and elements made
-	maxEvalBytes = 8 << 20 // of texts made on the way
-	maxExponent  = 4096    // binary exponent of a number: 1e9999999 is a short text and a long number
+	maxEvalSteps = 200_000 // expressions evaluated, blocks and elements created
+	maxEvalBytes = 8 << 20 // bytes of strings created during evaluation
+	maxExponent  = 4096    // binary exponent of a number: 1e9999999 is short in the file, but has millions of digits
 )
 
-// large reports whether a number is too long to be written out.
+// exceedsExponent reports whether a number has too many digits to be written in decimal.
 func exceedsExponent(v cty.Value) bool {
 	if v.Type() != cty.Number || !v.IsKnown() || v.IsNull() {
 		return false
@@ -30,19 +30,20 @@
 
 var errBudgetExceeded = errors.New("the file asks for too much work to evaluate it")
 
-// budget is what is left of it.
+// budget is what remains of the limits on the evaluation of a file.
 type budget struct {
 	steps, bytes int
-	reported     bool // the file's reader has been told
+	reported     bool // a problem for the exceeded budget was added
 }
 
+// spend takes steps and bytes from the budget, and reports whether the budget covered them.
 func (b *budget) spend(steps, bytes int) bool {
 	b.steps -= steps
 	b.bytes -= bytes
 	return b.steps >= 0 && b.bytes >= 0
 }
 
-// charge spends what a value takes; false if that is more than is left.
+// charge takes the cost of a value from the budget, and reports whether the budget covered it.
 func (b *budget) charge(v cty.Value) bool {
 	if !b.spend(1, 0) {
 		return false
@@ -65,15 +66,15 @@
 	return true
 }
 
-// counted is an expression whose evaluation is paid from the budget. A name
-// that only the running task knows, such as ${node.class}, stays as it was
-// written.
+// meteredExpr is an expression whose evaluation is charged to the budget. A reference that is resolved
+// only at run time, such as ${node.class}, evaluates to its own source text.
 type meteredExpr struct {
 	hclsyntax.Expression
 	budget   *budget
 	verbatim string
 }
 
+// Value evaluates the expression, or returns an error if the budget is exceeded.
 func (c *meteredExpr) Value(ctx *hcl.EvalContext) (cty.Value, hcl.Diagnostics) {
 	if !c.budget.spend(1, 0) {
 		return cty.DynamicVal, c.budgetExceeded()
@@ -91,7 +92,8 @@
 	return v, diags
 }
 
-// over is one line for the whole file, not one for each expression after it.
+// budgetExceeded returns the error for an exceeded budget. Only the first one in a file has a text, so
+// that the file gets one problem instead of one for each further expression.
 func (c *meteredExpr) budgetExceeded() hcl.Diagnostics {
 	d := &hcl.Diagnostic{Severity: hcl.DiagError, Summary: errBudgetExceeded.Error(), Subject: c.Range().Ptr()}
 	if c.budget.reported {
@@ -101,12 +103,12 @@
 	return hcl.Diagnostics{d}
 }
 
-// runtimeNames are the roots of names that only the running task knows.
+// runtimeRoots holds the roots of references that are resolved only at run time.
 var runtimeRoots = map[string]bool{"attr": true, "node": true, "device": true, "meta": true, "env": true, "unique": true}
 
 func isRuntimeRoot(root string) bool { return runtimeRoots[root] || strings.HasPrefix(root, "NOMAD_") }
 
-// instrument puts a file's expressions on the budget.
+// instrumenter replaces the expressions of a file by metered ones.
 type instrumenter struct {
 	src    []byte
 	budget *budget
@@ -117,14 +119,14 @@
 		a.Expr = in.instrumentExpr(a.Expr, nil)
 	}
 	for _, k := range b.Blocks {
-		if k.Type != "variable" { // its type is no expression
+		if k.Type != "variable" { // the type of a variable is not an expression
 			in.instrumentBody(k.Body)
 		}
 	}
 }
 
-// expr replaces an expression and all below it; bound are the names that
-// enclosing expressions give a meaning.
+// instrumentExpr returns a metered expression with all expressions below it replaced. bound holds the
+// names that enclosing for expressions define.
 func (in *instrumenter) instrumentExpr(e hclsyntax.Expression, bound []string) hclsyntax.Expression {
 	sub := func(e hclsyntax.Expression) hclsyntax.Expression { return in.instrumentExpr(e, bound) }
 	all := func(es []hclsyntax.Expression) {
@@ -189,8 +191,8 @@
 	return c
 }
 
-// unreadable finds where brackets, templates or operators nest deeper than is
-// read, since the parser calls itself for each, and numbers without end.
+// checkTokens returns the first place where brackets, templates or operators nest too deeply, or a
+// number is out of range, and whether there is one. Nesting is limited because the parser is recursive.
 func checkTokens(name string, src []byte) (Problem, bool) {
 	tokens, _ := hclsyntax.LexConfig(src, name, hcl.InitialPos)
 	depth, chain := 0, 0
@@ -217,15 +219,16 @@
 	return Problem{}, false
 }
 
-// writable reports whether a number in decimal is one that is soon written out.
+// numberInRange reports whether a decimal number is a float64 of at most 400 characters.
 func numberInRange(s string) bool {
 	_, err := strconv.ParseFloat(s, 64)
 	return err == nil && len(s) <= 400
 }
 
+// posOf returns the start of a range.
 func posOf(r hcl.Range) Pos { return Pos{r.Filename, r.Start.Line, r.Start.Column} }
 
-// problems turns the parser's findings into ours.
+// problemsOf converts the errors of the HCL parser. An error without a text is dropped.
 func problemsOf(diags hcl.Diagnostics) Problems {
 	var out Problems
 	for _, d := range diags {
--- a/internal/nomad/jobfile/functions.go
+++ b/internal/nomad/jobfile/functions.go
@@ -19,9 +19,9 @@
 	"github.com/zclconf/go-cty/cty/function/stdlib"
 )
 
-// standard are the functions of the published list whose result depends on
-// their arguments alone. Those that read files, the clock or random numbers
-// are not here: the same file has to become the same job wherever it is read.
+// supportedFunctions holds the published functions whose result depends on their arguments only.
+// Functions that read files, the clock or random numbers are missing: the same file must give the same
+// job wherever it is read.
 var supportedFunctions = map[string]function.Function{
 	"abs": stdlib.AbsoluteFunc, "ceil": stdlib.CeilFunc, "floor": stdlib.FloorFunc, "log": stdlib.LogFunc,
 	"max": stdlib.MaxFunc, "min": stdlib.MinFunc, "parseint": stdlib.ParseIntFunc, "pow": stdlib.PowFunc, "signum": stdlib.SignumFunc,
@@ -57,16 +57,17 @@
 	"sha512":    stringFunc(func(s string) (string, error) { h := sha512.Sum512([]byte(s)); return hex.EncodeToString(h[:]), nil }),
 }
 
-// withheld are published functions that are not served, and why.
+// unsupportedFunctions holds the published functions that are not supported, and the reason.
 var unsupportedFunctions = map[string]string{
 	"file": "reads files", "fileexists": "reads files", "fileset": "reads files", "filebase64": "reads files", "filemd5": "reads files",
-	"abspath": "looks at the machine", "basename": "looks at the machine", "dirname": "looks at the machine", "pathexpand": "looks at the machine",
+	"abspath": "depends on the machine", "basename": "depends on the machine", "dirname": "depends on the machine", "pathexpand": "depends on the machine",
 	"timestamp": "gives another result each time", "uuidv4": "gives another result each time", "bcrypt": "gives another result each time",
 	"uuidv5": "is not served", "rsadecrypt": "is not served", "yamldecode": "is not served", "yamlencode": "is not served",
 	"cidrhost": "is not served", "cidrnetmask": "is not served", "cidrsubnet": "is not served", "cidrsubnets": "is not served",
-	"env": "looks at the machine", "consul_key": "asks a server", "vault": "asks a server",
+	"env": "depends on the machine", "consul_key": "queries a server", "vault": "queries a server",
 }
 
+// stringFunc returns an HCL function of one string.
 func stringFunc(f func(string) (string, error)) function.Function {
 	return function.New(&function.Spec{
 		Params: []function.Parameter{{Name: "str", Type: cty.String}},
@@ -78,12 +79,13 @@
 	})
 }
 
-// functions are the standard ones on a budget.
+// meteredFunctions returns the supported functions, charged to a budget, and for each unsupported one a
+// function that returns the reason as an error.
 func meteredFunctions(b *budget) map[string]function.Function {
 	out := make(map[string]function.Function, len(supportedFunctions))
 	for name, f := range supportedFunctions {
 		if name == "can" || name == "try" || name == "convert" {
-			out[name] = f // takes expressions, which pay by themselves
+			out[name] = f // takes expressions, which are metered already
 			continue
 		}
 		out[name] = function.New(&function.Spec{
@@ -114,12 +116,13 @@
 	return out
 }
 
+// wideVerb matches a format verb with a width or precision of four digits or more.
 var wideVerb = regexp.MustCompile(`%[^a-zA-Z%]*[0-9]{4}`)
 
-// call pays for a call before it is made, where its result may be far larger
-// than its arguments.
+// chargeCall charges the arguments of a function call. If the result may be far larger than the
+// arguments, it also checks the estimated size against the budget before the call.
 func (b *budget) chargeCall(name string, args []cty.Value) error {
-	texts, numbers := []string{}, []float64{}
+	strs, numbers := []string{}, []float64{}
 	for _, a := range args {
 		if !b.charge(a) {
 			return errBudgetExceeded
@@ -129,43 +132,43 @@
 		}
 		switch a.Type() {
 		case cty.String:
-			texts = append(texts, a.AsString())
+			strs = append(strs, a.AsString())
 		case cty.Number:
 			f, _ := a.AsBigFloat().Float64()
 			numbers = append(numbers, f)
 		}
 	}
-	made := 0.0
+	resultSize := 0.0
 	switch {
-	case (name == "format" || name == "formatlist") && len(texts) > 0 && wideVerb.MatchString(texts[0]):
+	case (name == "format" || name == "formatlist") && len(strs) > 0 && wideVerb.MatchString(strs[0]):
 		return fmt.Errorf("a width above 999 is not served")
-	case name == "indent" && len(numbers) > 0 && len(texts) > 0:
-		made = numbers[0] * float64(strings.Count(texts[len(texts)-1], "\n")+1)
-	case (name == "replace" || name == "regex_replace") && len(texts) == 3:
-		made = float64(len(texts[0])+1) * float64(len(texts[2]))
-	case name == "join" && len(texts) > 0:
+	case name == "indent" && len(numbers) > 0 && len(strs) > 0:
+		resultSize = numbers[0] * float64(strings.Count(strs[len(strs)-1], "\n")+1)
+	case (name == "replace" || name == "regex_replace") && len(strs) == 3:
+		resultSize = float64(len(strs[0])+1) * float64(len(strs[2]))
+	case name == "join" && len(strs) > 0:
 		n := 0
 		for _, a := range args[1:] {
 			if a.IsKnown() && !a.IsNull() && a.CanIterateElements() {
 				n += a.LengthInt()
 			}
 		}
-		made = float64(n) * float64(len(texts[0]))
+		resultSize = float64(n) * float64(len(strs[0]))
 	case name == "setproduct" || name == "formatlist":
-		made = 1
+		resultSize = 1
 		for _, a := range args {
 			if a.IsKnown() && !a.IsNull() && a.CanIterateElements() {
-				made *= float64(a.LengthInt())
+				resultSize *= float64(a.LengthInt())
 			}
 		}
-		made *= 16
+		resultSize *= 16
 	case name == "regex" || name == "regexall":
-		// Work for each letter of the text goes with the pattern's length.
-		if len(texts) == 2 {
-			made = float64(len(texts[0])) * float64(len(texts[1])) / 64
+		// The work for each character of the text is proportional to the pattern's length.
+		if len(strs) == 2 {
+			resultSize = float64(len(strs[0])) * float64(len(strs[1])) / 64
 		}
 	}
-	if made < 0 || made > float64(b.bytes) {
+	if resultSize < 0 || resultSize > float64(b.bytes) {
 		return errBudgetExceeded
 	}
 	return nil
--- a/internal/nomad/jobfile/grammar.go
+++ b/internal/nomad/jobfile/grammar.go
@@ -1,32 +1,33 @@
 package jobfile
 
-// kind is what an item of a job file holds.
+// itemKind is the type of an item of a job file.
 type itemKind uint8
 
 const (
 	kindString      itemKind = iota
-	kindInt                  // a whole number within lo and hi
+	kindInt                  // an integer from min to max
 	kindBool                 // true or false
 	kindDuration             // a duration: "30s", or nanoseconds in the JSON form
-	kindStringList           // a list of text
-	kindStringMap            // texts by name; a block or an attribute
-	kindAnyMap               // anything by name; a block or an attribute
+	kindStringList           // a list of strings
+	kindStringMap            // strings by name; a block or an attribute
+	kindAnyMap               // values of any type by name; a block or an attribute
 	kindBlock                // a block
-	kindBlockList            // blocks, a list in the JSON form
-	kindOpaque               // known by name only
-	kindServerField          // in the JSON form only, written by servers: not read
+	kindBlockList            // repeated blocks; a list in the JSON form
+	kindOpaque               // only its name is known; its content is not read
+	kindServerField          // only in the JSON form; written by servers and not read
 )
 
 // item is an attribute or block of a body.
 type item struct {
-	hclName  string // in the job file; "" if only the JSON form has it
-	jsonName string // in the JSON form
+	hclName  string // name in HCL; "" if only the JSON form has the item
+	jsonName string // name in the JSON form
 	kind     itemKind
 	min, max int64
-	allowed  []string // the only texts allowed
-	body     *body    // of blocks
+	allowed  []string // the allowed strings; empty for any
+	body     *body    // content of a block
 }
 
+// name returns the item's name in HCL, or in the JSON form if HCL has none.
 func (i *item) name() string {
 	if i.hclName == "" {
 		return i.jsonName
@@ -34,11 +35,11 @@
 	return i.hclName
 }
 
-// body is what a block holds.
+// body describes the content of a block.
 type body struct {
 	items      []item
-	labelField string                           // the field that takes the block's label
-	normalize  func(*hclDecoder, *blockContent) // what HCL writes in another way than JSON
+	labelField string                           // JSON name of the field that holds the block's label; "" if the block has none
+	normalize  func(*hclDecoder, *blockContent) // converts shorthands that HCL has and the JSON form has not; may be nil
 }
 
 func (b *body) itemByHCLName(name string) *item {
@@ -55,27 +56,27 @@
 	maxWeight = 100
 )
 
-func attribute(hcl, field string, k itemKind) item {
-	return item{hclName: hcl, jsonName: field, kind: k}
+func attribute(hclName, jsonName string, k itemKind) item {
+	return item{hclName: hclName, jsonName: jsonName, kind: k}
 }
 
-func integer(hcl, field string, lo, hi int64) item {
-	return item{hclName: hcl, jsonName: field, kind: kindInt, min: lo, max: hi}
+func integer(hclName, jsonName string, min, max int64) item {
+	return item{hclName: hclName, jsonName: jsonName, kind: kindInt, min: min, max: max}
 }
 
-func enum(hcl, field string, words ...string) item {
-	return item{hclName: hcl, jsonName: field, kind: kindString, allowed: words}
+func enum(hclName, jsonName string, allowed ...string) item {
+	return item{hclName: hclName, jsonName: jsonName, kind: kindString, allowed: allowed}
 }
 
-func block(hcl, field string, b *body) item {
-	return item{hclName: hcl, jsonName: field, kind: kindBlock, body: b}
+func block(hclName, jsonName string, b *body) item {
+	return item{hclName: hclName, jsonName: jsonName, kind: kindBlock, body: b}
 }
 
-func blockList(hcl, field string, b *body) item {
-	return item{hclName: hcl, jsonName: field, kind: kindBlockList, body: b}
+func blockList(hclName, jsonName string, b *body) item {
+	return item{hclName: hclName, jsonName: jsonName, kind: kindBlockList, body: b}
 }
 
-// unread are items known by name only.
+// opaqueItems returns items whose content is not read, from pairs of HCL and JSON names.
 func opaqueItems(names ...[2]string) []item {
 	var out []item
 	for _, n := range names {
@@ -84,7 +85,7 @@
 	return out
 }
 
-// written are fields that servers write and clients send back.
+// serverFields returns fields that servers write and clients send back.
 func serverFields(fields ...string) []item {
 	var out []item
 	for _, f := range fields {
--- a/internal/nomad/jobfile/hcl.go
+++ b/internal/nomad/jobfile/hcl.go
@@ -17,7 +17,7 @@
 	"github.com/zclconf/go-cty/cty/function"
 )
 
-// walker turns the HCL form into the JSON form.
+// hclDecoder converts the HCL form to the JSON form.
 type hclDecoder struct {
 	file      *File
 	budget    *budget
@@ -25,11 +25,12 @@
 	problems  Problems
 }
 
+// addProblem adds a problem at a position.
 func (w *hclDecoder) addProblem(pos Pos, format string, args ...any) {
 	w.problems = append(w.problems, problemf(pos, format, args...))
 }
 
-// parseBody reads HCL on a budget.
+// parseHCLBody parses HCL and makes its expressions metered.
 func parseHCLBody(name string, src []byte, b *budget) (*hclsyntax.Body, Problems) {
 	if p, bad := checkTokens(name, src); bad {
 		return nil, Problems{p}
@@ -43,6 +44,7 @@
 	return body, nil
 }
 
+// readHCL reads a job file in HCL.
 func (f *File) readHCL(src []byte, o Options) Problems {
 	w := &hclDecoder{file: f, budget: &budget{steps: maxEvalSteps, bytes: maxEvalBytes}}
 	w.functions = meteredFunctions(w.budget)
@@ -80,7 +82,8 @@
 	return w.problems
 }
 
-// variables works out the values of the file's variables.
+// evalVariables returns an object with the values of the file's variables: the defaults, overridden by
+// those in o.
 func (w *hclDecoder) evalVariables(declared, groups hclsyntax.Blocks, o Options) cty.Value {
 	type variable struct {
 		pos   Pos
@@ -133,10 +136,10 @@
 			declare(a.Name, posOf(a.NameRange), &variable{posOf(a.NameRange), cty.DynamicPseudoType, w.eval(a.Expr, constant)})
 		}
 	}
-	give := func(name, from string, pos Pos, value cty.Value) {
+	setValue := func(name, source string, pos Pos, value cty.Value) {
 		v := vars[name]
 		if v == nil {
-			w.addProblem(pos, "%s: the job file declares no variable %q", from, name)
+			w.addProblem(pos, "%s: the job file declares no variable %q", source, name)
 			return
 		}
 		v.value = value
@@ -148,7 +151,7 @@
 			continue
 		}
 		for _, a := range sortedAttributes(body.Attributes) {
-			give(a.Name, file.Name, posOf(a.NameRange), w.eval(a.Expr, constant))
+			setValue(a.Name, file.Name, posOf(a.NameRange), w.eval(a.Expr, constant))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.Vars)) {
@@ -166,7 +169,7 @@
 			}
 			value = w.eval((&instrumenter{[]byte(given), w.budget}).instrumentExpr(expr, nil), constant)
 		}
-		give(name, "given", pos, value)
+		setValue(name, "given", pos, value)
 	}
 	values := map[string]cty.Value{}
 	for _, name := range slices.Sorted(maps.Keys(vars)) {
@@ -186,40 +189,39 @@
 	return cty.ObjectVal(values)
 }
 
-// locals works out the locals, in whatever order they need one another, and
-// adds them to ctx.
+// evalLocals evaluates the locals in the order of their dependencies, and adds them to ctx.
 func (w *hclDecoder) evalLocals(groups hclsyntax.Blocks, ctx *hcl.EvalContext) {
-	open := map[string]*hclsyntax.Attribute{}
+	pending := map[string]*hclsyntax.Attribute{}
 	for _, b := range groups {
 		if b.Type != "locals" {
 			continue
 		}
 		for _, a := range sortedAttributes(b.Body.Attributes) {
-			if open[a.Name] != nil {
+			if pending[a.Name] != nil {
 				w.addProblem(posOf(a.NameRange), "local %q is given twice", a.Name)
 			}
-			open[a.Name] = a
+			pending[a.Name] = a
 		}
 	}
 	values := map[string]cty.Value{}
-	for len(open) > 0 {
+	for len(pending) > 0 {
 		ready := 0
-		for _, name := range slices.Sorted(maps.Keys(open)) {
-			a, waits := open[name], false
+		for _, name := range slices.Sorted(maps.Keys(pending)) {
+			a, blocked := pending[name], false
 			for _, n := range referencedLocals(a.Expr) {
-				waits = waits || open[n] != nil
+				blocked = blocked || pending[n] != nil
 			}
-			if waits {
+			if blocked {
 				continue
 			}
 			ctx.Variables["local"] = cty.ObjectVal(values)
 			values[name] = w.eval(a.Expr, ctx)
-			delete(open, name)
+			delete(pending, name)
 			ready++
 		}
 		if ready == 0 {
-			for _, name := range slices.Sorted(maps.Keys(open)) {
-				w.addProblem(posOf(open[name].NameRange), "local %q needs itself", name)
+			for _, name := range slices.Sorted(maps.Keys(pending)) {
+				w.addProblem(posOf(pending[name].NameRange), "local %q needs itself", name)
 				values[name] = cty.DynamicVal
 			}
 			break
@@ -228,7 +230,7 @@
 	ctx.Variables["local"] = cty.ObjectVal(values)
 }
 
-// localNames lists the locals that an expression needs.
+// referencedLocals lists the locals that an expression refers to.
 func referencedLocals(e hclsyntax.Expression) []string {
 	var out []string
 	_ = hclsyntax.VisitAll(e, func(n hclsyntax.Node) hcl.Diagnostics {
@@ -245,7 +247,7 @@
 	return out
 }
 
-// eval works out an expression; what is wrong with it is noted.
+// eval evaluates an expression. If that fails, it adds the problems and returns an unknown value.
 func (w *hclDecoder) eval(e hclsyntax.Expression, ctx *hcl.EvalContext) cty.Value {
 	v, diags := e.Value(ctx)
 	if diags.HasErrors() {
@@ -259,6 +261,7 @@
 	return v
 }
 
+// budgetExceeded adds the problem of an exceeded budget, once for a file.
 func (w *hclDecoder) budgetExceeded(pos Pos) {
 	if !w.budget.reported {
 		w.budget.reported = true
@@ -266,46 +269,48 @@
 	}
 }
 
+// sortedAttributes returns attributes in the order of the file.
 func sortedAttributes(attrs hclsyntax.Attributes) []*hclsyntax.Attribute {
 	out := slices.Collect(maps.Values(attrs))
 	slices.SortFunc(out, func(a, b *hclsyntax.Attribute) int { return a.NameRange.Start.Byte - b.NameRange.Start.Byte })
 	return out
 }
 
-// block reads a block of a known body.
-func (w *hclDecoder) decodeBlock(head *hcl.Block, from *hclsyntax.Body, b *body, ctx *hcl.EvalContext, pointer string) map[string]any {
+// decodeBlock converts a block, and records the positions of it and its label.
+func (w *hclDecoder) decodeBlock(head *hcl.Block, source *hclsyntax.Body, grammar *body, ctx *hcl.EvalContext, pointer string) map[string]any {
 	pos := posOf(head.TypeRange)
 	w.file.positions[pointer] = pos
 	out := map[string]any{}
 	switch {
-	case b.labelField == "" && len(head.Labels) > 0:
+	case grammar.labelField == "" && len(head.Labels) > 0:
 		w.addProblem(pos, "%s: takes no name", head.Type)
-	case b.labelField != "" && len(head.Labels) != 1:
+	case grammar.labelField != "" && len(head.Labels) != 1:
 		w.addProblem(pos, "%s: wants one name", head.Type)
-	case b.labelField != "":
-		out[b.labelField] = head.Labels[0]
-		w.file.positions[pointer+"/"+b.labelField] = pos
+	case grammar.labelField != "":
+		out[grammar.labelField] = head.Labels[0]
+		w.file.positions[pointer+"/"+grammar.labelField] = pos
 		if len(head.LabelRanges) > 0 {
-			w.file.positions[pointer+"/"+b.labelField] = posOf(head.LabelRanges[0])
+			w.file.positions[pointer+"/"+grammar.labelField] = posOf(head.LabelRanges[0])
 		}
 	}
-	w.decodeBody(head.Type, from, b, ctx, pointer, out)
+	w.decodeBody(head.Type, source, grammar, ctx, pointer, out)
 	return out
 }
 
-func (w *hclDecoder) decodeBody(in string, from *hclsyntax.Body, b *body, ctx *hcl.EvalContext, pointer string, out map[string]any) {
-	fx := &blockContent{attributes: from.Attributes, ctx: ctx, out: out, pointer: pointer}
-	if b.normalize != nil {
-		b.normalize(w, fx)
-	}
-	for _, a := range sortedAttributes(from.Attributes) {
-		if fx.consumed[a.Name] {
+// decodeBody converts the attributes and blocks of a body into out.
+func (w *hclDecoder) decodeBody(blockType string, source *hclsyntax.Body, grammar *body, ctx *hcl.EvalContext, pointer string, out map[string]any) {
+	content := &blockContent{attributes: source.Attributes, ctx: ctx, out: out, pointer: pointer}
+	if grammar.normalize != nil {
+		grammar.normalize(w, content)
+	}
+	for _, a := range sortedAttributes(source.Attributes) {
+		if content.consumed[a.Name] {
 			continue
 		}
-		it := b.itemByHCLName(a.Name)
+		it := grammar.itemByHCLName(a.Name)
 		pos := posOf(a.NameRange)
 		if it == nil || it.kind == kindBlock || it.kind == kindBlockList {
-			w.addProblem(pos, "%s: no such attribute of %s", a.Name, in)
+			w.addProblem(pos, "%s: no such attribute of %s", a.Name, blockType)
 			continue
 		}
 		ptr := pointer + "/" + escapePointer(it.jsonName)
@@ -318,25 +323,25 @@
 			out[it.jsonName] = v
 		}
 	}
-	for _, k := range from.Blocks {
-		w.decodeChild(in, k.AsHCLBlock(), k.Body, b, ctx, pointer, out)
+	for _, k := range source.Blocks {
+		w.decodeChild(blockType, k.AsHCLBlock(), k.Body, grammar, ctx, pointer, out)
 	}
 }
 
-// child reads a block within another one.
-func (w *hclDecoder) decodeChild(in string, head *hcl.Block, from *hclsyntax.Body, b *body, ctx *hcl.EvalContext, pointer string, out map[string]any) {
+// decodeChild converts a block within another one into out.
+func (w *hclDecoder) decodeChild(blockType string, head *hcl.Block, source *hclsyntax.Body, grammar *body, ctx *hcl.EvalContext, pointer string, out map[string]any) {
 	pos := posOf(head.TypeRange)
 	if !w.budget.spend(1, 0) {
 		w.budgetExceeded(pos)
 		return
 	}
 	if head.Type == "dynamic" {
-		w.expandDynamic(in, head, from, b, ctx, pointer, out)
+		w.expandDynamic(blockType, head, source, grammar, ctx, pointer, out)
 		return
 	}
-	it := b.itemByHCLName(head.Type)
+	it := grammar.itemByHCLName(head.Type)
 	if it == nil {
-		w.addProblem(pos, "%s: no such block of %s", head.Type, in)
+		w.addProblem(pos, "%s: no such block of %s", head.Type, blockType)
 		return
 	}
 	ptr := pointer + "/" + escapePointer(it.jsonName)
@@ -347,20 +352,20 @@
 	switch it.kind {
 	case kindBlockList:
 		list, _ := old.([]any)
-		out[it.jsonName] = append(list, w.decodeBlock(head, from, it.body, ctx, fmt.Sprintf("%s/%d", ptr, len(list))))
+		out[it.jsonName] = append(list, w.decodeBlock(head, source, it.body, ctx, fmt.Sprintf("%s/%d", ptr, len(list))))
 	case kindBlock:
 		if old != nil {
 			w.addProblem(pos, "%s: given twice", head.Type)
 			return
 		}
-		out[it.jsonName] = w.decodeBlock(head, from, it.body, ctx, ptr)
+		out[it.jsonName] = w.decodeBlock(head, source, it.body, ctx, ptr)
 	case kindAnyMap, kindStringMap:
 		if old != nil || len(head.Labels) > 0 {
 			w.addProblem(pos, "%s: given twice, or with a name", head.Type)
 			return
 		}
 		w.file.positions[ptr] = pos
-		m := w.decodeAnyMap(from, ctx, ptr)
+		m := w.decodeAnyMap(source, ctx, ptr)
 		if it.kind == kindStringMap {
 			for k, v := range m {
 				s, ok := scalarToString(v)
@@ -378,23 +383,23 @@
 	}
 }
 
-// open reads a block that may hold anything.
-func (w *hclDecoder) decodeAnyMap(from *hclsyntax.Body, ctx *hcl.EvalContext, pointer string) map[string]any {
+// decodeAnyMap converts a block whose content has no grammar.
+func (w *hclDecoder) decodeAnyMap(source *hclsyntax.Body, ctx *hcl.EvalContext, pointer string) map[string]any {
 	out := map[string]any{}
-	for _, a := range sortedAttributes(from.Attributes) {
+	for _, a := range sortedAttributes(source.Attributes) {
 		ptr := pointer + "/" + escapePointer(a.Name)
 		w.file.positions[ptr] = posOf(a.NameRange)
 		if v := toJSONValue(w.eval(a.Expr, ctx)); v != nil {
 			out[a.Name] = v
 		}
 	}
-	for _, k := range from.Blocks {
+	for _, k := range source.Blocks {
 		ptr := pointer + "/" + escapePointer(k.Type)
 		if _, ok := w.file.positions[ptr]; !ok {
 			w.file.positions[ptr] = posOf(k.TypeRange)
 		}
 		if k.Type == "dynamic" {
-			w.addProblem(posOf(k.TypeRange), "dynamic: not served where anything may stand")
+			w.addProblem(posOf(k.TypeRange), "dynamic: not served in a block without a fixed set of names")
 			continue
 		}
 		list, _ := out[k.Type].([]any)
@@ -407,29 +412,29 @@
 	return out
 }
 
-// dynamic makes a block for each element of a collection.
-func (w *hclDecoder) expandDynamic(in string, head *hcl.Block, from *hclsyntax.Body, b *body, ctx *hcl.EvalContext, pointer string, out map[string]any) {
+// expandDynamic converts a dynamic block into one block for each element of its collection.
+func (w *hclDecoder) expandDynamic(blockType string, head *hcl.Block, source *hclsyntax.Body, grammar *body, ctx *hcl.EvalContext, pointer string, out map[string]any) {
 	pos := posOf(head.TypeRange)
 	if len(head.Labels) != 1 {
 		w.addProblem(pos, "dynamic: wants the name of one block")
 		return
 	}
 	var content *hclsyntax.Block
-	for _, k := range from.Blocks {
+	for _, k := range source.Blocks {
 		if k.Type != "content" || content != nil {
 			w.addProblem(posOf(k.TypeRange), "dynamic: holds one content block")
 			return
 		}
 		content = k
 	}
-	each := from.Attributes["for_each"]
+	each := source.Attributes["for_each"]
 	if content == nil || each == nil {
 		w.addProblem(pos, "dynamic: wants for_each and a content block")
 		return
 	}
 	name := head.Labels[0]
-	labels := from.Attributes["labels"]
-	for _, a := range sortedAttributes(from.Attributes) {
+	labels := source.Attributes["labels"]
+	for _, a := range sortedAttributes(source.Attributes) {
 		switch a.Name {
 		case "for_each", "labels":
 		case "iterator":
@@ -455,7 +460,7 @@
 		key, value := it.Element()
 		inner := ctx.NewChild()
 		inner.Variables = map[string]cty.Value{name: cty.ObjectVal(map[string]cty.Value{"key": key, "value": value})}
-		made := &hcl.Block{Type: head.Labels[0], TypeRange: content.TypeRange}
+		generated := &hcl.Block{Type: head.Labels[0], TypeRange: content.TypeRange}
 		if labels != nil {
 			list, err := convert.Convert(w.eval(labels.Expr, inner), cty.List(cty.String))
 			if err != nil || !list.IsWhollyKnown() || list.IsNull() {
@@ -464,18 +469,19 @@
 			}
 			for l := list.ElementIterator(); l.Next(); {
 				_, s := l.Element()
-				made.Labels = append(made.Labels, s.AsString())
-				made.LabelRanges = append(made.LabelRanges, labels.NameRange)
+				generated.Labels = append(generated.Labels, s.AsString())
+				generated.LabelRanges = append(generated.LabelRanges, labels.NameRange)
 			}
 		}
-		if made.Type == "dynamic" {
-			w.addProblem(pos, "dynamic: no such block of %s", in)
+		if generated.Type == "dynamic" {
+			w.addProblem(pos, "dynamic: no such block of %s", blockType)
 			return
 		}
-		w.decodeChild(in, made, content.Body, b, inner, pointer, out)
+		w.decodeChild(blockType, generated, content.Body, grammar, inner, pointer, out)
 	}
 }
 
+// unwrapMetered returns the expression in a metered one, and other expressions as they are.
 func unwrapMetered(e hclsyntax.Expression) hclsyntax.Expression {
 	if c, ok := e.(*meteredExpr); ok {
 		return c.Expression
@@ -483,10 +489,10 @@
 	return e
 }
 
-// value brings a value into the form that an item has in JSON.
+// convertValue converts a value to an item's JSON form, and reports whether there is one.
 func (w *hclDecoder) convertValue(it *item, v cty.Value, pos Pos, pointer string) (any, bool) {
 	if !v.IsWhollyKnown() || v.IsNull() {
-		return nil, false // noted already, or left out
+		return nil, false // the problem was added already, or the value is null
 	}
 	want := map[itemKind]cty.Type{
 		kindString: cty.String, kindInt: cty.Number, kindBool: cty.Bool, kindStringList: cty.List(cty.String),
@@ -520,7 +526,8 @@
 	return toJSONValue(c), true
 }
 
-// duration reads a duration: with a unit, or bare nanoseconds.
+// parseDuration parses a duration with units, or a number of nanoseconds if bare is set. It returns
+// nanoseconds, and reports whether the duration is valid.
 func parseDuration(s string, bare bool) (json.Number, bool) {
 	if bare {
 		n, err := strconv.ParseInt(s, 10, 64)
@@ -530,7 +537,7 @@
 	return json.Number(strconv.FormatInt(int64(d), 10)), err == nil && d >= 0
 }
 
-// plain is a value as JSON has it; nil for null.
+// toJSONValue converts a value to its JSON form; nil for null and unknown values.
 func toJSONValue(v cty.Value) any {
 	if !v.IsKnown() || v.IsNull() {
 		return nil
@@ -562,7 +569,7 @@
 	return nil
 }
 
-// number10 writes a number in decimal, a large one with an exponent.
+// decimalNumber formats a number in decimal; a large or fractional one may have an exponent.
 func decimalNumber(f *big.Float) json.Number {
 	if f.IsInt() && f.MantExp(nil) < 64 {
 		return json.Number(f.Text('f', 0))
@@ -570,6 +577,7 @@
 	return json.Number(f.Text('g', 17))
 }
 
+// scalarToString converts a string, number or boolean to a string, and reports whether v is one.
 func scalarToString(v any) (string, bool) {
 	switch v := v.(type) {
 	case string:
@@ -582,16 +590,17 @@
 	return "", false
 }
 
-// fix brings what HCL writes in a shorter way into the JSON form.
+// blockContent is the input and output of a normalize function, which converts the HCL shorthands of a
+// block.
 type blockContent struct {
 	attributes hclsyntax.Attributes
 	ctx        *hcl.EvalContext
 	out        map[string]any
 	pointer    string
-	consumed   map[string]bool
+	consumed   map[string]bool // attributes that were converted
 }
 
-// shorthand reads the short forms of a constraint, such as distinct_hosts = true.
+// normalizeConstraint converts the shorthands of a constraint, such as distinct_hosts = true.
 func normalizeConstraint(w *hclDecoder, f *blockContent) {
 	f.consumed = map[string]bool{}
 	for _, a := range sortedAttributes(f.attributes) {
--- a/internal/nomad/jobfile/jobfile.go
+++ b/internal/nomad/jobfile/jobfile.go
@@ -1,16 +1,13 @@
-// Package jobfile reads Nomad's job files: HCL2 with variables, locals,
-// functions and dynamic blocks, and the JSON form that clients send. Either
-// becomes the same typed Job with the published defaults, and remembers the
-// line and column of everything that was written in it, so that whoever refuses
-// something later can point at it.
+// Package jobfile reads Nomad's job files: HCL2 with variables, locals, functions and dynamic blocks,
+// and the JSON form that clients send. Both become the same typed Job with the published defaults. The
+// result keeps the line and column of every value, so that a later refusal can name its place.
 //
 // The format is the published job specification
-// (https://developer.hashicorp.com/nomad/docs/job-specification) and the JSON
-// form of the HTTP interface beside it. What a job file may hold is one table
-// (grammar.go); the schema in job.schema.json is made from it.
+// (https://developer.hashicorp.com/nomad/docs/job-specification) and the JSON form of the HTTP API.
+// The grammar is one table (grammar.go), from which the schema in job.schema.json is generated.
 //
-// Files come from strangers: size, nesting and the work of evaluating them are
-// bounded, whatever they hold. Nothing outside the file is read.
+// Files are untrusted input: their size, nesting and evaluation cost are bounded. Nothing outside the
+// file is read.
 package jobfile
 
 import (
@@ -23,11 +20,11 @@
 // MaxSource is the largest job file, in bytes.
 const MaxSource = 512 << 10
 
-// maxDepth bounds how deep brackets, blocks and expressions nest.
+// maxDepth is the deepest nesting of brackets, blocks and expressions.
 const maxDepth = 48
 
-// Pos is a place in a file. Line and Column count from 1; Column counts
-// characters. A zero Line is the file as a whole.
+// Pos is a position in a file. Line and Column count from 1; Column counts characters. A zero Line
+// stands for the whole file.
 type Pos struct {
 	File         string
 	Line, Column int
@@ -40,7 +37,7 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Problem is one thing wrong with a file, or one that is not served.
+// Problem is an error in a file, or a part of it that is not supported.
 type Problem struct {
 	Pos
 	Text string
@@ -48,10 +45,10 @@
 
 func (p Problem) String() string { return p.Pos.String() + ": " + p.Text }
 
-// Problems are all that is wrong with a file, in its order.
+// Problems lists all problems of a file.
 type Problems []Problem
 
-// Error lists the problems, one a line.
+// Error lists the problems, one on each line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -60,7 +57,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Sort brings the problems into the order of the file, each once.
+// Sort sorts the problems by position, and removes adjacent duplicates.
 func (ps Problems) Sort() Problems {
 	slices.SortStableFunc(ps, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
@@ -68,34 +65,33 @@
 	return slices.Compact(ps)
 }
 
-// File is a job file that was read.
+// File is a parsed job file.
 type File struct {
 	Name string
 	Job  *Job // with the published defaults
 
-	doc       map[string]any // the JSON form, as given
-	positions map[string]Pos // by JSON pointer
+	doc       map[string]any // the JSON form, without defaults
+	positions map[string]Pos // position of each value, by JSON pointer
 }
 
-// Options say how a file is read.
+// Options control how a file is parsed.
 type Options struct {
-	// Vars are values of the file's variables, as on a command line.
+	// Vars holds values of the file's variables, as on a command line.
 	Vars map[string]string
-	// VarFiles are files of values, by name; later ones win, and Vars over them.
+	// VarFiles holds files of values. Later files override earlier ones, and Vars overrides all files.
 	VarFiles []VarFile
-	// Request says that the JSON form is a client's request, in which other
-	// fields stand beside the job.
+	// Request is set if the JSON form is a client's request, which has other fields beside the job.
 	Request bool
 }
 
-// VarFile is a file that gives variables their values.
+// VarFile is a file of values of variables.
 type VarFile struct {
 	Name   string
 	Source []byte
 }
 
-// Parse reads a job file in either form: what begins with a brace is JSON. The
-// error is of type Problems and lists all that is wrong.
+// Parse parses a job file in either form; a file that begins with a brace is JSON. The error is of type
+// Problems and lists all problems of the file.
 func Parse(name string, src []byte, o Options) (*File, error) {
 	f := &File{Name: name, positions: map[string]Pos{}}
 	var ps Problems
@@ -123,7 +119,8 @@
 	return f, nil
 }
 
-// At is where the value at a JSON pointer was written, or else what holds it.
+// Position returns the position of the value at a JSON pointer, or else that of its nearest known
+// parent.
 func (f *File) Position(pointer string) Pos {
 	for p := pointer; ; {
 		if pos, ok := f.positions[p]; ok {
@@ -137,15 +134,15 @@
 	}
 }
 
-// Entry is something that was written in a file.
+// Entry is an attribute or block in a file.
 type Entry struct {
-	Path    string // names of the job file with dots between, as in "job.group.count"
-	Pointer string // into the JSON form
-	Value   any    // as in the JSON form; a block's is a map or a list of maps
+	Path    string // names in HCL, joined by dots, as in "job.group.count"
+	Pointer string // JSON pointer into the JSON form
+	Value   any    // as in the JSON form; a block is a map
 }
 
-// Each calls f for every attribute and block that the file gives, blocks before
-// what they hold, repeated blocks once each.
+// Each calls visit for every attribute and block in the file: a block before its content, and each of
+// repeated blocks by itself.
 func (f *File) Each(visit func(Entry)) { visitItems(jobBody, "job", "", f.doc, visit) }
 
 func visitItems(b *body, path, pointer string, doc map[string]any, visit func(Entry)) {
@@ -177,13 +174,12 @@
 	}
 }
 
-// escape makes a JSON pointer's token of a key (RFC 6901).
+// escapePointer escapes a key for use in a JSON pointer (RFC 6901).
 func escapePointer(key string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(key)
 }
 
-// Paths lists the paths of all that a job file may hold, blocks before what
-// they hold.
+// Paths lists the paths of all attributes and blocks of the grammar, a block before its content.
 func Paths() []string {
 	var out []string
 	var walk func(b *body, path string)
--- a/internal/nomad/jobfile/jobfile_test.go
+++ b/internal/nomad/jobfile/jobfile_test.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/nomad/api"
 )
 
-// The kept schema is the grammar's. UPDATE=1 writes it again.
+// job.schema.json matches the grammar. UPDATE=1 generates it.
 func TestSchemaMatchesGrammar(t *testing.T) {
 	want, err := generateSchema()
 	if err != nil {
@@ -26,12 +26,12 @@
 		return
 	}
 	if !bytes.Equal(want, Schema) {
-		t.Error("job.schema.json is not what the grammar says; write it with UPDATE=1")
+		t.Error("job.schema.json does not match the grammar; generate it with UPDATE=1")
 	}
 }
 
-// Every field that the published client can send is in the grammar under its
-// names, so that none is refused as unknown that has a better answer.
+// Every field that the published client can send is in the grammar under its names. A missing field
+// would be refused as unknown instead of with its own reason.
 func TestGrammarCoversClientFields(t *testing.T) {
 	var walk func(b *body, ty reflect.Type, path string)
 	walk = func(b *body, ty reflect.Type, path string) {
@@ -48,7 +48,7 @@
 			}
 			hcl, form, _ := strings.Cut(fd.Tag.Get("hcl"), ",")
 			if hcl != "" && form != "label" && it.hclName != hcl {
-				t.Errorf("%s.%s: in job files it is %q, not %q", path, fd.Name, hcl, it.hclName)
+				t.Errorf("%s.%s: the HCL name is %q, not %q", path, fd.Name, hcl, it.hclName)
 			}
 			if it.body == nil {
 				continue
@@ -142,7 +142,7 @@
 	if p := f.Position("/TaskGroups/0/Tasks/0/Resources/MemoryMB"); p.Line != 40 || p.Column != 11 {
 		t.Errorf("memory is at %v", p)
 	}
-	// The JSON form of the job is the same job.
+	// The JSON form parses to the same job.
 	b, err := json.Marshal(map[string]any{"Job": j})
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 		{"reads files", "job \"a\" { name = file(\"/etc/passwd\") }", "1:18: Error in function call: Call to function \"file\" failed: file reads files"},
 		{"block given twice", "job \"a\" {\n update {}\n update {}\n}", "3:2: update: given twice"},
 		{"JSON, several", "{\"Job\": {\n \"ID\": \"a\", \"Priority\": \"high\",\n \"Colour\": 1, \"Region\": null}}", "2:13: Priority: got string, want integer\n3:2: Colour: no such field of job"},
-		{"JSON, cut", "{\"ID\": ", "1:8: not JSON: cut short"},
+		{"JSON, cut", "{\"ID\": ", "1:8: not JSON: unexpected end of file"},
 		{"JSON, twice", "{\"ID\": \"a\", \"ID\": \"b\"}", "1:13: ID: given twice"},
 		{"JSON, two values", "{\"ID\": \"a\"} {}", "1:13: not JSON: more than one value"},
 		{"JSON, no name", "{}", "1:1: job: missing property 'ID'"},
@@ -200,8 +200,8 @@
 	}
 }
 
-// Small files that ask for much: each is refused, soon, and little memory is
-// taken. Without the budget the doubling alone takes all there is.
+// Small files that need much work or memory are refused quickly, with a short error. Without the
+// budget, the doubling of strings alone would take all memory.
 func TestResourceExhaustion(t *testing.T) {
 	double := "locals {\n a0 = \"0123456789abcdef\"\n"
 	for i := range 40 {
@@ -233,15 +233,15 @@
 		"too large":         strings.Repeat("#", MaxSource+1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			begun := time.Now()
+			start := time.Now()
 			_, err := Parse("f", []byte(src), Options{})
 			if err == nil {
-				t.Fatal("is taken")
+				t.Fatal("the file is accepted")
 			}
 			if len(err.Error()) > 20_000 {
 				t.Errorf("%d bytes of problems: %.300s", len(err.Error()), err)
 			}
-			if d := time.Since(begun); d > 5*time.Second {
+			if d := time.Since(start); d > 5*time.Second {
 				t.Errorf("took %v", d)
 			}
 		})
@@ -262,13 +262,13 @@
 	f.Fuzz(func(t *testing.T, src string) { checkRoundTrip(t, "{"+strings.TrimPrefix(src, "{")) })
 }
 
-// fuzzOne reads a file; what is taken survives a round through its own JSON.
+// checkRoundTrip parses a file; the JSON of an accepted job must parse to the same job.
 func checkRoundTrip(t *testing.T, src string) {
 	file, err := Parse("f", []byte(src), Options{})
 	if err != nil {
 		var ps Problems
 		if !errors.As(err, &ps) || len(ps) == 0 {
-			t.Fatalf("no problems told: %v", err)
+			t.Fatalf("error without problems: %v", err)
 		}
 		return
 	}
--- a/internal/nomad/jobfile/json.go
+++ b/internal/nomad/jobfile/json.go
@@ -10,12 +10,12 @@
 	"unicode/utf8"
 )
 
-// scanner reads JSON and remembers where each value stands.
+// jsonScanner parses JSON and records the position of each value.
 type jsonScanner struct {
 	file       *File
 	src        []byte
 	dec        *json.Decoder
-	lineStarts []int // where each line begins
+	lineStarts []int // offset of each line
 }
 
 func newJSONScanner(f *File, src []byte) *jsonScanner {
@@ -29,13 +29,14 @@
 	return s
 }
 
+// pos converts a byte offset to a position.
 func (s *jsonScanner) pos(offset int) Pos {
 	offset = min(offset, len(s.src))
 	line := sort.SearchInts(s.lineStarts, offset+1)
 	return Pos{s.file.Name, line, utf8.RuneCount(s.src[s.lineStarts[line-1]:offset]) + 1}
 }
 
-// next is where the next token begins.
+// nextOffset returns the offset of the next token.
 func (s *jsonScanner) nextOffset() int {
 	i := int(s.dec.InputOffset())
 	for i < len(s.src) && bytes.IndexByte([]byte(" \t\r\n,:"), s.src[i]) >= 0 {
@@ -44,6 +45,8 @@
 	return i
 }
 
+// readValue reads a value and records its position, and those of all values in it, by JSON pointer. It
+// leaves out members that are null.
 func (s *jsonScanner) readValue(pointer string, depth int) (any, error) {
 	at := s.nextOffset()
 	if depth > maxDepth {
@@ -65,7 +68,7 @@
 			if err != nil {
 				return nil, s.syntaxError(err)
 			}
-			key := t.(string) // the decoder sees to that
+			key := t.(string) // the decoder ensures that a key is a string
 			ptr := pointer + "/" + escapePointer(key)
 			if _, twice := s.file.positions[ptr]; twice {
 				return nil, Problems{problemf(s.pos(at), "%s: given twice", key)}
@@ -99,6 +102,7 @@
 	return t, nil
 }
 
+// syntaxError converts an error of the decoder to Problems.
 func (s *jsonScanner) syntaxError(err error) error {
 	var se *json.SyntaxError
 	switch {
@@ -107,13 +111,13 @@
 	case errors.As(err, &se):
 		return Problems{problemf(s.pos(int(se.Offset)), "not JSON: %v", err)}
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return Problems{problemf(s.pos(len(s.src)), "not JSON: cut short")}
+		return Problems{problemf(s.pos(len(s.src)), "not JSON: unexpected end of file")}
 	}
 	return Problems{problemf(s.pos(int(s.dec.InputOffset())), "not JSON: %v", err)}
 }
 
-// readJSON reads a job in the JSON form, bare or as clients wrap it. What is
-// null counts as not given.
+// readJSON reads a job in the JSON form, by itself or in the field Job of an object, as clients send
+// it. A field that is null counts as not given.
 func (f *File) readJSON(src []byte, o Options) Problems {
 	if len(o.Vars) > 0 || len(o.VarFiles) > 0 {
 		return Problems{{Pos{File: f.Name}, "the JSON form has no variables"}}
@@ -132,7 +136,7 @@
 		}
 		return Problems{{Pos{File: f.Name}, err.Error()}}
 	}
-	doc := v.(map[string]any) // it begins with a brace
+	doc := v.(map[string]any) // Parse selects JSON only for a file that begins with a brace
 	job, ok := doc["Job"].(map[string]any)
 	if o.Request && !ok {
 		return Problems{{Pos{File: f.Name}, "Job must be specified"}}
@@ -155,7 +159,7 @@
 	return f.normalizeDurations(jobBody, "", doc)
 }
 
-// durations brings durations that are written with a unit into nanoseconds.
+// normalizeDurations converts durations with a unit to nanoseconds.
 func (f *File) normalizeDurations(b *body, pointer string, doc map[string]any) Problems {
 	var ps Problems
 	for i := range b.items {
--- a/internal/nomad/jobfile/model.go
+++ b/internal/nomad/jobfile/model.go
@@ -8,7 +8,7 @@
 	"aspenstall/internal/core"
 )
 
-// Duration is a duration of the JSON form, which counts nanoseconds there.
+// Duration is a duration in microseconds. The JSON form has it in nanoseconds.
 type Duration core.Micros
 
 // MarshalJSON writes nanoseconds.
@@ -22,8 +22,8 @@
 	return err
 }
 
-// Job is a job with the published defaults. Its JSON is the published form,
-// whose names the fields have.
+// Job is a job with the published defaults. Its JSON is the published form, so the fields of it and of
+// the types below have the published names.
 type Job struct {
 	Region      string
 	Namespace   string
@@ -45,7 +45,7 @@
 	Stop        bool
 }
 
-// Group is tasks that are placed together: here one.
+// Group is a group of tasks that are placed together. Only groups of one task are supported.
 type Group struct {
 	Name                      string
 	Count                     int
@@ -66,7 +66,7 @@
 	PreventRescheduleOnLost   bool
 }
 
-// Task is what runs.
+// Task is a task of a group.
 type Task struct {
 	Name          string
 	Driver        string
@@ -86,7 +86,7 @@
 	LogConfig     *Logs `json:",omitempty"`
 }
 
-// Resources are what a task takes of its machine.
+// Resources are the resources that a task needs.
 type Resources struct {
 	CPU         int // MHz
 	Cores       int
@@ -98,7 +98,7 @@
 	Devices     []Device
 }
 
-// Device is a kind of device and how many a task takes.
+// Device is a type of device and the number that a task needs.
 type Device struct {
 	Name        string
 	Count       int
@@ -106,29 +106,29 @@
 	Affinities  []Affinity
 }
 
-// Constraint restricts the machines.
+// Constraint restricts the machines that a task may run on.
 type Constraint struct{ LTarget, RTarget, Operand string }
 
-// Affinity prefers machines.
+// Affinity is a preference for machines.
 type Affinity struct {
 	LTarget, RTarget, Operand string
 	Weight                    int
 }
 
-// Spread spreads tasks over an attribute's values.
+// Spread distributes tasks over an attribute's values.
 type Spread struct {
 	Attribute    string
 	Weight       int
 	SpreadTarget []SpreadTarget
 }
 
-// SpreadTarget is the part that one value is to have.
+// SpreadTarget is the share of tasks for one value of the attribute.
 type SpreadTarget struct {
 	Value   string
 	Percent int
 }
 
-// Update says how a new version replaces an old one.
+// Update controls how a new version of a job replaces the old one.
 type Update struct {
 	Stagger, MinHealthyTime, HealthyDeadline, ProgressDeadline Duration
 	MaxParallel, Canary                                        int
@@ -136,14 +136,14 @@
 	AutoRevert, AutoPromote                                    bool
 }
 
-// Migrate says how tasks leave a machine that is drained.
+// Migrate controls how tasks leave a machine that is drained.
 type Migrate struct {
 	MaxParallel                     int
 	HealthCheck                     string
 	MinHealthyTime, HealthyDeadline Duration
 }
 
-// Restart says how a failed task is tried again on its machine.
+// Restart controls how a failed task is restarted on its machine.
 type Restart struct {
 	Interval, Delay Duration
 	Attempts        int
@@ -151,7 +151,7 @@
 	RenderTemplates bool
 }
 
-// Reschedule says how a failed task is tried on other machines.
+// Reschedule controls how a failed task is moved to other machines.
 type Reschedule struct {
 	Attempts                  int
 	Interval, Delay, MaxDelay Duration
@@ -165,7 +165,7 @@
 	SizeMB          int
 }
 
-// Logs says how much of a task's output is kept.
+// Logs controls how much of a task's output is kept.
 type Logs struct {
 	MaxFiles, MaxFileSizeMB int
 	Enabled                 *bool `json:",omitempty"`
@@ -178,17 +178,16 @@
 	hour   = 60 * minute
 )
 
-// DefaultKillTimeout is the published one.
+// DefaultKillTimeout is the published default of kill_timeout.
 const DefaultKillTimeout = Duration(5 * core.Second)
 
-// The published defaults. Blocks that a file does not give stay away, since
-// what holds without them is the scheduler's own way; one that is given is
-// filled up.
+// The published defaults. A block that a file does not give stays absent, since the scheduler's own
+// rules apply without it. A block that is given gets the defaults of its missing fields.
 var (
 	jobDefaults   = map[string]any{"Region": "global", "Namespace": "default", "Type": "service", "Priority": 50, "Datacenters": []any{"*"}, "NodePool": "default"}
 	groupDefaults = map[string]any{"Count": 1}
 	taskDefaults  = map[string]any{"KillTimeout": int64(DefaultKillTimeout) * 1000, "KillSignal": "SIGINT", "Resources": map[string]any{}}
-	// A task's processor is given in MHz or in cores, not both.
+	// CPU has no default here: a task gives it in MHz or in cores, not both (jobWithDefaults).
 	resourceDefaults   = map[string]any{"MemoryMB": 300}
 	deviceDefaults     = map[string]any{"Count": 1}
 	constraintDefaults = map[string]any{"Operand": "="}
@@ -210,7 +209,7 @@
 	logDefaults  = map[string]any{"MaxFiles": 10, "MaxFileSizeMB": 10}
 )
 
-// fill adds defaults to a copy of what a file gives.
+// withDefaults returns a copy of a block with the defaults of its missing fields.
 func withDefaults(given any, defaults ...map[string]any) map[string]any {
 	m, _ := given.(map[string]any)
 	out := maps.Clone(m)
@@ -227,7 +226,7 @@
 	return out
 }
 
-// fillAll does so for each of a list that m holds.
+// mapList replaces each element of the list m[field] by f of the element.
 func mapList(m map[string]any, field string, f func(any) map[string]any) {
 	list, ok := m[field].([]any)
 	if !ok {
@@ -240,43 +239,45 @@
 	m[field] = out
 }
 
+// fillBlock adds defaults to the block m[field] if there is one.
 func fillBlock(m map[string]any, field string, defaults map[string]any) {
 	if b, ok := m[field]; ok {
 		m[field] = withDefaults(b, defaults)
 	}
 }
 
+// jobWithDefaults returns a copy of a job's JSON form with the published defaults.
 func jobWithDefaults(doc map[string]any) map[string]any {
 	job := withDefaults(doc, jobDefaults)
-	kind, _ := job["Type"].(string)
-	if restartDefaults[kind] == nil {
-		kind = "service"
+	jobType, _ := job["Type"].(string)
+	if restartDefaults[jobType] == nil {
+		jobType = "service"
 	}
 	if job["Name"] == nil {
 		job["Name"] = job["ID"]
 	}
-	chooses := func(m map[string]any) {
+	fillConstraints := func(m map[string]any) {
 		mapList(m, "Constraints", func(v any) map[string]any { return withDefaults(v, constraintDefaults) })
 		mapList(m, "Affinities", func(v any) map[string]any { return withDefaults(v, affinityDefaults) })
 	}
-	policies := func(m map[string]any) {
+	fillPolicies := func(m map[string]any) {
 		fillBlock(m, "Update", updateDefaults)
 		fillBlock(m, "Migrate", migrateDefaults)
-		fillBlock(m, "RestartPolicy", restartDefaults[kind])
-		fillBlock(m, "ReschedulePolicy", rescheduleDefaults[kind])
-		fillBlock(m, "Reschedule", rescheduleDefaults[kind])
+		fillBlock(m, "RestartPolicy", restartDefaults[jobType])
+		fillBlock(m, "ReschedulePolicy", rescheduleDefaults[jobType])
+		fillBlock(m, "Reschedule", rescheduleDefaults[jobType])
 	}
-	chooses(job)
-	policies(job)
+	fillConstraints(job)
+	fillPolicies(job)
 	mapList(job, "TaskGroups", func(v any) map[string]any {
 		group := withDefaults(v, groupDefaults)
-		chooses(group)
-		policies(group)
+		fillConstraints(group)
+		fillPolicies(group)
 		fillBlock(group, "EphemeralDisk", diskDefaults)
 		mapList(group, "Tasks", func(v any) map[string]any {
 			task := withDefaults(v, taskDefaults)
-			chooses(task)
-			policies(task)
+			fillConstraints(task)
+			fillPolicies(task)
 			fillBlock(task, "LogConfig", logDefaults)
 			res := withDefaults(task["Resources"], resourceDefaults)
 			if res["Cores"] == nil && res["CPU"] == nil {
@@ -284,7 +285,7 @@
 			}
 			mapList(res, "Devices", func(v any) map[string]any {
 				d := withDefaults(v, deviceDefaults)
-				chooses(d)
+				fillConstraints(d)
 				return d
 			})
 			task["Resources"] = res
@@ -295,7 +296,7 @@
 	return job
 }
 
-// decode makes the typed job of what was read.
+// decode returns the typed job, with defaults.
 func (f *File) decode() (*Job, error) {
 	b, err := json.Marshal(jobWithDefaults(f.doc))
 	if err != nil {
@@ -304,11 +305,11 @@
 	return Decode(b)
 }
 
-// Decode reads a job that was encoded with its own JSON.
+// Decode decodes the JSON of a Job.
 func Decode(b []byte) (*Job, error) {
 	var j Job
 	dec := json.NewDecoder(bytes.NewReader(b))
-	// A task's settings go on as they are written: no digit of a number is lost.
+	// Numbers in a task's config are passed on as written, without loss of digits.
 	dec.UseNumber()
 	return &j, dec.Decode(&j)
 }
--- a/internal/nomad/jobfile/schema.go
+++ b/internal/nomad/jobfile/schema.go
@@ -15,8 +15,8 @@
 	"golang.org/x/text/message"
 )
 
-// Schema is the JSON Schema (draft 2020-12) of the JSON form. It is made of
-// the grammar; a test compares them.
+// Schema is the JSON Schema (draft 2020-12) of the JSON form. It is generated from the grammar; a test
+// compares them.
 //
 //go:embed job.schema.json
 var Schema []byte
@@ -26,7 +26,7 @@
 var compiledSchema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
-		panic(err) // it is part of the program
+		panic(err) // the embedded schema is valid
 	}
 	c := jsonschema.NewCompiler()
 	if err := c.AddResource(schemaFile, doc); err != nil {
@@ -35,7 +35,7 @@
 	return c.MustCompile(schemaFile)
 })
 
-// schema makes the schema of a body.
+// schema returns the JSON Schema of a body.
 func (b *body) schema() map[string]any {
 	props := map[string]any{}
 	for i := range b.items {
@@ -48,6 +48,7 @@
 	return out
 }
 
+// schema returns the JSON Schema of an item.
 func (i *item) schema() map[string]any {
 	typed := func(t string) map[string]any { return map[string]any{"type": t} }
 	switch i.kind {
@@ -78,7 +79,7 @@
 	return map[string]any{}
 }
 
-// makeSchema is the whole schema as it is kept.
+// generateSchema returns the content of job.schema.json.
 func generateSchema() ([]byte, error) {
 	s := jobBody.schema()
 	s["$schema"] = "https://json-schema.org/draft/2020-12/schema"
@@ -91,8 +92,8 @@
 	return out.Bytes(), err
 }
 
-// validate holds what was read against the schema; what is known to be wrong
-// is not told twice.
+// validate validates the JSON form against the schema. It leaves out errors at positions that already
+// have a known problem.
 func (f *File) validate(known Problems) Problems {
 	err := compiledSchema().Validate(any(f.doc))
 	if err == nil {
