--- a/internal/nomad/translate/table.go
+++ b/internal/nomad/translate/table.go
@@ -8,19 +8,19 @@
 	"aspenstall/internal/nomad/jobfile"
 )
 
-// Verdict is what becomes of a part of the job file.
+// Verdict tells how a part of the job file is handled.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Served  Verdict = iota
-	Ignored         // it changes nothing that runs here
-	Refused         // it would, and cannot be served
+	Ignored         // has no effect on this scheduler; reported as a warning
+	Refused         // would have an effect that is not supported
 )
 
 func (v Verdict) String() string { return [...]string{"served", "ignored", "refused"}[v] }
 
-// row is the verdict on one attribute or block, and why or how.
+// row is the verdict on one attribute or block, with a reason or an explanation.
 type row struct {
 	verdict Verdict
 	note    string
@@ -30,7 +30,7 @@
 func ignored(say string) row { return row{Ignored, say} }
 func refused(say string) row { return row{Refused, say} }
 
-// Parts that stand in several places of a job file.
+// Rows of blocks that occur in several places of a job file, by the path below the block.
 var (
 	constraintRows = map[string]row{
 		"":          served("on the attributes below, with `=` or `set_contains_any`; anything else is refused"),
@@ -83,7 +83,7 @@
 	}
 )
 
-// rows is the verdict on everything that a job file may hold, by its path.
+// rows holds the verdict on every attribute and block of the grammar, by path.
 var rows = func() map[string]row {
 	all := map[string]row{
 		"job.id":                      served("the name, unless the block's label gives it; letter for letter, without spaces"),
@@ -198,7 +198,7 @@
 	return all
 }()
 
-// WriteTable writes the verdicts as a table in Markdown, in the grammar's order.
+// WriteTable writes the verdicts as a table in Markdown, in the order of the grammar.
 func WriteTable(w io.Writer) error {
 	if _, err := fmt.Fprint(w, "| in the job file | | |\n| --- | --- | --- |\n"); err != nil {
 		return err
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// MetaKeys lists the keys of meta that are read.
+// MetaKeys lists the keys of meta that are read, sorted and without MetaPrefix.
 func MetaKeys() []string {
 	out := []string{}
 	for k := range metaKeys {
@@ -222,7 +222,7 @@
 	return out
 }
 
-// Known reports whether there is a verdict on a path of the job file.
+// HasVerdict reports whether there is a verdict on a path of the job file.
 func HasVerdict(path string) bool {
 	_, ok := rows[path]
 	return ok
--- a/internal/nomad/translate/translate.go
+++ b/internal/nomad/translate/translate.go
@@ -1,7 +1,7 @@
-// Package translate makes native jobs of a Nomad job file, one of each group,
-// or a list of refusals. What the file says has the same effect as in a native
-// submission, or is refused: nobody gains or loses by the form. Which parts are
-// served, ignored or refused is one table (table.go), which docs/NOMAD.md shows.
+// Package translate converts a Nomad job file to native jobs, one for each group, or to a list of
+// refusals. A setting in the file has the same effect as in a native submission, or is refused, so
+// neither form has an advantage. One table (table.go) lists which parts are served, ignored or
+// refused; docs/NOMAD.md shows it.
 package translate
 
 import (
@@ -19,38 +19,38 @@
 	"aspenstall/internal/nomad/jobfile"
 )
 
-// DefaultNamespace is the namespace of a job that names none.
+// DefaultNamespace is the namespace of a job that does not name one.
 const DefaultNamespace = "default"
 
-// Terms are what a deployment and the caller's team allow.
+// Policy holds the properties and limits of a deployment, and those of the caller's team.
 type Policy struct {
-	Team      string   // whose token was used; "" to take the file's word
-	Zones     []string // empty if not known
-	MHzPerCPU int
-	ScratchMB int
+	Team      string   // team of the caller's token; "" to take the team from the file
+	Zones     []string // all zones; empty if they are not known
+	MHzPerCPU int      // clock rate that counts as one CPU
+	ScratchMB int      // scratch space that every machine provides
 	GPUs      []string // names of devices that are GPUs
-	// Cap is the highest priority that a team may ask for.
+	// MaxPriority returns the highest priority that a team may use; nil means no limit.
 	MaxPriority func(team string) core.Priority
 }
 
-// Group is a group of the job file as a native job.
+// Group is a group of the job file, converted to a native job.
 type Group struct {
 	Name   string
 	Spec   core.JobSpec // without an ID
-	Digest string       // of all that its tasks are and get: equal if nothing changed
+	Digest string       // hash of everything that affects its tasks; equal if nothing changed
 }
 
-// Prefix of the meta keys that are read.
+// MetaPrefix is the prefix of the meta keys that are read.
 const MetaPrefix = "aspenstall_"
 
-// metaKeys are the meta keys that are read, and whether they hold a number, a
-// truth or a text.
+// metaKeys holds the meta keys that are read, without their prefix, and the type of the value: 't' for
+// a text, 'n' for a number, 'b' for a boolean.
 var metaKeys = map[string]byte{
 	"class": 't', "image": 't', "image_gb": 'n', "gang": 'b', "one_zone": 'b', "spot": 'b',
 	"expect_s": 'n', "due_s": 'n', "checkpoint_s": 'n', "checkpoint_cost_s": 'n',
 }
 
-// Priority is the native priority of one from 1 to 100.
+// Priority returns the native priority for a Nomad priority from 1 to 100.
 func Priority(n int) core.Priority {
 	switch {
 	case n < 25:
@@ -63,51 +63,52 @@
 	return core.Production
 }
 
-// most is the highest number of a native priority.
+// maxPriorityNumber holds the highest Nomad priority of each native priority.
 var maxPriorityNumber = map[core.Priority]int{core.Low: 24, core.Normal: 74, core.High: 89, core.Production: 100}
 
-// translation is one file's.
+// translator converts one job file.
 type translator struct {
 	file     *jobfile.File
 	policy   Policy
 	problems jobfile.Problems
 }
 
-func (x *translator) refuse(pointer, format string, args ...any) {
-	x.problems = append(x.problems, jobfile.Problem{Pos: x.file.Position(pointer), Text: fmt.Sprintf(format, args...)})
+// refuse adds a refusal at the position of a JSON pointer.
+func (t *translator) refuse(pointer, format string, args ...any) {
+	t.problems = append(t.problems, jobfile.Problem{Pos: t.file.Position(pointer), Text: fmt.Sprintf(format, args...)})
 }
 
-// Job makes native jobs of a job file. If anything is refused there are none,
-// and the problems say all that is.
-func Job(f *jobfile.File, t Policy) ([]Group, jobfile.Problems) {
-	x := &translator{file: f, policy: t}
+// Job converts a job file to native jobs. If anything is refused, it returns no jobs, and problems for
+// all refusals.
+func Job(f *jobfile.File, policy Policy) ([]Group, jobfile.Problems) {
+	t := &translator{file: f, policy: policy}
 	f.Each(func(e jobfile.Entry) {
 		r, ok := rows[e.Path]
 		if !ok || r.verdict == Refused && !isEmpty(e.Value) {
-			x.refuse(e.Pointer, "%s: %s", strings.TrimPrefix(e.Path, "job."), r.note)
+			t.refuse(e.Pointer, "%s: %s", strings.TrimPrefix(e.Path, "job."), r.note)
 		}
 	})
-	team := x.checkJob()
+	team := t.checkJob()
 	var out []Group
 	names := map[string]bool{}
 	for i := range f.Job.TaskGroups {
 		g := &f.Job.TaskGroups[i]
-		at := fmt.Sprintf("/TaskGroups/%d", i)
+		pointer := fmt.Sprintf("/TaskGroups/%d", i)
 		if names[g.Name] {
-			x.refuse(at, "group %q: given twice", g.Name)
+			t.refuse(pointer, "group %q: given twice", g.Name)
 		}
 		names[g.Name] = true
-		spec := x.translateGroup(g, at)
+		spec := t.translateGroup(g, pointer)
 		spec.Team = team
 		out = append(out, Group{g.Name, spec, groupDigest(f.Job, g, &spec)})
 	}
-	if len(x.problems) > 0 {
-		return nil, x.problems.Sort()
+	if len(t.problems) > 0 {
+		return nil, t.problems.Sort()
 	}
 	return out, nil
 }
 
-// Warnings lists what a file asks for that changes nothing here, and why.
+// Warnings lists the settings in a file that are ignored, and the reason.
 func Warnings(f *jobfile.File) jobfile.Problems {
 	var ps jobfile.Problems
 	f.Each(func(e jobfile.Entry) {
@@ -118,7 +119,8 @@
 	return ps.Sort()
 }
 
-// empty reports whether a value says nothing: clients send every field.
+// isEmpty reports whether a value is the zero value of its type. Clients send every field, so such a
+// value asks for nothing.
 func isEmpty(v any) bool {
 	switch v := v.(type) {
 	case string:
@@ -136,224 +138,231 @@
 	return false
 }
 
-// job checks what is the whole job's, and gives its team.
-func (x *translator) checkJob() string {
-	j := x.file.Job
+// checkJob checks the settings of the job as a whole, and returns its team.
+func (t *translator) checkJob() string {
+	j := t.file.Job
 	switch {
 	case j.ID == "":
-		x.refuse("/ID", "the job has no name")
+		t.refuse("/ID", "the job has no name")
 	case len(j.ID) > core.MaxNameBytes:
-		x.refuse("/ID", "the job's name is longer than %d bytes", core.MaxNameBytes)
+		t.refuse("/ID", "the job's name is longer than %d bytes", core.MaxNameBytes)
 	case strings.ContainsAny(j.ID, " \x00"):
-		x.refuse("/ID", "the job's name holds a space")
+		t.refuse("/ID", "the job's name holds a space")
 	}
 	if j.Region != "global" {
-		x.refuse("/Region", "region %q: only global is served", j.Region)
+		t.refuse("/Region", "region %q: only global is served", j.Region)
 	}
 	if j.Type != "batch" && j.Type != "service" {
-		x.refuse("/Type", "type %s: runs a task on every machine, which is not served; use batch or service", j.Type)
+		t.refuse("/Type", "type %s: runs a task on every machine, which is not served; use batch or service", j.Type)
 	}
 	if j.NodePool != "default" && j.NodePool != "all" {
-		x.refuse("/NodePool", "node_pool %q: there is one pool; choose machine types by a constraint on ${node.class}", j.NodePool)
+		t.refuse("/NodePool", "node_pool %q: there is one pool; choose machine types by a constraint on ${node.class}", j.NodePool)
 	}
 	if j.AllAtOnce {
-		x.refuse("/AllAtOnce", "all_at_once: not served; %sgang = true in meta asks for a gang", MetaPrefix)
+		t.refuse("/AllAtOnce", "all_at_once: not served; %sgang = true in meta asks for a gang", MetaPrefix)
 	}
 	if j.Stop {
-		x.refuse("/Stop", "Stop: a job is stopped by deregistering it")
+		t.refuse("/Stop", "Stop: a job is stopped by deregistering it")
 	}
-	x.checkUpdate(j.Update, "/Update")
-	x.checkReschedule(j.Reschedule, "/Reschedule")
+	t.checkUpdate(j.Update, "/Update")
+	t.checkReschedule(j.Reschedule, "/Reschedule")
 	if len(j.TaskGroups) == 0 {
-		x.refuse("", "the job has no group")
+		t.refuse("", "the job has no group")
 	}
 	team := j.Namespace
 	switch {
-	case team == DefaultNamespace && x.policy.Team != "":
-		team = x.policy.Team
+	case team == DefaultNamespace && t.policy.Team != "":
+		team = t.policy.Team
 	case team == DefaultNamespace:
-		x.refuse("/Namespace", "namespace: name the team")
-	case x.policy.Team != "" && team != x.policy.Team:
-		x.refuse("/Namespace", "namespace %q: the token is another team's", team)
+		t.refuse("/Namespace", "namespace: name the team")
+	case t.policy.Team != "" && team != t.policy.Team:
+		t.refuse("/Namespace", "namespace %q: the token is another team's", team)
 	}
-	if p := Priority(j.Priority); x.policy.MaxPriority != nil {
-		if limit := x.policy.MaxPriority(team); p > limit {
-			x.refuse("/Priority", "priority %d is %v here, and team %s may ask for %v at most, which is up to %d", j.Priority, p, team, limit, maxPriorityNumber[limit])
+	if p := Priority(j.Priority); t.policy.MaxPriority != nil {
+		if limit := t.policy.MaxPriority(team); p > limit {
+			t.refuse("/Priority", "priority %d is %v here, and team %s may ask for %v at most, which is up to %d", j.Priority, p, team, limit, maxPriorityNumber[limit])
 		}
 	}
 	return team
 }
 
-func (x *translator) checkUpdate(u *jobfile.Update, at string) {
-	if u == nil || x.file.Job.Type != "service" {
-		return // batch jobs are not rolled out, by the published rules
+// checkUpdate refuses an update block that asks for a rolling update.
+func (t *translator) checkUpdate(u *jobfile.Update, pointer string) {
+	if u == nil || t.file.Job.Type != "service" {
+		return // by the published rules, update does not apply to batch jobs
 	}
 	if u.MaxParallel != 0 {
-		x.refuse(at+"/MaxParallel", "update: max_parallel = %d asks for a step-by-step update; a new version replaces the old one at once, which max_parallel = 0 says", u.MaxParallel)
+		t.refuse(pointer+"/MaxParallel", "update: max_parallel = %d asks for a step-by-step update; a new version replaces the old one at once, which max_parallel = 0 says", u.MaxParallel)
 	}
 	if u.Canary != 0 {
-		x.refuse(at+"/Canary", "update: canaries are not served")
+		t.refuse(pointer+"/Canary", "update: canaries are not served")
 	}
 	if u.AutoRevert {
-		x.refuse(at+"/AutoRevert", "update: auto_revert is not served")
+		t.refuse(pointer+"/AutoRevert", "update: auto_revert is not served")
 	}
 	if u.AutoPromote {
-		x.refuse(at+"/AutoPromote", "update: auto_promote is not served")
+		t.refuse(pointer+"/AutoPromote", "update: auto_promote is not served")
 	}
 }
 
-func (x *translator) checkReschedule(r *jobfile.Reschedule, at string) {
+// checkReschedule refuses a limited number of attempts.
+func (t *translator) checkReschedule(r *jobfile.Reschedule, pointer string) {
 	if r != nil && !r.Unlimited {
-		x.refuse(at+"/Unlimited", "reschedule: a task is tried until it is done; a fixed number of attempts is not served, unlimited = true is")
+		t.refuse(pointer+"/Unlimited", "reschedule: a task is tried until it is done; a fixed number of attempts is not served, unlimited = true is")
 	}
 }
 
-func (x *translator) checkRestart(r *jobfile.Restart, at string) {
+// checkRestart refuses a limited number of attempts.
+func (t *translator) checkRestart(r *jobfile.Restart, pointer string) {
 	if r != nil && r.Mode != "delay" {
-		x.refuse(at+"/Mode", "restart: a task is tried until it is done; a fixed number of attempts is not served, mode = \"delay\" is")
+		t.refuse(pointer+"/Mode", "restart: a task is tried until it is done; a fixed number of attempts is not served, mode = \"delay\" is")
 	}
 }
 
-// group makes the native job of a group.
-func (x *translator) translateGroup(g *jobfile.Group, at string) core.JobSpec {
-	j := x.file.Job
+// translateGroup returns the native job of a group.
+func (t *translator) translateGroup(g *jobfile.Group, pointer string) core.JobSpec {
+	j := t.file.Job
 	s := core.JobSpec{Tasks: g.Count, Priority: Priority(j.Priority)}
 	if j.Type == "service" {
 		s.Kind = core.Service
 	}
 	if g.Name == "" || len(g.Name) > core.MaxNameBytes {
-		x.refuse(at+"/Name", "group: want a name of at most %d bytes", core.MaxNameBytes)
+		t.refuse(pointer+"/Name", "group: want a name of at most %d bytes", core.MaxNameBytes)
 	}
 	if g.Count < 1 || g.Count > core.MaxTasks {
-		x.refuse(at+"/Count", "count: want 1 to %d", core.MaxTasks)
+		t.refuse(pointer+"/Count", "count: want 1 to %d", core.MaxTasks)
 	}
-	x.checkRestart(g.RestartPolicy, at+"/RestartPolicy")
-	x.checkReschedule(g.ReschedulePolicy, at+"/ReschedulePolicy")
-	x.checkUpdate(g.Update, at+"/Update")
+	t.checkRestart(g.RestartPolicy, pointer+"/RestartPolicy")
+	t.checkReschedule(g.ReschedulePolicy, pointer+"/ReschedulePolicy")
+	t.checkUpdate(g.Update, pointer+"/Update")
 	if g.ShutdownDelay > 0 {
-		x.refuse(at+"/ShutdownDelay", "shutdown_delay: a task is told to stop at once")
+		t.refuse(pointer+"/ShutdownDelay", "shutdown_delay: a task is told to stop at once")
 	}
 	if g.PreventRescheduleOnLost {
-		x.refuse(at+"/PreventRescheduleOnLost", "prevent_reschedule_on_lost: a lost machine's work starts elsewhere")
+		t.refuse(pointer+"/PreventRescheduleOnLost", "prevent_reschedule_on_lost: a lost machine's work starts elsewhere")
 	}
 	if d := g.EphemeralDisk; d != nil {
-		x.checkScratch(d.SizeMB, at+"/EphemeralDisk/SizeMB")
+		t.checkScratch(d.SizeMB, pointer+"/EphemeralDisk/SizeMB")
 		if d.Sticky || d.Migrate {
-			x.refuse(at+"/EphemeralDisk", "ephemeral_disk: nothing outlasts its machine")
+			t.refuse(pointer+"/EphemeralDisk", "ephemeral_disk: nothing outlasts its machine")
 		}
 	}
 	switch {
 	case len(g.Tasks) == 0:
-		x.refuse(at, "group %q: has no task", g.Name)
+		t.refuse(pointer, "group %q: has no task", g.Name)
 		return s
 	case len(g.Tasks) > 1:
-		x.refuse(at+"/Tasks/1", "group %q: has %d tasks; one is served, so make a group of each", g.Name, len(g.Tasks))
+		t.refuse(pointer+"/Tasks/1", "group %q: has %d tasks; one is served, so make a group of each", g.Name, len(g.Tasks))
 	}
-	task, taskAt := &g.Tasks[0], at+"/Tasks/0"
-	x.checkRestart(task.RestartPolicy, taskAt+"/RestartPolicy")
+	task, taskPointer := &g.Tasks[0], pointer+"/Tasks/0"
+	t.checkRestart(task.RestartPolicy, taskPointer+"/RestartPolicy")
 	if task.ShutdownDelay > 0 {
-		x.refuse(taskAt+"/ShutdownDelay", "shutdown_delay: a task is told to stop at once")
+		t.refuse(taskPointer+"/ShutdownDelay", "shutdown_delay: a task is told to stop at once")
 	}
 	if task.Driver == "" {
-		x.refuse(taskAt, "task %q: names no driver", task.Name)
+		t.refuse(taskPointer, "task %q: names no driver", task.Name)
 	}
-	s.Resources = x.translateResources(&task.Resources, taskAt+"/Resources")
-	x.applyMeta(&s, g, task, at, taskAt)
-	x.applyPlacement(&s, g, task, at, taskAt)
-	// The published default is in every job that was read before, and asks for nothing.
+	s.Resources = t.translateResources(&task.Resources, taskPointer+"/Resources")
+	t.applyMeta(&s, g, task, pointer, taskPointer)
+	t.applyPlacement(&s, g, task, pointer, taskPointer)
+	// The JSON of a job that was parsed before always contains the published default, so that value is
+	// accepted as if it were not given.
 	if task.KillTimeout > max(jobfile.Duration(s.CheckpointCost), jobfile.DefaultKillTimeout) {
-		x.refuse(taskAt+"/KillTimeout", "kill_timeout: a task is given %scheckpoint_cost_s (%v s) to save when it is stopped, and no longer", MetaPrefix, float64(s.CheckpointCost)/1e6)
+		t.refuse(taskPointer+"/KillTimeout", "kill_timeout: a task is given %scheckpoint_cost_s (%v s) to save when it is stopped, and no longer", MetaPrefix, float64(s.CheckpointCost)/1e6)
 	}
 	return s
 }
 
-func (x *translator) checkScratch(mb int, at string) {
-	if mb > x.policy.ScratchMB {
-		x.refuse(at, "%d MB of scratch space: machines here promise %d", mb, x.policy.ScratchMB)
+// checkScratch refuses more scratch space than every machine provides.
+func (t *translator) checkScratch(mb int, pointer string) {
+	if mb > t.policy.ScratchMB {
+		t.refuse(pointer, "%d MB of scratch space: machines here promise %d", mb, t.policy.ScratchMB)
 	}
 }
 
-func (x *translator) translateResources(r *jobfile.Resources, at string) core.Resources {
+// translateResources returns the resources of a task in native units, rounded up.
+func (t *translator) translateResources(r *jobfile.Resources, pointer string) core.Resources {
 	var n core.Resources
 	switch {
 	case r.Cores > 0 && r.CPU > 0:
-		x.refuse(at+"/Cores", "resources: cpu and cores exclude each other")
+		t.refuse(pointer+"/Cores", "resources: cpu and cores exclude each other")
 	case r.Cores > 0:
 		n.CPU = int64(r.Cores) * 1000
 	default:
-		mhz := int64(max(x.policy.MHzPerCPU, 1))
+		mhz := int64(max(t.policy.MHzPerCPU, 1))
 		n.CPU = (int64(r.CPU)*1000 + mhz - 1) / mhz
 	}
 	n.Mem = (int64(r.MemoryMB)*1000 + 1023) / 1024
 	if r.MemoryMaxMB > 0 && r.MemoryMaxMB != r.MemoryMB {
-		x.refuse(at+"/MemoryMaxMB", "memory_max: memory is not lent; ask for it as memory")
+		t.refuse(pointer+"/MemoryMaxMB", "memory_max: memory is not lent; ask for it as memory")
 	}
-	x.checkScratch(r.DiskMB, at+"/DiskMB")
+	t.checkScratch(r.DiskMB, pointer+"/DiskMB")
 	for i := range r.Devices {
 		d := &r.Devices[i]
-		if !slices.Contains(x.policy.GPUs, d.Name) {
-			x.refuse(fmt.Sprintf("%s/Devices/%d", at, i), "device %q: only GPUs are served, as %s", d.Name, strings.Join(x.policy.GPUs, ", "))
+		if !slices.Contains(t.policy.GPUs, d.Name) {
+			t.refuse(fmt.Sprintf("%s/Devices/%d", pointer, i), "device %q: only GPUs are served, as %s", d.Name, strings.Join(t.policy.GPUs, ", "))
 		}
 		n.GPU += int64(d.Count) * 1000
 	}
 	for _, a := range []int64{n.CPU, n.GPU, n.Mem} {
 		if a > core.MaxTaskResource*1000 {
-			x.refuse(at, "resources: out of range")
+			t.refuse(pointer, "resources: out of range")
 		}
 	}
 	return n
 }
 
-// meta reads the keys that stand for what the job file has no word for.
-func (x *translator) applyMeta(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, at, taskAt string) {
-	type entry struct{ value, at string }
+// applyMeta sets the parts of the native job that come from meta keys, since the job file has no
+// attribute for them. A task's keys take precedence over its group's, and those over the job's.
+func (t *translator) applyMeta(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, pointer, taskPointer string) {
+	type entry struct{ value, pointer string }
 	keys := map[string]entry{}
 	take := func(m map[string]string, under string) {
 		for k, v := range m {
-			name, ours := strings.CutPrefix(k, MetaPrefix)
-			if !ours {
+			name, found := strings.CutPrefix(k, MetaPrefix)
+			if !found {
 				continue
 			}
 			e := entry{v, under + "/Meta/" + k}
 			if metaKeys[name] == 0 {
-				x.refuse(e.at, "meta: no such key %s; there are %s", k, strings.Join(MetaKeys(), ", "))
+				t.refuse(e.pointer, "meta: no such key %s; there are %s", k, strings.Join(MetaKeys(), ", "))
 				continue
 			}
 			keys[name] = e
 		}
 	}
-	take(x.file.Job.Meta, "")
-	take(g.Meta, at)
-	take(task.Meta, taskAt)
+	take(t.file.Job.Meta, "")
+	take(g.Meta, pointer)
+	take(task.Meta, taskPointer)
 	text := func(name string) string {
 		e, ok := keys[name]
 		if ok && (e.value == "" || len(e.value) > core.MaxNameBytes) {
-			x.refuse(e.at, "%s%s: want a text of at most %d bytes", MetaPrefix, name, core.MaxNameBytes)
+			t.refuse(e.pointer, "%s%s: want a text of at most %d bytes", MetaPrefix, name, core.MaxNameBytes)
 		}
 		return e.value
 	}
 	flag := func(name string) bool {
 		e, ok := keys[name]
 		if ok && e.value != "true" && e.value != "false" {
-			x.refuse(e.at, "%s%s: want true or false, not %q", MetaPrefix, name, e.value)
+			t.refuse(e.pointer, "%s%s: want true or false, not %q", MetaPrefix, name, e.value)
 		}
 		return e.value == "true"
 	}
-	number := func(name string, most float64) (float64, bool) {
+	number := func(name string, limit float64) (float64, bool) {
 		e, ok := keys[name]
 		if !ok {
 			return 0, false
 		}
 		n, err := strconv.ParseFloat(e.value, 64)
-		if err != nil || math.IsNaN(n) || n < 0 || n > most {
-			x.refuse(e.at, "%s%s: want a number from 0 to %.0f, not %q", MetaPrefix, name, most, e.value)
+		if err != nil || math.IsNaN(n) || n < 0 || n > limit {
+			t.refuse(e.pointer, "%s%s: want a number from 0 to %.0f, not %q", MetaPrefix, name, limit, e.value)
 			return 0, true
 		}
 		return n, true
 	}
 	require := func(name, why string) {
 		if _, ok := keys[name]; !ok {
-			x.refuse(taskAt, "task %q: meta lacks %s%s, %s", task.Name, MetaPrefix, name, why)
+			t.refuse(taskPointer, "task %q: meta lacks %s%s, %s", task.Name, MetaPrefix, name, why)
 		}
 	}
 	require("class", "the class of jobs that it belongs to")
@@ -363,14 +372,14 @@
 	if _, named := keys["image"]; !named {
 		s.Image, _ = task.Config["image"].(string)
 		if s.Image == "" || len(s.Image) > core.MaxNameBytes {
-			x.refuse(taskAt+"/Config", "task %q: names no image of at most %d bytes, neither in config nor as %simage in meta", task.Name, core.MaxNameBytes, MetaPrefix)
+			t.refuse(taskPointer+"/Config", "task %q: names no image of at most %d bytes, neither in config nor as %simage in meta", task.Name, core.MaxNameBytes, MetaPrefix)
 		}
 	}
 	gb, _ := number("image_gb", core.MaxTaskResource)
 	s.ImageMB = core.MilliUnits(gb)
 	if flag("gang") {
 		if s.Kind == core.Service {
-			x.refuse(keys["gang"].at, "%sgang: a service is no gang", MetaPrefix)
+			t.refuse(keys["gang"].pointer, "%sgang: a service is no gang", MetaPrefix)
 		}
 		s.Kind = core.Gang
 	}
@@ -386,74 +395,75 @@
 	s.CheckpointInterval, s.CheckpointCost = seconds("checkpoint_s"), seconds("checkpoint_cost_s")
 }
 
-// where works out the zone, the machine types and the spread.
-func (x *translator) applyPlacement(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, at, taskAt string) {
-	j := x.file.Job
-	s.Zone = x.resolveZone(j.Datacenters)
+// applyPlacement sets the zone, the machine types and the spread.
+func (t *translator) applyPlacement(s *core.JobSpec, g *jobfile.Group, task *jobfile.Task, pointer, taskPointer string) {
+	j := t.file.Job
+	s.Zone = t.resolveZone(j.Datacenters)
 	for _, l := range []struct {
-		list []jobfile.Constraint
-		at   string
-	}{{j.Constraints, ""}, {g.Constraints, at}, {task.Constraints, taskAt}} {
+		list    []jobfile.Constraint
+		pointer string
+	}{{j.Constraints, ""}, {g.Constraints, pointer}, {task.Constraints, taskPointer}} {
 		for i, c := range l.list {
-			x.applyConstraint(s, c, fmt.Sprintf("%s/Constraints/%d", l.at, i))
+			t.applyConstraint(s, c, fmt.Sprintf("%s/Constraints/%d", l.pointer, i))
 		}
 	}
 	for _, l := range []struct {
-		list []jobfile.Spread
-		at   string
-	}{{j.Spreads, ""}, {g.Spreads, at}} {
+		list    []jobfile.Spread
+		pointer string
+	}{{j.Spreads, ""}, {g.Spreads, pointer}} {
 		for i, sp := range l.list {
 			if sp.Attribute != "${node.datacenter}" {
-				x.refuse(fmt.Sprintf("%s/Spreads/%d", l.at, i), "spread over %q: only ${node.datacenter} is served", sp.Attribute)
+				t.refuse(fmt.Sprintf("%s/Spreads/%d", l.pointer, i), "spread over %q: only ${node.datacenter} is served", sp.Attribute)
 			}
 			s.Spread = true
 		}
 	}
 }
 
-// zone is the one zone that datacenters name, "" for any.
-func (x *translator) resolveZone(datacenters []string) string {
-	const at = "/Datacenters"
+// resolveZone returns the zone that datacenters name, or "" if they name all zones.
+func (t *translator) resolveZone(datacenters []string) string {
+	const pointer = "/Datacenters"
 	if len(datacenters) == 1 && !strings.ContainsAny(datacenters[0], "*?[\\") {
-		if z := datacenters[0]; len(x.policy.Zones) == 0 || slices.Contains(x.policy.Zones, z) {
+		if z := datacenters[0]; len(t.policy.Zones) == 0 || slices.Contains(t.policy.Zones, z) {
 			return z
 		}
 	}
 	if slices.Contains(datacenters, "*") {
 		return ""
 	}
-	if len(x.policy.Zones) == 0 && len(datacenters) > 0 {
-		x.refuse(at, "datacenters: which zones there are is not known here; give the platform's file, or one zone, or \"*\"")
+	if len(t.policy.Zones) == 0 && len(datacenters) > 0 {
+		t.refuse(pointer, "datacenters: which zones there are is not known here; give the platform's file, or one zone, or \"*\"")
 		return ""
 	}
 	matched := map[string]bool{}
 	for _, d := range datacenters {
 		found := false
-		for _, z := range x.policy.Zones {
+		for _, z := range t.policy.Zones {
 			if ok, err := path.Match(d, z); ok && err == nil {
 				matched[z], found = true, true
 			}
 		}
 		if !found {
-			x.refuse(at, "datacenters: no zone matches %q", d)
+			t.refuse(pointer, "datacenters: no zone matches %q", d)
 			return ""
 		}
 	}
 	switch {
 	case len(datacenters) == 0:
-		x.refuse(at, "datacenters: none is given")
-	case len(matched) == len(x.policy.Zones):
+		t.refuse(pointer, "datacenters: none is given")
+	case len(matched) == len(t.policy.Zones):
 	case len(matched) == 1:
 		for z := range matched {
 			return z
 		}
 	default:
-		x.refuse(at, "datacenters: a job runs in one zone or in any of the %d, not in some of them", len(x.policy.Zones))
+		t.refuse(pointer, "datacenters: a job runs in one zone or in any of the %d, not in some of them", len(t.policy.Zones))
 	}
 	return ""
 }
 
-func (x *translator) applyConstraint(s *core.JobSpec, c jobfile.Constraint, at string) {
+// applyConstraint restricts the machine types or the zone by a constraint.
+func (t *translator) applyConstraint(s *core.JobSpec, c jobfile.Constraint, pointer string) {
 	var values []string
 	switch c.Operand {
 	case "=", "==", "is":
@@ -463,20 +473,20 @@
 			values = append(values, strings.TrimSpace(v))
 		}
 	default:
-		x.refuse(at, "constraint with %q: only = and set_contains_any are served, on ${node.class} and ${node.datacenter}", c.Operand)
+		t.refuse(pointer, "constraint with %q: only = and set_contains_any are served, on ${node.class} and ${node.datacenter}", c.Operand)
 		return
 	}
 	if slices.Contains(values, "") {
-		x.refuse(at, "constraint: an empty value matches nothing")
+		t.refuse(pointer, "constraint: an empty value matches nothing")
 		return
 	}
 	switch c.LTarget {
 	case "${node.class}":
 		if s.Types != nil {
-			// All constraints hold.
+			// All constraints must hold: keep the types that the earlier ones allow.
 			values = slices.DeleteFunc(values, func(v string) bool { return !slices.Contains(s.Types, v) })
 			if len(values) == 0 {
-				x.refuse(at, "constraint: with the others it leaves no machine type")
+				t.refuse(pointer, "constraint: with the others it leaves no machine type")
 				return
 			}
 		}
@@ -484,23 +494,23 @@
 	case "${node.datacenter}":
 		z := values[0]
 		if len(values) > 1 {
-			x.refuse(at, "constraint: a job runs in one zone or in any")
-		} else if len(x.policy.Zones) > 0 && !slices.Contains(x.policy.Zones, z) {
-			x.refuse(at, "constraint: there is no zone %q", z)
+			t.refuse(pointer, "constraint: a job runs in one zone or in any")
+		} else if len(t.policy.Zones) > 0 && !slices.Contains(t.policy.Zones, z) {
+			t.refuse(pointer, "constraint: there is no zone %q", z)
 		} else if s.Zone != "" && s.Zone != z {
-			x.refuse(at, "constraint: datacenters name another zone, %q", s.Zone)
+			t.refuse(pointer, "constraint: datacenters name another zone, %q", s.Zone)
 		}
 		s.Zone = z
 	default:
-		x.refuse(at, "constraint on %q: machines have ${node.class}, their type, and ${node.datacenter}, their zone", c.LTarget)
+		t.refuse(pointer, "constraint on %q: machines have ${node.class}, their type, and ${node.datacenter}, their zone", c.LTarget)
 	}
 }
 
-// digest tells apart groups whose tasks would be or get something else.
+// groupDigest returns a hash of everything that affects a group's tasks.
 func groupDigest(j *jobfile.Job, g *jobfile.Group, s *core.JobSpec) string {
 	b, err := json.Marshal([]any{j.ID, j.Meta, g, s})
 	if err != nil {
-		panic(err) // it came from JSON
+		panic(err) // the value was decoded from JSON, so it can be encoded
 	}
 	h := sha256.Sum256(b)
 	return hex.EncodeToString(h[:16])
--- a/internal/nomad/translate/translate_test.go
+++ b/internal/nomad/translate/translate_test.go
@@ -18,7 +18,7 @@
 	"aspenstall/internal/wire"
 )
 
-// terms are a deployment's, with a cap on guests.
+// testPolicy returns the policy of a deployment with a priority cap for the team guests.
 func testPolicy() translate.Policy {
 	return translate.Policy{
 		Zones: []string{"a", "b", "c"}, MHzPerCPU: 1000, ScratchMB: 300, GPUs: []string{"gpu"},
@@ -40,7 +40,7 @@
 	return f
 }
 
-// sample is a job file of testdata and its native equivalents.
+// sample is a job file in testdata with its native equivalents.
 type sample struct {
 	name          string
 	groups        []translate.Group
@@ -70,11 +70,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var subs []map[string]any
-		if err := json.Unmarshal(b, &subs); err != nil {
+		var submissions []map[string]any
+		if err := json.Unmarshal(b, &submissions); err != nil {
 			t.Fatal(err)
 		}
-		for i, m := range subs {
+		for i, m := range submissions {
 			id++
 			m["uid"] = fmt.Sprintf("job-%06d", id)
 			m["lots"] = int(m["lots"].(float64))
@@ -98,7 +98,7 @@
 	return out
 }
 
-// The same job is the same core.JobSpec in either form.
+// A sample in either form gives the same core.JobSpec.
 func TestSamplesEqualNativeJobs(t *testing.T) {
 	for _, s := range samples(t) {
 		if len(s.groups) != len(s.native) {
@@ -106,13 +106,13 @@
 		}
 		for i := range s.nomad {
 			if !reflect.DeepEqual(s.nomad[i], s.native[i]) {
-				t.Errorf("%s: %s is\n%+v\nnatively\n%+v", s.name, s.groups[i].Name, s.nomad[i], s.native[i])
+				t.Errorf("%s: %s is\n%+v\nwant the native job\n%+v", s.name, s.groups[i].Name, s.nomad[i], s.native[i])
 			}
 		}
 	}
 }
 
-// file is a job file that is served, with places to change it.
+// jobTemplate is a job file that is served, with placeholders for additions.
 const jobTemplate = `job "j" {
   namespace = "blue"
   type = "batch"
@@ -145,16 +145,16 @@
 }
 `
 
-func fillTemplate(with map[string]string) []byte {
+func fillTemplate(values map[string]string) []byte {
 	src := jobTemplate
 	for _, k := range []string{"JOB", "GROUP", "META", "TASK", "RES", "SECOND"} {
-		src = strings.Replace(src, k, with[k], 1)
+		src = strings.Replace(src, k, values[k], 1)
 	}
 	return []byte(src)
 }
 
-// What is not served is refused with its line, all at once, and then there are
-// no native jobs at all.
+// Parts that are not supported are refused with their position, all at once, and a refusal leaves no
+// native job.
 func TestRefusals(t *testing.T) {
 	if _, ps := translate.Job(parse(t, "f", fillTemplate(nil)), testPolicy()); ps != nil {
 		t.Fatal(ps)
@@ -178,7 +178,7 @@
 		{"JOB", "constraint {\nattribute = \"${node.class}\"\noperator = \"!=\"\nvalue = \"a\"\n}", "4:3: constraint with \"!=\""},
 		{"JOB", `spread { attribute = "${node.class}" }`, "4:3: spread over"},
 		{"JOB", "reschedule { attempts = 3 }", "4:3: reschedule: a task is tried until it is done"},
-		{"JOB", "update {}", ""}, // batch jobs are not rolled out
+		{"JOB", "update {}", ""}, // update does not apply to batch jobs
 		{"GROUP", "count = 0", "6:5: count: want 1 to 100000"},
 		{"GROUP", "restart { attempts = 1 }", "6:5: restart: "},
 		{"GROUP", "restart { mode = \"delay\" }", ""},
@@ -206,8 +206,8 @@
 		{"RES", "numa { affinity = \"require\" }", "18:9: group.task.resources.numa"},
 	} {
 		t.Run(c.in+" "+c.text, func(t *testing.T) {
-			with := map[string]string{c.in: c.text}
-			groups, ps := translate.Job(parse(t, "f", fillTemplate(with)), testPolicy())
+			values := map[string]string{c.in: c.text}
+			groups, ps := translate.Job(parse(t, "f", fillTemplate(values)), testPolicy())
 			if c.want == "" {
 				if ps != nil || len(groups) != 2 {
 					t.Errorf("got %v", ps)
@@ -215,14 +215,14 @@
 				return
 			}
 			if groups != nil {
-				t.Error("part of the file is served")
+				t.Error("native jobs in spite of a refusal")
 			}
 			if len(ps) == 0 || !strings.HasPrefix(ps[0].String(), "f:"+c.want) && !strings.HasPrefix(ps[len(ps)-1].String(), "f:"+c.want) {
 				t.Errorf("got\n%v\nwant %s", ps, c.want)
 			}
 		})
 	}
-	// All at once.
+	// All refusals are reported at once.
 	_, ps := translate.Job(parse(t, "f", fillTemplate(map[string]string{
 		"JOB": "all_at_once = true", "GROUP": "count = 0", "TASK": "vault {}", "SECOND": "network {}",
 	})), testPolicy())
@@ -231,7 +231,7 @@
 	}
 }
 
-// A guest gains no priority by the form, and another's namespace gives nothing.
+// A job file cannot exceed the team's priority cap, or use the namespace of another team.
 func TestPriorityAndTeam(t *testing.T) {
 	for _, c := range []struct {
 		team, namespace string
@@ -256,9 +256,9 @@
 	} {
 		src := strings.Replace(string(fillTemplate(map[string]string{"JOB": fmt.Sprintf("priority = %d", c.priority)})),
 			`"blue"`, fmt.Sprintf("%q", c.namespace), 1)
-		tm := testPolicy()
-		tm.Team = c.team
-		groups, ps := translate.Job(parse(t, "f", []byte(src)), tm)
+		policy := testPolicy()
+		policy.Team = c.team
+		groups, ps := translate.Job(parse(t, "f", []byte(src)), policy)
 		switch {
 		case c.refusal != "":
 			if groups != nil || !strings.Contains(ps.Error(), c.refusal) {
@@ -272,10 +272,10 @@
 	}
 }
 
-// A digest changes with what a task is or gets, and with nothing else.
+// A digest changes with the settings that affect a group's tasks, and with nothing else.
 func TestDigest(t *testing.T) {
-	digests := func(with map[string]string) (string, string) {
-		groups, ps := translate.Job(parse(t, "f", fillTemplate(with)), testPolicy())
+	digests := func(values map[string]string) (string, string) {
+		groups, ps := translate.Job(parse(t, "f", fillTemplate(values)), testPolicy())
 		if ps != nil {
 			t.Fatal(ps)
 		}
@@ -283,8 +283,8 @@
 	}
 	a, b := digests(nil)
 	for _, c := range []struct {
-		with          map[string]string
-		first, second bool // changes
+		values        map[string]string
+		first, second bool // whether the group's digest changes
 	}{
 		{nil, false, false},
 		{map[string]string{"GROUP": "count = 2"}, true, false},
@@ -293,14 +293,14 @@
 		{map[string]string{"JOB": "priority = 80"}, true, true},
 		{map[string]string{"JOB": "name = \"shown\""}, false, false},
 	} {
-		if x, y := digests(c.with); (x != a) != c.first || (y != b) != c.second {
-			t.Errorf("%v: changes %v %v", c.with, x != a, y != b)
+		if x, y := digests(c.values); (x != a) != c.first || (y != b) != c.second {
+			t.Errorf("%v: changes %v %v", c.values, x != a, y != b)
 		}
 	}
 }
 
-// The table has a verdict on everything that a job file may hold, and the
-// operators' page shows it as it is.
+// The table has a verdict on every attribute and block of the grammar, and the operators' page
+// contains the table as generated.
 func TestTable(t *testing.T) {
 	var table strings.Builder
 	if err := translate.WriteTable(&table); err != nil {
@@ -316,16 +316,16 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), table.String()) {
-		t.Error("docs/NOMAD.md has another table; `aspenstall nomad table` prints this one")
+		t.Error("docs/NOMAD.md has a different table; `aspenstall nomad table` prints the current one")
 	}
 	for _, k := range translate.MetaKeys() {
 		if !strings.Contains(string(page), "`"+translate.MetaPrefix+k+"`") {
-			t.Errorf("docs/NOMAD.md says nothing of %s%s", translate.MetaPrefix, k)
+			t.Errorf("docs/NOMAD.md does not mention %s%s", translate.MetaPrefix, k)
 		}
 	}
 }
 
-// FuzzTranslate: whatever is taken is a job that a native user could submit.
+// FuzzTranslate checks that an accepted job file gives jobs that a native submission could give.
 func FuzzTranslate(f *testing.F) {
 	f.Add(string(fillTemplate(nil)))
 	f.Add(`{"ID":"a","Type":"batch","TaskGroups":[{"Name":"g","Tasks":[{"Name":"t","Driver":"d","Meta":{"aspenstall_class":"c"}}]}]}`)
@@ -334,9 +334,9 @@
 		if err != nil {
 			return
 		}
-		tm := testPolicy()
-		tm.Team = "guests"
-		groups, ps := translate.Job(file, tm)
+		policy := testPolicy()
+		policy.Team = "guests"
+		groups, ps := translate.Job(file, policy)
 		if (len(groups) == 0) == (len(ps) == 0) {
 			t.Fatalf("%d groups and %d refusals", len(groups), len(ps))
 		}
