--- a/internal/nomad/httpapi/allocs.go
+++ b/internal/nomad/httpapi/allocs.go
@@ -26,6 +26,7 @@
 	firstTask   int // index of the first task to list
 }
 
+// nativeID returns the ID of the group's native job.
 func (g *groupAllocs) nativeID() string { return g.job.Groups[g.groupIndex].Native }
 
 // pageToken is the position in the list of allocations where a page begins.
@@ -35,12 +36,14 @@
 	task  int
 }
 
+// String formats the token as it stands in next_token.
 func (t pageToken) String() string { return fmt.Sprintf("%d.%d.%x", t.group, t.task, t.job) }
 
-func parsePageToken(resp string) (pageToken, error) {
+// parsePageToken parses the next_token of a request.
+func parsePageToken(s string) (pageToken, error) {
 	var t pageToken
 	bad := statusErrorf(http.StatusBadRequest, "Invalid next_token")
-	parts := strings.SplitN(resp, ".", 3)
+	parts := strings.SplitN(s, ".", 3)
 	if len(parts) != 3 {
 		return t, bad
 	}
@@ -183,9 +186,9 @@
 	// As in the published API, the prefix applies to the allocation's ID.
 	if prefix := q.params.Get("prefix"); prefix != "" {
 		kept := []allocView{}
-		for _, req := range list {
-			if strings.HasPrefix(req.ID, prefix) {
-				kept = append(kept, req)
+		for _, a := range list {
+			if strings.HasPrefix(a.ID, prefix) {
+				kept = append(kept, a)
 			}
 		}
 		list = kept
--- a/internal/nomad/httpapi/events.go
+++ b/internal/nomad/httpapi/events.go
@@ -31,8 +31,10 @@
 // topicFilter selects the events of a stream: keys by topic, where "*" stands for any.
 type topicFilter map[string][]string
 
+// supportedTopics lists the topics that have events.
 var supportedTopics = []string{"Job", "Evaluation"}
 
+// parseTopics reads the topics of a request; without any, the filter matches all events.
 func parseTopics(q *request) (topicFilter, error) {
 	out := topicFilter{}
 	for _, t := range q.params["topic"] {
@@ -51,6 +53,7 @@
 	return out, nil
 }
 
+// matches reports whether the filter selects an event.
 func (t topicFilter) matches(e event) bool {
 	for _, topic := range []string{e.Topic, "*"} {
 		for _, k := range t[topic] {
--- a/internal/nomad/httpapi/jobs.go
+++ b/internal/nomad/httpapi/jobs.go
@@ -40,6 +40,7 @@
 	startToken string // the token of the page's first element
 }
 
+// parsePage reads the parameters of a paginated list.
 func (q *request) parsePage() (pageParams, error) {
 	p := pageParams{startToken: q.params.Get("next_token")}
 	if s := q.params.Get("per_page"); s != "" {
@@ -165,6 +166,7 @@
 	KnownLeader bool
 }
 
+// newResponseMeta returns the fields for an index, and sets the index header.
 func (q *request) newResponseMeta(index uint64) responseMeta {
 	q.w.Header().Set("X-Nomad-Index", strconv.FormatUint(index, 10))
 	return responseMeta{Index: index, KnownLeader: true}
--- a/internal/nomad/httpapi/server_test.go
+++ b/internal/nomad/httpapi/server_test.go
@@ -21,8 +21,8 @@
 // fakeBackend answers from an empty registry.
 type fakeBackend struct{ healthy bool }
 
-func (fakeBackend) ReadRegistry(_ context.Context, q Query, see func(*registry.Registry)) (uint64, error) {
-	see(registry.New(registry.Limits{MaxOps: 12, MaxValueBytes: 4096}, nil))
+func (fakeBackend) ReadRegistry(_ context.Context, q Query, read func(*registry.Registry)) (uint64, error) {
+	read(registry.New(registry.Limits{MaxOps: 12, MaxValueBytes: 4096}, nil))
 	return max(q.AfterIndex, 1), nil
 }
 func (fakeBackend) Register(context.Context, registry.Registration) (RegisterResult, error) {
@@ -45,10 +45,11 @@
 	return translate.Policy{Team: team, MHzPerCPU: 1000, ScratchMB: 300}
 }
 
-func newTestHandler(perSecond int) http.Handler {
+// newTestHandler returns a handler with tokens for the teams blue and green, and one for machines.
+func newTestHandler(requestsPerS int) http.Handler {
 	key := []byte("a key of a few bytes")
 	s := config.DefaultNomad()
-	s.TokenHashKey, s.RequestsPerS = key, perSecond
+	s.TokenHashKey, s.RequestsPerS = key, requestsPerS
 	s.Tokens = map[string][]config.Hash{
 		"blue":  {HashToken(key, "new of blue"), HashToken(key, "old of blue")},
 		"green": {HashToken(key, "of green")},
--- a/internal/nomad/httpapi/views.go
+++ b/internal/nomad/httpapi/views.go
@@ -143,8 +143,8 @@
 	Warnings           string
 }
 
-// newJobPlan returns the effect of a change by group: which groups start, stop or keep running. It does
-// not list the fields that differ.
+// newJobPlan returns the effect of a change by group: which groups start, stop or keep running. It
+// does not list the fields that differ.
 func newJobPlan(reg registry.Registration, change *registry.Change, old *registry.Job, diff bool, warnings string) *jobPlan {
 	p := &jobPlan{FailedTGAllocs: map[string]struct{}{}, Warnings: warnings}
 	p.Annotations.DesiredTGUpdates = map[string]*desiredUpdates{}
--- a/internal/nomad/jobfile/eval.go
+++ b/internal/nomad/jobfile/eval.go
@@ -192,7 +192,8 @@
 }
 
 // checkTokens returns the first place where brackets, templates or operators nest too deeply, or a
-// number is out of range, and whether there is one. Nesting is limited because the parser is recursive.
+// number is out of range, and whether there is one. Nesting is limited because the parser is
+// recursive.
 func checkTokens(name string, src []byte) (Problem, bool) {
 	tokens, _ := hclsyntax.LexConfig(src, name, hcl.InitialPos)
 	depth, chain := 0, 0
--- a/internal/nomad/jobfile/functions.go
+++ b/internal/nomad/jobfile/functions.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// meteredFunctions returns the supported functions, charged to a budget, and for each unsupported one a
-// function that returns the reason as an error.
+// meteredFunctions returns the supported functions, charged to a budget, and for each unsupported
+// one a function that returns the reason as an error.
 func meteredFunctions(b *budget) map[string]function.Function {
 	out := make(map[string]function.Function, len(supportedFunctions))
 	for name, f := range supportedFunctions {
--- a/internal/nomad/jobfile/jobfile.go
+++ b/internal/nomad/jobfile/jobfile.go
@@ -90,8 +90,8 @@
 	Source []byte
 }
 
-// Parse parses a job file in either form; a file that begins with a brace is JSON. The error is of type
-// Problems and lists all problems of the file.
+// Parse parses a job file in either form; a file that begins with a brace is JSON. The error is of
+// type Problems and lists all problems of the file.
 func Parse(name string, src []byte, o Options) (*File, error) {
 	f := &File{Name: name, positions: map[string]Pos{}}
 	var ps Problems
--- a/internal/nomad/translate/table.go
+++ b/internal/nomad/translate/table.go
@@ -26,9 +26,9 @@
 	note    string
 }
 
-func served(say string) row  { return row{Served, say} }
-func ignored(say string) row { return row{Ignored, say} }
-func refused(say string) row { return row{Refused, say} }
+func served(note string) row  { return row{Served, note} }
+func ignored(note string) row { return row{Ignored, note} }
+func refused(note string) row { return row{Refused, note} }
 
 // Rows of blocks that occur in several places of a job file, by the path below the block.
 var (
--- a/internal/nomad/translate/trace_test.go
+++ b/internal/nomad/translate/trace_test.go
@@ -60,6 +60,7 @@
 	s.core.HandleJob(s.now, s.now, core.JobRecord{Spec: spec, SubmittedAt: s.now, Revision: 5})
 }
 
+// nextReport returns the worker's report with the next sequence number.
 func (w *fakeWorker) nextReport() *core.Report {
 	w.lastReport.Seq++
 	r := w.lastReport
@@ -67,6 +68,7 @@
 	return &r
 }
 
+// execute carries out commands on a worker.
 func (s *cluster) execute(w *fakeWorker, cmds []core.Command) {
 	for _, c := range cmds {
 		i := slices.IndexFunc(w.lastReport.Tasks, func(t core.TaskReport) bool { return t.Job == c.Job && t.Index == c.Index && t.Attempt == c.Attempt })
@@ -85,6 +87,8 @@
 	}
 }
 
+// step advances the time by one tick: workers report, and the actions of the core are carried out.
+// Every rental is refused and no machine is released, so the machines stay the same.
 func (s *cluster) step() {
 	s.now += tickInterval
 	for k, w := range s.workers {
--- a/internal/nomad/translate/translate_test.go
+++ b/internal/nomad/translate/translate_test.go
@@ -47,6 +47,7 @@
 	native, nomad []core.JobSpec
 }
 
+// samples reads all samples in testdata.
 func samples(t *testing.T) []sample {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.nomad.*")
@@ -145,6 +146,8 @@
 }
 `
 
+// fillTemplate returns jobTemplate with values in place of its placeholders; a placeholder without a
+// value is removed.
 func fillTemplate(values map[string]string) []byte {
 	src := jobTemplate
 	for _, k := range []string{"JOB", "GROUP", "META", "TASK", "RES", "SECOND"} {
