--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// Look runs read on the owning goroutine when the query's condition holds, and returns the index
+// ReadRegistry runs read on the owning goroutine when the query's condition holds, and returns the index
 // that read saw, which is never lower than q.After. Nothing is polled: a waiting query is woken by
 // the change, which arrives by the watch that the node has anyway.
 func (n *Node) ReadRegistry(ctx context.Context, q httpapi.Query, read func(*registry.Registry)) (uint64, error) {
@@ -329,7 +329,7 @@
 	return k
 }
 
-// Terms returns the rules for the job files of a team.
+// TranslationPolicy returns the rules for the job files of a team.
 func (n *Node) TranslationPolicy(team string) translate.Policy {
 	s := n.settings.Nomad
 	return translate.Policy{
@@ -551,7 +551,7 @@
 	})
 }
 
-// ShowAll asks the leader for tasks and machines. It works on any node.
+// QueryLeader asks the leader for tasks and machines. It works on any node.
 func (n *Node) QueryLeader(ctx context.Context, a *peer.ViewRequest) (*peer.ViewResponse, error) {
 	c, here := n.leaderClient(ctx)
 	switch {
