--- a/internal/core/boot_stats.go
+++ b/internal/core/boot_stats.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// Recent boots show whether machines of an offer, which is a type in a zone, come up in time. Where
-// many are late or never come up, other offers are preferred. An overdue machine is replaced once
-// and stays rented until it is given up, so at most twice the wanted capacity is incoming. An overdue
-// machine that comes up after all is used, or released like any idle machine.
+// Recent boots show whether machines of an offer (a type in a zone, spot or on-demand) come up in
+// time. If many are late or never come up, other offers are preferred. An overdue machine is
+// replaced once and stays rented until it is given up, so at most twice the wanted capacity is
+// rented and not up yet. An overdue machine that comes up after all is used, or released like any
+// idle machine.
 
 // bootStats are the results of recent boots of an offer's machines.
 type bootStats struct {
@@ -25,8 +26,8 @@
 	// bootSlack is added to one and a half times the catalog's boot time. A boot that takes
 	// longer is overdue.
 	bootSlack = 2 * Second
-	// bootGiveUpFactor is the multiple of the catalog's boot time, plus bootGiveUpSlack, after
-	// which a machine is given up.
+	// A machine is given up if it is not up after bootGiveUpFactor times the catalog's boot time,
+	// plus bootGiveUpSlack.
 	bootGiveUpFactor = 3
 	bootGiveUpSlack  = 10 * Second
 )
--- a/internal/core/candidates.go
+++ b/internal/core/candidates.go
@@ -72,9 +72,9 @@
 }
 
 // cheapestCandidate returns the cheapest machine for a task of the job, or nil if there is none.
-// The machine is in a zone that the job allows and, unless zoneFilter is empty, in that zone.
-// cost returns a machine's current cost and whether the machine is suitable. A machine for which
-// excluded returns true is suitable for other tasks with the same key, but not for this job.
+// The machine is in a zone that the job allows. zoneFilter, unless empty, restricts the search to a
+// zone. cost returns a machine's current cost and whether the machine is suitable. A machine for
+// which excluded returns true is suitable for other tasks with the same key, but not for this job.
 func (c *Core) cheapestCandidate(key searchKey, machines []*machine, j *job, zoneFilter string, cost func(*machine) (int64, bool), excluded func(*machine) bool) *machine {
 	cache := c.candidateCaches[key]
 	if cache == nil {
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -15,9 +15,9 @@
 	maxVacateAttempts = 8
 )
 
-// consolidate empties on-demand machines that stay rented only for a few services which have room on
-// other machines. The rate of moves is proportional to the number of services. A machine that batch
-// tasks use as well is not emptied.
+// consolidate empties on-demand machines that stay rented only for a few services which have room
+// on other machines. The rate of moves is proportional to the number of services. A machine that
+// batch tasks use as well is not emptied.
 func (c *Core) consolidate(now Micros) {
 	services := 0
 	for _, j := range c.queue {
@@ -159,8 +159,9 @@
 	return true
 }
 
-// canVacate reports whether the machine runs services and all of them have room on targets that have
-// their images, with enough spare capacity left.
+// canVacate reports whether the machine runs services and all of them have room on targets that
+// have their images, with enough spare capacity left. A machine that batch tasks use is accepted
+// only if it is being emptied already.
 func (c *Core) canVacate(m *machine, targets []*machine, now Micros) bool {
 	plan := newMovePlan(targets)
 	var services []*placement
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -106,10 +106,10 @@
 	d.slowestBoot = max(d.slowestBoot, t.BootTime)
 }
 
-// meetsDeadline reports whether a job's waiting tasks would be done by its deadline on the present
-// and incoming machines, after the work ahead of them. It adds the job's tasks to that work. A machine
-// that is rented now costs money at once and helps only after it is up, so none is rented for such a
-// job.
+// meetsDeadline reports whether a job's waiting tasks would be done by its deadline, and would
+// start in time, on the present and incoming machines, after the work ahead of them. It adds the
+// job's tasks to that work. A machine that is rented now costs money at once and helps only after
+// it is up, so none is rented for a job that meets its deadline.
 func (d *demand) meetsDeadline(j *job) bool {
 	if j.deadline == 0 || j.spec.Kind == Service || d.deadlineCPUs <= 0 {
 		return false
@@ -117,9 +117,10 @@
 	d.workAhead += float64(j.spec.Resources.CPU) * float64(j.correctedEstimate()) * float64(j.pending)
 	wait := Micros(d.workAhead / float64(d.deadlineCPUs))
 	wait += Micros(float64(d.slowestBoot) * float64(d.incomingCPUs) / float64(d.deadlineCPUs))
-	// Tasks often run for twice their estimate. The margin also leaves time to rent a machine
-	// if the forecast proves too optimistic. The same holds for the earliest start objective
-	// that a rented machine can meet.
+	// Tasks often run for twice their estimate, so twice the estimate has to fit. The
+	// provisioning time is added so that a machine can still be rented in time if the forecast
+	// proves too optimistic. It is also added for the earliest start objective that a rented
+	// machine can meet.
 	provisioning := d.c.provisioningTime(&j.spec)
 	for _, objective := range j.class.startObjectives {
 		if objective > provisioning {
@@ -198,7 +199,7 @@
 // mayRequest reports whether one more machine of the offer may be requested. None is requested
 // for a time after a refusal or while a request is unanswered, because the cloud may have no more
 // of these machines and limits the rate of calls. None is requested in a partitioned zone, where
-// the machine could not report.
+// the machine could not report, nor beyond the maximum number of machines per request.
 func (d *demand) mayRequest(o offer) bool {
 	return !d.c.partitioned(o.zone, d.now) && d.now >= d.c.refusedUntil[o] && !d.requested[o] && d.counts[o] < maxMachinesPerRental
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -95,8 +95,9 @@
 	}
 	// A machine stays listed until it is gone. One that is not listed in time is gone or will
 	// never come up. A former leader may have failed after a release was executed but before it
-	// was recorded. Most recorded machines do not report then, which alone would look like a
-	// network fault on the leader's side. Releasing such a machine again confirms that it is gone.
+	// was recorded. If that release covered most machines, most of the recorded ones do not
+	// report, which alone would look like a network fault on the leader's side. Releasing such a
+	// machine again confirms that it is gone.
 	for _, m := range c.sortedMachines {
 		if !m.releasing && !listed[m.name] && now-m.discoveredAt > 2*c.cfg.ListLag+listSlack && !m.reportedWithin(now, c.reportTimeout()) {
 			c.log("not listed any more", "machine", m.name, "booting", m.booting)
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -185,8 +185,8 @@
 )
 
 // completeGang places the missing tasks of a gang that has not started, with the same attempt, so
-// that its other tasks keep waiting for them. If there is no room for gangReplacementTimeout, the
-// gang is stopped and starts again.
+// that its other tasks keep waiting for them. If no room is found within gangReplacementTimeout,
+// the gang is stopped and starts again.
 func (c *Core) completeGang(j *job, now Micros) {
 	if !j.awaitsGangStart() {
 		return
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -16,7 +16,6 @@
 }
 
 // equivalenceKey returns the job's key without the fields that apply to gangs only.
-
 func (j *job) equivalenceKey() equivalenceKey {
 	return equivalenceKey{need: j.spec.Resources, spot: j.spec.Spot, service: j.spec.Kind == Service, team: j.spec.Team,
 		priority: j.spec.Priority, types: j.typesKey, zone: j.spec.Zone, starving: j.starving}
@@ -159,9 +158,9 @@
 	return p
 }
 
-// collectCandidates collects the machines on which the smallest requests of the waiting tasks
-// fit, and reports whether any task waits. A pass searches only these machines; in a full fleet
-// they are few.
+// collectCandidates collects the machines that have free, of each resource, at least the smallest
+// amount that a waiting task requests, and reports whether any task waits. A pass searches only
+// these machines for free capacity; in a full fleet they are few.
 func (c *Core) collectCandidates(now Micros) bool {
 	smallest, waiting := Resources{}, false
 	for _, j := range c.queue {
@@ -196,9 +195,11 @@
 }
 
 // pickMachine returns the machine for one more task of a job, or nil if no machine has room. It
-// prefers the machine where the task starts soonest, then the one where it leaves the least CPU
-// unused. zoneFilter, unless empty, restricts the search to a zone, and requireCached to machines
-// that have the job's image.
+// prefers the machine with the lowest sum of the wait for the image and two penalties: one for an
+// on-demand machine if the job allows spot machines, and one for each CPU that stays free. Machines
+// on which tasks of the job failed are used last, and only if there are at least suspectThreshold
+// of them or the job is starving. zoneFilter, unless empty, restricts the search to a zone, and
+// requireCached to machines that have the job's image.
 func (c *Core) pickMachine(j *job, now Micros, zoneFilter string, requireCached bool) *machine {
 	key := newSearchKey(j)
 	key.cachedOnly = requireCached
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -36,7 +36,8 @@
 
 // withinGuarantee reports whether a request on top of used stays within a guarantee. A team may be
 // guaranteed only GPUs or only CPUs. A resource without a guarantee is not compared, but a request
-// for GPUs needs a guarantee of GPUs. Memory is not part of a quota.
+// for GPUs needs a guarantee of GPUs, and a request without GPUs needs a guarantee of CPUs. Memory
+// is not part of a quota.
 func withinGuarantee(used, request, guarantee Resources) bool {
 	if request.GPU > 0 && guarantee.GPU == 0 || request.GPU == 0 && guarantee.CPU == 0 {
 		return false
--- a/internal/core/reclaim.go
+++ b/internal/core/reclaim.go
@@ -49,9 +49,9 @@
 	return best
 }
 
-// evictionCost returns the cost, in microseconds of lost work and delay, of making room on a machine
-// for a task of the job, and false if that is not possible. It ignores the zone constraints, which
-// depend on the job's other tasks.
+// evictionCost returns the cost, in microseconds of lost work and delay, of making room on a
+// machine for a task of the job, and false if that is not possible. It ignores the zone
+// constraints, which depend on the job's other tasks.
 func (c *Core) evictionCost(j *job, m *machine, guaranteed bool, now Micros, plan *reclaimPlan) (int64, bool) {
 	if m.vacating || !c.schedulable(m, now) || !c.machineTypeAllowed(j, m) || !j.spec.Resources.Fits(m.typ.Capacity) {
 		return 0, false
@@ -61,7 +61,7 @@
 }
 
 // cheapestVictimMachineForPlan returns the machine on which making room for a task of the job costs
-// least after the victims that the plan already has, or nil if there is none. It examines every
+// least, given the victims that the plan already has, or nil if there is none. It examines every
 // machine and cannot use cheapestCandidate. That function keeps costs for a pass and examines only
 // changed machines again, while a plan's victims change the cost of all machines with tasks of the
 // same teams, and the plan may be dropped.
@@ -121,8 +121,10 @@
 	return p.job.team == j.team && p.job.spec.Priority < j.spec.Priority
 }
 
-// selectVictims returns the tasks to stop on a machine, with their gangs, to make room for a task of
-// the job, and the cost of stopping them. It returns nil if they would not make room.
+// selectVictims returns the tasks to stop on a machine, with their gangs, to make room for a task
+// of the job, and the cost of stopping them. It returns nil if they would not make room, and also
+// if the task fits on the machine without any victim. If the victims that the plan has on the
+// machine make enough room, the result is empty but not nil.
 func (c *Core) selectVictims(j *job, m *machine, guaranteed bool, now Micros, plan *reclaimPlan) ([]*placement, int64) {
 	free := m.free().Add(plan.freed[m])
 	potential := free
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -7,8 +7,8 @@
 
 // Batch jobs of a class whose tasks have to start sooner than a machine can be rented need machines
 // that are up already. For such a class, capacity is reserved: its present usage plus the largest
-// remembered rise of its usage within the time that a machine takes to come up, but no more than its
-// peak usage.
+// remembered rise of its usage within the time that a machine takes to come up, but no more than
+// its peak usage.
 
 // reservation is the usage of a class that has a start objective. Peak and rise decay over time.
 type reservation struct {
@@ -41,7 +41,8 @@
 }
 
 // needsReservation reports whether tasks of the class have to start sooner than a machine can be
-// rented and have fetched their image. Capacity is reserved only for such a class.
+// rented and can fetch their image, or whether no machine type is suitable. Capacity is
+// reserved only for such a class.
 func (c *Core) needsReservation(k *jobClass) bool {
 	r := &k.reservation
 	t := c.fastestType(r.sample)
@@ -93,7 +94,8 @@
 	}
 	if c.reservationsUnknown {
 		// The former leader's reservations are not recorded. They are taken to be all of the
-		// present capacity, so that none of it is released only because the reason is unknown.
+		// present capacity, so that no machine is released only because it is not known
+		// what it was rented for.
 		c.reservationsUnknown = false
 		for _, k := range c.objectiveClasses {
 			k.reservation.peak = k.reservation.usage
@@ -116,8 +118,8 @@
 	}
 }
 
-// reservationShortfall returns the capacity that is missing from the reservations, given the machines
-// that are up and the incoming ones. Where it is negative, that much can be released.
+// reservationShortfall returns the capacity that is missing from the reservations, given the
+// machines that are up and the incoming ones. Where it is negative, that much can be released.
 func (c *Core) reservationShortfall(now Micros, incoming []*incomingMachine) Resources {
 	if len(c.reservedClasses) == 0 {
 		return Resources{math.MinInt32, math.MinInt32, math.MinInt32}
@@ -144,9 +146,10 @@
 }
 
 // borrowsReserved reports whether a task of the job, beyond its team's minimum, would use capacity
-// that is reserved for a class of higher priority and that this class could not reclaim, because it
-// belongs to another team without a minimum. Tasks of the class have to start at once, while a
-// borrower may keep the capacity for minutes. usage is what the job's team uses.
+// that is reserved for a class of higher priority and that this class could not reclaim, because
+// the class belongs to another team, whose minimum covers no task of it. Tasks of the class have to
+// start at once, while a borrower may keep the capacity for minutes. usage is what the job's team
+// uses.
 func (c *Core) borrowsReserved(j *job, usage Resources) bool {
 	if j.starving || slices.Contains(c.reservedClasses, j.class) || withinGuarantee(usage, j.spec.Resources, j.team.Min) {
 		return false
@@ -163,8 +166,8 @@
 // lacksCPUOrGPU reports whether a shortfall contains CPUs or GPUs. Memory comes with them.
 func (r Resources) lacksCPUOrGPU() bool { return r.CPU > 0 || r.GPU > 0 }
 
-// hasReservations reports whether capacity is reserved. The free capacity on machines that run only
-// a few services is of use then.
+// hasReservations reports whether capacity is reserved for at least one task of a class. Then
+// machines that run only a few services are not emptied, because their free capacity is useful.
 func (c *Core) hasReservations(now Micros) bool {
 	return slices.ContainsFunc(c.reservedClasses, func(k *jobClass) bool {
 		return k.reservation.sample.Resources.Fits(c.reservationTarget(k, now))
--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -6,9 +6,9 @@
 // capacity is therefore kept for expected services: for a share of the tasks that arrive, at the
 // recent rate, while a machine is rented, and for one more job.
 
-// spareShare is the share of expected tasks for which spare capacity is kept. Other capacity becomes
-// free in the meantime. With a share of 1, no service started measurably sooner with respect to its
-// start objective, and the cost was a tenth higher.
+// spareShare is the share of expected tasks for which spare capacity is kept. For the others,
+// capacity that becomes free in the meantime is expected to suffice. With a share of 1, no service
+// started measurably sooner with respect to its start objective, and the cost was a tenth higher.
 const spareShare = 0.4
 
 // arrivals are statistics of the jobs submitted in a class.
@@ -105,9 +105,9 @@
 	}
 }
 
-// spareSlots returns the number of service tasks for which the machine has room. Spare capacity that
-// starving jobs use counts as free. Otherwise it would be replaced from capacity that becomes free,
-// at the cost of jobs that are still on time.
+// spareSlots returns the number of service tasks for which the machine has room. Spare capacity
+// that starving jobs use counts as free. Otherwise it would be replaced from capacity that becomes
+// free, at the cost of jobs that are still on time.
 func (c *Core) spareSlots(m *machine) int {
 	return c.spareTaskResources.countIn(m.free().Add(m.spareUsed))
 }
@@ -187,7 +187,8 @@
 		}
 		var best offer
 		// Capacity that may never be used does not justify a machine that is expensive for its
-		// size. It is rented later, when the cheap machines are no longer refused.
+		// size. Spare capacity is then rented later, when the cheap machines are no longer
+		// refused.
 		bestPrice := maxSparePriceRatio * cheapest
 		for _, t := range c.machineTypeList {
 			if !c.spareTaskResources.Fits(t.Capacity) {
