--- a/internal/core/boot_stats_test.go
+++ b/internal/core/boot_stats_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestBootStats checks that an overdue machine is replaced once and is used if it comes up after all.
-// Later machines are rented elsewhere if most machines of the offer were late.
+// TestBootStats checks that an overdue machine is replaced once and is used if it comes up after
+// all. Later machines are rented elsewhere if most machines of the offer were late.
 func TestBootStats(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -225,7 +225,7 @@
 			}
 			sweep := JobSpec{Class: "sweep", Tasks: 2, Resources: Resources{1000, 2000, 1000}}
 			n := 0
-			// With jobs, one job is submitted in every other round and cancelled in the next.
+			// If jobs is set, a job is submitted in every other round and cancelled in the next.
 			rounds := func(count int, jobs bool) {
 				for i := range count {
 					w.advance(3 * Second)
@@ -344,9 +344,9 @@
 	}
 }
 
-// TestReservedRoomIsNotBorrowed checks that capacity reserved for a class is not lent to a job of lower
-// priority that is beyond its team's minimum, if the class could not reclaim it. On a randomly
-// generated day of the simulation, long reruns of another team filled the reserved capacity, and jobs
+// TestReservedRoomIsNotBorrowed checks that capacity reserved for a class is not lent to a job of
+// lower priority that is beyond its team's minimum, if the class could not reclaim it. In a
+// randomly generated scenario, long reruns of another team filled the reserved capacity, and jobs
 // that had to start at once waited for minutes.
 func TestReservedRoomIsNotBorrowed(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/core/gang_test.go
+++ b/internal/core/gang_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestGang checks that all tasks of a gang are placed or none, that they share one attempt, and that
-// a stopped task stops its gang.
+// TestGang checks that all tasks of a gang are placed or none, that they share one attempt, and
+// that a stopped task stops its gang.
 func TestGang(t *testing.T) {
 	spec := JobSpec{ID: "job-1", Kind: Gang, Tasks: 6, Resources: Resources{2000, 0, 1000}}
 	setup := func(t *testing.T) (*world, []*fakeWorker) {
@@ -146,8 +146,8 @@
 	})
 }
 
-// TestGangReplacesMissingTasks checks that a gang that has not started keeps its placements and that
-// missing tasks are replaced with the same attempt.
+// TestGangReplacesMissingTasks checks that a gang that has not started keeps its placements and
+// that missing tasks are replaced with the same attempt.
 func TestGangReplacesMissingTasks(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/core/place_test.go
+++ b/internal/core/place_test.go
@@ -48,9 +48,9 @@
 }
 
 // TestReservationOnlyBelowProvisioningTime checks that capacity is reserved only for a class whose
-// tasks have to start sooner than a machine can be rented. When it was reserved for every class with
-// a start objective, a class with an objective of 90 s had a machine rented for every waiting task,
-// even if the tasks would have started in time.
+// tasks have to start sooner than a machine can be rented. When it was reserved for every class
+// with a start objective, a class with an objective of 90 s had a machine rented for every waiting
+// task, even if the tasks would have started in time.
 func TestReservationOnlyBelowProvisioningTime(t *testing.T) {
 	for _, c := range []struct {
 		within     Micros
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestQuota checks that a team's maximum limits its placements and that an unused minimum is lent to
-// other teams. Reclaim stops tasks on one machine, of teams above their minimum, and takes no team
-// below it.
+// TestQuota checks that a team's maximum limits its placements and that an unused minimum is lent
+// to other teams. Reclaim stops tasks on one machine, of teams above their minimum, and takes no
+// team below its own.
 func TestQuota(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -78,8 +78,8 @@
 	w.want("tasks up to the team's maximum", n[1]+n[2], 3)
 }
 
-// TestGuaranteedGPUs checks that a minimum of GPUs alone is a guarantee, although the tasks need CPUs
-// as well: borrowed GPUs are reclaimed.
+// TestGuaranteedGPUs checks that a minimum of GPUs alone is a guarantee, although the tasks need
+// CPUs as well: borrowed GPUs are reclaimed.
 func TestGuaranteedGPUs(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue", Min: Resources{GPU: 2000}}, Team{Name: "green", Min: Resources{GPU: 2000}})
 	w.beginTerm(100, nil, Snapshot{})
--- a/internal/core/rank_test.go
+++ b/internal/core/rank_test.go
@@ -32,7 +32,7 @@
 
 // TestOrderLateJobs checks that jobs that miss every objective run in order of least work, with the
 // same amount of work taken in order of age. With least work first alone, only a quarter of the
-// largest jobs of an overload were done by the end of the day, against nearly 90 % of all jobs.
+// largest jobs of an overload scenario were done at its end, against nearly 90 % of all jobs.
 func TestOrderLateJobs(t *testing.T) {
 	k := &jobClass{}
 	make := func(id, tasks int, submitted Micros) *job {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestStartOverdueArrays checks that a large array at the end of the queue starts with one task after
-// maxStartWait. A small array, with three tasks where most arrays have one, starts after
+// TestStartOverdueArrays checks that a large array at the end of the queue starts with one task
+// after maxStartWait. A small array, with three tasks where most arrays have one, starts after
 // maxStartWaitSmall. An array of a lower priority does not start ahead of the others.
 func TestStartOverdueArrays(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -8,13 +8,14 @@
 )
 
 // benchFleet is a Core with a large fleet of workers that execute their commands immediately. It
-// measures the CPU time and the allocations of the Core in benchmarks; see docs/SCALE.md.
+// measures the time spent in the Core and its allocations. The fleet is larger than any test needs,
+// so only benchmarks use it: run them with go test -bench, see docs/SCALE.md.
 type benchFleet struct {
 	c            *Core
 	now          Micros
 	workers      []*benchWorker
 	workerByName map[string]*benchWorker
-	events       int // number of reports, answers to direct commands, job records and completions
+	events       int // number of calls of the Core other than Step, and of tasks that completed
 	jobs         int
 	coreTime     time.Duration                                 // time spent in the Core
 	reportSlots  [reportInterval / slotDuration][]*benchWorker // workers by the time of their report within an interval
@@ -212,16 +213,16 @@
 	}
 }
 
-// BenchmarkSteady measures half a minute with a full fleet, in which a waiting task replaces each task
-// that completes: reports, completions and starts.
+// BenchmarkSteady measures half a minute with a full fleet, in which a waiting task replaces each
+// task that completes: reports, completions and starts.
 func BenchmarkSteady(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		f.measure(b, func() { f.submitPerSecond(30, n/600) })
 	})
 }
 
-// BenchmarkBurst measures ten seconds in which jobs for the capacity of the whole fleet are submitted
-// while the fleet is full.
+// BenchmarkBurst measures ten seconds in which jobs for the capacity of the whole fleet are
+// submitted while the fleet is full.
 func BenchmarkBurst(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		f.measure(b, func() { f.submitPerSecond(10, n/100) })
@@ -241,8 +242,8 @@
 	})
 }
 
-// BenchmarkTakeover measures a takeover by a new leader, from reading the records until every machine
-// has reported.
+// BenchmarkTakeover measures a takeover by a new leader, from reading the records until every
+// machine has reported.
 func BenchmarkTakeover(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		var jobs []JobRecord
