--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -22,8 +22,8 @@
 	WriteUnknown              // it may have been executed or may be executed later
 )
 
-// Write changes the leader's records. It is conditional on the leader's key and, if IfJob is set, on
-// the revision of that job's record. Its result is passed to HandleWriteResult.
+// Write changes the leader's records. It is conditional on the leader's key and, if IfJob is set,
+// on the revision of that job's record. Its result is passed to HandleWriteResult.
 type Write struct {
 	ID         uint64
 	Puts       []Put
@@ -32,7 +32,7 @@
 	IfRevision uint64
 	IfAbsent   string // a key that must not exist; "": no condition
 	Urgent     bool
-	Priority   Priority // among urgent writes, the highest priority goes first
+	Priority   Priority // of what waits for the write; the highest goes first among urgent ones
 }
 
 // Put is a record to write. Value has one of the record types below.
@@ -57,7 +57,8 @@
 	Reason   string
 }
 
-// RaiseToken requests a new fencing token for the current term. Its result is passed to HandleTokenRaised.
+// RaiseToken requests a new fencing token for the current term. Its result is passed to
+// HandleTokenRaised.
 type RaiseToken struct{}
 
 // JobProgress reports that the task counts of a watched job changed.
@@ -106,8 +107,8 @@
 	RentedAt  Micros // wall clock
 }
 
-// CompletionRecord holds the completed tasks of one chunk of a job's tasks. Ranges contains pairs of
-// the first and the last index of each range, relative to the first task of the chunk.
+// CompletionRecord holds the completed tasks of one chunk of a job's tasks. Ranges contains pairs
+// of the first and the last index of each range, relative to the first task of the chunk.
 type CompletionRecord struct {
 	Key    string
 	Job    string
@@ -121,8 +122,8 @@
 // StartedRecord records that tasks of a job may have been started.
 type StartedRecord struct{ Job string }
 
-// PartitionRecord records that a zone is partitioned and which tasks can be on the machines that are
-// retained in it. A record without a zone says that the partition is over.
+// PartitionRecord records that a zone is partitioned and which tasks can be on the machines that
+// are retained in it. A record without a zone says that the partition is over.
 type PartitionRecord struct {
 	Key      string // key from which the record was read
 	Zone     string
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -19,8 +19,8 @@
 }
 
 // commands returns the commands for a machine: the difference between the desired tasks and those
-// that it has reported. In reply to a report it returns all of them, for a direct command only those
-// that have not been sent yet.
+// that it has reported. In reply to a report it returns all of them, for a direct command only
+// those that have not been sent yet.
 func (c *Core) commands(m *machine, now Micros, inReply bool) []Command {
 	var forget, stop, start []Command
 	if m.lost {
@@ -100,8 +100,8 @@
 
 // The outcomes of a SendCommands action.
 const (
-	Executed   CommandOutcome = iota // the report was made after the commands were executed
-	Refused                          // nothing was executed; the report is current
+	Executed   CommandOutcome = iota // the report in the answer was made after the execution
+	Refused                          // nothing was executed; the report in the answer is current
 	NotSent                          // no connection was made, so the commands never arrive
 	Unanswered                       // the commands may be executed, now or minutes later
 )
@@ -151,8 +151,8 @@
 	c.actions = append(c.actions, SendCommands{m.name, m.address, c.token, session, cmds})
 }
 
-// HandleCommandResult handles the result of a SendCommands action that was sent with the token. r is
-// the report of the worker, nil if there was no answer.
+// HandleCommandResult handles the result of a SendCommands action that was sent with the token. r
+// is the report of the worker, nil if there was no answer.
 func (c *Core) HandleCommandResult(now Micros, machine string, token uint64, o CommandOutcome, r *Report) {
 	if !c.leading {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,10 +26,10 @@
 	partitionRecords      []*retainedGroup
 	partitionRecordID     int
 	rentals               map[string]*rental
-	rentalByMachine       map[string]*rental // for machines that are not up yet
+	rentalByMachine       map[string]*rental // for machines that are not recorded yet
 	unreconciled          int                // number of machines that are not reconciled
 	zoneByName            map[string]*zone
-	fleetUnreachable      bool                   // hardly any machine reports
+	fleetUnreachable      bool                   // hardly any machine reports, or isolated
 	fleetUnreachableSince Micros                 // 0: not unreachable, or not known yet in this term
 	tokenAcknowledged     bool                   // a machine has reported a token of this term
 	isolated              bool                   // zones with most of the fleet do not report: this leader is partitioned
@@ -76,7 +76,7 @@
 	spareTaskResources  Resources      // resources of one service task that spare capacity is kept for
 	spareTarget         int            // number of service tasks to keep spare capacity for
 	spareTargetPerZone  int            // the same in each zone
-	spareFetchRate      float64        // MB/s at which an image is fetched in time
+	spareFetchRate      float64        // MB/s at which images must be fetched to meet the start objectives
 	pendingWrites       map[uint64]func(now Micros, o WriteOutcome)
 	lastWriteID         uint64
 	rentalCount         uint64
@@ -141,7 +141,8 @@
 // Token returns the current fencing token.
 func (c *Core) Token() uint64 { return c.token }
 
-// Step runs the periodic work that is due at now and returns the actions to execute.
+// Step runs the work that is due at now, such as a placement pass, and returns the actions to
+// execute. They include those that events caused since the last Step.
 func (c *Core) Step(now Micros) []Action {
 	if !c.leading {
 		return nil
--- a/internal/core/delegate.go
+++ b/internal/core/delegate.go
@@ -21,7 +21,7 @@
 }
 
 // Delegate is the leader's knowledge of one controller that may answer workers in its place. The
-// zero value has answered none and may answer none.
+// zero value stands for one that has answered no worker and may answer none.
 type Delegate struct {
 	incarnation       uint64 // identifies the controller's process
 	incarnationKnown  bool
--- a/internal/core/failure_attribution.go
+++ b/internal/core/failure_attribution.go
@@ -2,10 +2,10 @@
 
 // A task's failure is attributed to its machine or to its job. A faulty machine fails the tasks of
 // every job; a job that was submitted with a mistake fails on every machine. A job is proven once
-// one of its tasks has run well, and each of its failures counts against the machine. A job is
-// suspect if it has failed on several machines and is not proven: its failures count against no
-// machine, and it is retried with one task at a time, with exponential back-off. The failures of
-// a job that is neither count against the machine.
+// one of its tasks has run well: then each of its failures, also an earlier one, counts against the
+// machine. A job is suspect if it has failed on several machines and is not proven: its failures
+// count against no machine, and it is retried with one task at a time, with exponential back-off.
+// The failures of a job that is neither count against the machine.
 //
 // Without this attribution a few jobs with mistakes quarantine most of the fleet: a hundred tasks
 // of one job fail on as many machines at the same time.
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -26,7 +26,7 @@
 
 	status       []taskStatus
 	live         map[int]*placement // by task index, the placement that counts for the task
-	duplicates   []*placement       // other placements of the same tasks that machines have reported
+	duplicates   []*placement       // other placements of the same tasks that machines have reported; see adopt
 	unrecorded   []*placement       // completed placements whose completion is not recorded yet
 	running      int
 	placedByZone map[string]int // number of placements that occupy resources, by zone
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -24,14 +24,14 @@
 	lastReport         Micros // when the last report of any kind arrived
 	lastAcknowledged   Micros // when a report was last acknowledged, which renews the lease
 	lastPeriodicReport Micros // last report that is not a reply to a direct command
-	unverified         bool   // no stored record, no report with this term's token; see applyReport
+	unverified         bool   // not rented in this term, not recorded, token not reported; see applyReport
 	idleSince          Micros // since when no task occupies it; 0: some does
 
 	placements          []*placement
 	used                Resources // by the placements that occupy resources
 	spareUsed           Resources // the part of used that was placed on spare capacity; see spareSlots
 	commandInFlight     bool      // a direct command has no result yet
-	directCommandFailed bool      // the last one; none is sent before the next periodic report
+	directCommandFailed bool      // the last one; until the next periodic report only probes are sent
 	probeQueued         bool      // in Core.probeQueue
 	probeStarted        Micros    // when the probe in flight was sent; 0: none is in flight
 	commandFailures     int       // consecutive direct commands without a reply
--- a/internal/core/partition_record.go
+++ b/internal/core/partition_record.go
@@ -35,8 +35,8 @@
 	recordMachineBytes = 12
 )
 
-// updatePartitionRecords ends the records whose machines report again or whose partition is over,
-// and writes records for newly partitioned zones.
+// updatePartitionRecords ends the records of which a machine reports again, and those without
+// machines whose partition is over. It writes records for newly partitioned zones.
 func (c *Core) updatePartitionRecords(now Micros) {
 	for _, g := range slices.Clone(c.partitionRecords) {
 		ended := len(g.machines) == 0 && now >= c.zoneByName[g.zone].partitionUntil ||
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -23,16 +23,17 @@
 }
 
 // isUnreachable reports whether a machine that did not reply to a direct command counts as
-// unreachable. The timeout is halved for the last 5% of the machines that a takeover has to
-// reconcile: all unaccounted tasks of started jobs wait for them.
+// unreachable. After a takeover, once at most 5% of all machines are not reconciled, the timeout is
+// halved for those of them that failed to reply twice: all unaccounted tasks of started jobs wait
+// for them.
 func (c *Core) isUnreachable(m *machine, now Micros) bool {
 	amongLast := !m.reconciled && m.commandFailures >= 2 && c.unreconciled*20 <= len(c.sortedMachines)
 	return now-m.lastReport >= c.cfg.Tuning.SuspectAfter || amongLast && now-m.lastReport >= c.cfg.Tuning.SuspectAfter/2
 }
 
-// expireLeases marks the machines as lost whose lease has expired, and queues probes of those
-// that are late with their report. It also retries deferred commands. It runs every half
-// second.
+// expireLeases marks the machines as lost whose lease has expired. It queues probes of those that
+// are late with their report, are not reconciled or have inbound loss. It also retries deferred
+// commands. It runs every half second.
 func (c *Core) expireLeases(now Micros) {
 	if now < c.nextLeaseCheckAt {
 		return
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -91,10 +91,10 @@
 	return r.Session > m.session || r.Session == m.session && r.Seq > m.seq
 }
 
-// acknowledgeOldReport accounts for the answer to a report that is not the newest. A worker that
-// still waits for this answer counts its lease from a time before it sent the newest report, so
-// the lease is counted from the arrival of that one. A duplicate, or a report of an earlier
-// session, renews no lease.
+// acknowledgeOldReport accounts for the answer to a report that is not the newest. The report
+// itself is not applied. A worker that still waits for this answer counts its lease from a time
+// before it sent the newest report, so the lease is counted from the arrival of that one. A
+// duplicate, or a report of an earlier session, renews no lease.
 func (m *machine) acknowledgeOldReport(r *Report) {
 	if r.Session == m.session {
 		m.lastAcknowledged = max(m.lastAcknowledged, m.lastReport)
@@ -282,10 +282,10 @@
 		switch q := j.live[t.Index]; {
 		case q == nil:
 		case t.Attempt <= q.attempt:
-			// One of the two reports is a delayed duplicate. This attempt is not the later
-			// one: a later attempt is started only once the earlier is known to be gone.
-			// Until its machine reports that, the placement occupies resources and keeps the
-			// task from being started elsewhere (see deallocate).
+			// This attempt is not the later one, and a later attempt is started only once the
+			// earlier is known to be gone. So one of the two reports is a delayed duplicate.
+			// Until this machine reports that the attempt is gone, the placement occupies
+			// resources and keeps the task from being started elsewhere (see deallocate).
 			p.stopRequested = true
 			c.log("task reported on two machines", "job", t.Job, "task", t.Index, "machine", m.name, "other", q.machine.name)
 		case q.fromPartitionRecord:
@@ -307,8 +307,8 @@
 }
 
 // handleUnreportedTasks updates the placements that a new report does not list. A task that was
-// reported before is gone. A start that can no longer arrive is sent again, or removed if the
-// task is to be stopped.
+// reported before is gone. A start that the worker has not executed is sent again. If the task is
+// to be stopped, its placement is removed once the start can no longer arrive.
 func (c *Core) handleUnreportedTasks(m *machine, r *Report, periodic bool, now Micros) {
 	unexecuted := false
 	for i := len(m.placements) - 1; i >= 0; i-- {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -141,7 +141,7 @@
 	if c.unreconciled > 0 {
 		return
 	}
-	// Every machine has reported or its lease has expired.
+	// Each machine has reported, is in a partition record, or is lost or deleted.
 	c.log("takeover settled")
 	for _, j := range c.jobs {
 		c.clearUnaccounted(j)
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -247,7 +247,7 @@
 // The operations.
 const (
 	Start  Op = iota
-	Stop      // stop the task after the grace period
+	Stop      // stop the task within the grace period
 	Forget    // remove an exited task from the reports
 )
 
@@ -279,7 +279,7 @@
 	// while tasks of the cancelled job may still be on it or may be started by a command in flight.
 	MaxCancelStaleness Micros
 	ReleaseInterval    Micros // minimum time between two release requests
-	ListLag            Micros // the cloud's machine list is outdated by up to this or twice this time
+	ListLag            Micros // delay of the cloud's machine list; it may be up to twice as long
 	ChunkSize          int    // number of tasks in one completion record
 	// RecordInterval is the minimum time between two writes of a machine group's record. Machines
 	// that come up shortly after one another share a write.
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -1,7 +1,7 @@
 package core
 
-// TaskCounts returns the numbers of a job's tasks that are done and that are running. ok is false if
-// this node does not lead or the job is not unfinished.
+// TaskCounts returns the numbers of a job's tasks that are done and that are running. ok is false
+// if this node does not lead or there is no unfinished job with this ID.
 func (c *Core) TaskCounts(id string) (done, running int, ok bool) {
 	if !c.leading {
 		return 0, 0, false
@@ -32,9 +32,9 @@
 	Age     Micros // time since the task was placed
 }
 
-// Tasks returns at most limit of a job's tasks that are done or on a machine, from the index first on.
-// more reports whether there are others after them. ok is false if this node does not lead or the job
-// is not known.
+// Tasks returns at most limit of a job's tasks that are done or on a machine, from the index first
+// on. more reports whether there are others after them. ok is false if this node does not lead or
+// the job is not known.
 func (c *Core) Tasks(now Micros, id string, first, limit int) (tasks []TaskView, more, ok bool) {
 	j := c.jobs[id]
 	if !c.leading || j == nil {
