--- a/internal/core/completions.go
+++ b/internal/core/completions.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// completionsRecorded marks the completions of placements as recorded, so that their workers are told
-// to forget them.
+// completionsRecorded marks the completions of placements as recorded, so that their workers are
+// told to forget them.
 func (c *Core) completionsRecorded(completed []*placement) {
 	for _, p := range completed {
 		p.completionRecorded = true
@@ -82,8 +82,9 @@
 	}
 }
 
-// completionWriteDelay is the delay of a completion's write, so that many completions share a write.
-// Until the write, the tasks stay in the reports of their machines, so the delay costs little.
+// completionWriteDelay is the delay of a completion's write, so that many completions share a
+// write. Until the write, the tasks stay in the reports of their machines, so the delay costs
+// little.
 const completionWriteDelay = 10 * Second
 
 // flushCompletions writes the final records of jobs that are done, and the completed tasks of other
@@ -109,7 +110,8 @@
 	c.completionQueue = remaining
 }
 
-// writeFinalRecord writes the final record of a job that is done and deletes the leader's records of it.
+// writeFinalRecord writes the final record of a job that is done and deletes the leader's records
+// of it.
 func (c *Core) writeFinalRecord(j *job) {
 	j.writingFinal = true
 	rec := j.record
@@ -131,8 +133,8 @@
 	})
 }
 
-// writeCompletions writes the completion records of up to eight chunks of a job that have changed. If
-// the write fails, they are written again later.
+// writeCompletions writes the completion records of up to eight chunks of a job that have changed.
+// If the write fails, they are written again later.
 func (c *Core) writeCompletions(j *job) {
 	j.writingCompletions = true
 	chunks := make([]int, 0, len(j.dirtyChunks))
--- a/internal/core/configure.go
+++ b/internal/core/configure.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Configure replaces the quotas of the teams and the tuning. It may be called during a term. Tasks of
-// a team that exceeds its new limit continue to run, and no more are placed for it (KEP-9: a max
+// Configure replaces the quotas of the teams and the tuning. It may be called during a term. Tasks
+// of a team that exceeds its new limit continue to run, and no more are placed for it (KEP-9: a max
 // limits requests). A new guarantee applies from the next placement pass on, to the team and to
 // those that borrow from it. A team that is not in teams has no guarantee and no limit.
 func (c *Core) Configure(teams []Team, tuning Tuning) {
--- a/internal/core/job_stats.go
+++ b/internal/core/job_stats.go
@@ -48,9 +48,9 @@
 	return s
 }
 
-// CollectJobStats counts jobs by team and class, ordered by these. It counts from the records of the
-// jobs, so the result does not depend on which node leads or for how long. wall is the wall-clock
-// time. started reports whether tasks of a job may have been started.
+// CollectJobStats counts jobs by team and class, ordered by these. It counts from the records of
+// the jobs, so the result does not depend on which node leads or for how long. wall is the
+// wall-clock time. started reports whether tasks of a job may have been started.
 func CollectJobStats(jobs iter.Seq[JobRecord], wall Micros, started func(id string) bool) []JobStats {
 	type pair struct{ team, class string }
 	stats := map[pair]*JobStats{}
@@ -87,7 +87,8 @@
 	return out
 }
 
-// MayHaveStarted reports whether it is recorded that tasks of an unfinished job may have been started.
+// MayHaveStarted reports whether it is recorded that tasks of an unfinished job may have been
+// started.
 func (c *Core) MayHaveStarted(id string) bool {
 	j := c.jobs[id]
 	return j != nil && j.mayHaveStarted
--- a/internal/core/machine_groups.go
+++ b/internal/core/machine_groups.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// machineGroup is a group of machines that may have been sent tasks and that share one record in the
-// state service. Machines share records because the state service accepts few writes per second and
-// dozens of machines may come up at the same time.
+// machineGroup is a group of machines that may have been sent tasks and that share one record in
+// the state service. Machines share records because the state service accepts few writes per second
+// and dozens of machines may come up at the same time.
 type machineGroup struct {
 	key       string
 	machines  []*machine
@@ -26,8 +26,8 @@
 	writeRetryDelay = Second / 2
 )
 
-// addToGroup adds a machine to a group, so that it is recorded in the state service before it is sent
-// its first task.
+// addToGroup adds a machine to a group, so that it is recorded in the state service before it is
+// sent its first task.
 func (c *Core) addToGroup(m *machine, now Micros) {
 	if m.record != nil {
 		return
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -15,9 +15,9 @@
 	PartitionPrefix  = "b/kept/"
 )
 
-// CompletionKey returns the key of the completion record of a chunk of a job's tasks. The key changes
-// with the number of writes of the chunk that were not acknowledged. The completed tasks of a chunk
-// are the union of all its records.
+// CompletionKey returns the key of the completion record of a chunk of a job's tasks. The key
+// changes with the number of writes of the chunk that were not acknowledged. The completed tasks of
+// a chunk are the union of all its records.
 func CompletionKey(id string, chunk, unacknowledged int) string {
 	if unacknowledged == 0 {
 		return fmt.Sprintf("%s%s/%d", CompletionPrefix, id, chunk)
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -10,8 +10,9 @@
 // unreachableReason is the reason for the release of an unreachable machine.
 const unreachableReason = "silent"
 
-// releaseMachines releases machines that are lost, unreachable, drained, idle, or that did not come up
-// in time. shortfall is what the reservations lack; the capacity of released idle machines is added.
+// releaseMachines releases machines that are lost, unreachable, drained, idle, or that did not come
+// up in time. shortfall is what the reservations lack; the capacity of released idle machines is
+// added.
 func (c *Core) releaseMachines(now Micros, shortfall *Resources) {
 	c.updateSpare(now)
 	var idle []*machine
@@ -88,8 +89,8 @@
 	}
 }
 
-// cancelRelease removes a machine from the release queue. It does nothing if the request has been sent
-// to the cloud already.
+// cancelRelease removes a machine from the release queue. It does nothing if the request has been
+// sent to the cloud already.
 func (c *Core) cancelRelease(m *machine) {
 	if i := slices.Index(c.releaseQueue, m); i >= 0 {
 		c.releaseQueue = slices.Delete(c.releaseQueue, i, i+1)
@@ -103,8 +104,8 @@
 const maxMachinesPerRelease = 100
 
 // sendReleases requests the release of queued machines. It sends many machines per request, one
-// request at a time and with a delay between two: during a mass failure a few machines are queued at
-// a time, the cloud allows few requests, and rentals have precedence.
+// request at a time and with a delay between two: during a mass failure a few machines are queued
+// at a time, the cloud allows few requests, and rentals have precedence.
 func (c *Core) sendReleases(now Micros) {
 	if c.releaseInFlight || len(c.releaseQueue) == 0 || now < c.nextReleaseAt {
 		return
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -12,7 +12,8 @@
 	spot              bool
 }
 
-// rental is a request for machines, from the decision until all its machines are recorded or deleted.
+// rental is a request for machines, from the decision until all its machines are recorded or
+// deleted.
 type rental struct {
 	RentalRecord
 	reason    string
@@ -77,8 +78,8 @@
 	RentUnknown             // failed or unanswered: the same request is sent again
 )
 
-// HandleRentalResult handles the result of a Rent with the request ID. machines are the names of the
-// rented machines, and wall is the wall-clock time at now.
+// HandleRentalResult handles the result of a Rent with the request ID. machines are the names of
+// the rented machines, and wall is the wall-clock time at now.
 func (c *Core) HandleRentalResult(now, wall Micros, request string, o RentOutcome, machines []string) {
 	if !c.leading {
 		return
@@ -111,8 +112,8 @@
 	}
 }
 
-// awaitMachines adds the machines of a granted rental. thisTerm is false for a rental that an earlier
-// leader recorded.
+// awaitMachines adds the machines of a granted rental. thisTerm is false for a rental that an
+// earlier leader recorded.
 func (c *Core) awaitMachines(r *rental, thisTerm bool) {
 	for _, n := range r.Machines {
 		m := c.machines[n]
@@ -134,8 +135,8 @@
 	}
 }
 
-// removeFromRental removes a machine that is recorded or deleted from its rental. It deletes the rental
-// when no machine is left in it.
+// removeFromRental removes a machine that is recorded or deleted from its rental. It deletes the
+// rental when no machine is left in it.
 func (c *Core) removeFromRental(name string) {
 	r := c.rentalByMachine[name]
 	if r == nil {
--- a/internal/core/stop.go
+++ b/internal/core/stop.go
@@ -1,7 +1,7 @@
 package core
 
-// stopPlacement requests that a placement is stopped within the grace period. A placement whose start
-// was never sent is removed immediately. A shorter grace period replaces an earlier one.
+// stopPlacement requests that a placement is stopped within the grace period. A placement whose
+// start was never sent is removed immediately. A shorter grace period replaces an earlier one.
 func (c *Core) stopPlacement(p *placement, now Micros, grace Micros) {
 	if p.stopRequested && grace >= p.grace {
 		return
--- a/internal/core/summary.go
+++ b/internal/core/summary.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// fleetCost is the cost of the fleet per hour, by usage. The cost of a machine with tasks is split by
-// the dominant share of each task.
+// fleetCost is the cost of the fleet per hour, by usage. The cost of a machine with tasks is split
+// by the dominant share of each task.
 type fleetCost struct {
 	booting, idle             float64 // machines that are not up yet, and machines without tasks
 	running, waiting, service float64 // shares of running and of other batch tasks, and of service tasks
