--- a/internal/core/commands_test.go
+++ b/internal/core/commands_test.go
@@ -51,8 +51,8 @@
 	w.want("reaped", len(f.status.Tasks), 0)
 }
 
-// TestCommandsWhileReleasing checks that a machine that is being released still gets stop commands and
-// no starts. The cloud may take minutes to delete it when many machines are released.
+// TestCommandsWhileReleasing checks that a machine that is being released still gets stop commands
+// and no starts. The cloud may take minutes to delete it when many machines are released.
 func TestCommandsWhileReleasing(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
--- a/internal/core/completions_test.go
+++ b/internal/core/completions_test.go
@@ -69,8 +69,8 @@
 	next.want("dropped", next.deletes[CompletionKey("job-9", 0, 0)] && next.deletes[StartedPrefix+"job-9"], true)
 }
 
-// TestFailingMachinesAndJobs checks that a machine on which several jobs fail is drained and released,
-// and that a job that fails on every machine backs off and preempts no tasks.
+// TestFailingMachinesAndJobs checks that a machine on which several jobs fail is drained and
+// released, and that a job that fails on every machine backs off and preempts no tasks.
 func TestFailingMachinesAndJobs(t *testing.T) {
 	t.Run("quarantine", func(t *testing.T) {
 		w := newWorld(t, Team{Name: "blue"})
--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// reportRefused sends a periodic report and reports whether it is refused. The worker ignores the
-// answer.
+// reportRefused sends a periodic report and returns whether it is not answered. The worker ignores
+// the answer.
 func (f *fakeWorker) reportRefused() bool {
 	f.status.Seq++
 	r := f.status
--- a/internal/core/job_stats_test.go
+++ b/internal/core/job_stats_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestJobStats checks that jobs are counted by team and class from the records, and that a new leader
-// gets the same result.
+// TestJobStats checks that jobs are counted by team and class from the records, and that a new
+// leader gets the same result.
 func TestJobStats(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue", Max: Resources{CPU: 8000}}, Team{Name: "green"})
 	w.beginTerm(100, nil, Snapshot{})
--- a/internal/core/names_test.go
+++ b/internal/core/names_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Names and values that are kept, sent and set.
+// TestNames checks names and values that are stored in records, sent to workers or used in
+// settings, and therefore must not change.
 func TestNames(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRecordBeforeStart checks that no start is sent to a machine that is not recorded, nor for a job
-// without a started record.
+// TestRecordBeforeStart checks that no start is sent to a machine that is not recorded, nor for a
+// job without a started record.
 func TestRecordBeforeStart(t *testing.T) {
 	for _, key := range []string{MachinePrefix, StartedPrefix} {
 		t.Run(key, func(t *testing.T) {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -212,16 +212,16 @@
 	}
 }
 
-// BenchmarkSteady measures half a minute with a full fleet, in which a waiting task replaces each task
-// that completes: reports, completions and starts.
+// BenchmarkSteady measures half a minute with a full fleet, in which a waiting task replaces each
+// task that completes: reports, completions and starts.
 func BenchmarkSteady(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		f.measure(b, func() { f.submitPerSecond(30, n/600) })
 	})
 }
 
-// BenchmarkBurst measures ten seconds in which jobs for the capacity of the whole fleet are submitted
-// while the fleet is full.
+// BenchmarkBurst measures ten seconds in which jobs for the capacity of the whole fleet are
+// submitted while the fleet is full.
 func BenchmarkBurst(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		f.measure(b, func() { f.submitPerSecond(10, n/100) })
@@ -241,8 +241,8 @@
 	})
 }
 
-// BenchmarkTakeover measures a takeover by a new leader, from reading the records until every machine
-// has reported.
+// BenchmarkTakeover measures a takeover by a new leader, from reading the records until every
+// machine has reported.
 func BenchmarkTakeover(b *testing.B) {
 	forFleetSizes(b, func(b *testing.B, f *benchFleet, n int) {
 		var jobs []JobRecord
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -69,8 +69,8 @@
 }
 
 // TestAnswerGrace checks that a leader whose own lease has expired renews the leases of workers
-// without sending commands, but not of workers with a higher token. The next leader waits as much
-// longer for machines that do not report.
+// without sending commands, but not of workers with a higher token. The next leader waits longer
+// for machines that do not report, by AnswerGrace.
 func TestAnswerGrace(t *testing.T) {
 	w := newWorld(t, blue)
 	w.beginTerm(100, nil, Snapshot{})
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// world is a simulated cluster for tests: a Core, a clock, fake workers that execute their commands, and
-// a record of the actions that the Core returned.
+// world is a simulated cluster for tests: a Core, a clock, fake workers that execute their
+// commands, and a record of the actions that the Core returned.
 type world struct {
 	t           *testing.T
 	c           *Core
--- a/internal/core/zone_test.go
+++ b/internal/core/zone_test.go
@@ -192,7 +192,8 @@
 	w.want("probes in flight", w.c.probesInFlight, 0)
 }
 
-// TestStopCancelled checks that only the running tasks of cancelled jobs are stopped.
+// TestStopCancelled checks that the tasks of cancelled jobs that have not exited are stopped, and
+// no others.
 func TestStopCancelled(t *testing.T) {
 	got := StopCancelled([]TaskReport{
 		{Job: "job-1", Index: 2, Attempt: 9, State: Running}, {Job: "job-1", Index: 3, Attempt: 9, State: Exited}, {Job: "job-2", State: Running},
