--- a/internal/core/names_test.go
+++ b/internal/core/names_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestNames checks names and values that are stored in records, sent to workers or used in
-// settings, and therefore must not change.
+// TestNames checks names and values that are stored, sent or used in settings, and therefore must
+// not change.
 func TestNames(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -237,7 +237,7 @@
 	Session    uint64
 	Seq        uint64 // number of the report within the session
 	Token      uint64 // highest fencing token that the worker has received
-	SpotNotice Micros // time until the spot machine is reclaimed; -1: no notice
+	SpotNotice Micros // time until the cloud takes the spot machine back; -1: no notice
 	Tasks      []TaskReport
 }
 
