--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -47,7 +47,8 @@
 }
 
 // since returns the cancellations with a higher revision, at most maxCancellationsPerReply, and
-// whether these are all that this node knows of.
+// whether the list is complete. It is not if more entries follow, or if entries with a higher
+// revision may have been dropped from the log.
 func (c *cancellationLog) since(revision uint64) ([]peer.Cancellation, bool) {
 	i := len(c.entries)
 	for i > 0 && c.entries[i-1].Revision > revision {
--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -108,8 +108,8 @@
 	c.freshUntil.Store(int64(c.follower.FreshUntil(n.currentAsOf)))
 }
 
-// mayDecide reports whether this node has read the configuration recently enough to place tasks
-// and to refuse jobs by it.
+// mayDecide reports whether this node may place tasks and refuse jobs by the configuration: it has
+// read the configuration recently, and the latest version that it has read is in effect.
 func (n *Node) mayDecide() bool { return n.clusterConfig.follower.MayDecide(n.now(), n.currentAsOf) }
 
 // mayStartTasks reports whether commands that start tasks may be sent. Any goroutine may call it,
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -116,7 +116,7 @@
 	return ops
 }
 
-// dropTermWrites drops the queued writes of a term that is over.
+// dropTermWrites drops the task writes and background writes that are queued when a term ends.
 func (c *committer) dropTermWrites() {
 	c.backgroundQueue = nil
 	clear(c.taskQueues[:])
@@ -145,7 +145,8 @@
 }
 
 // send commits the requests in one transaction. When the response arrives it calls finished, and
-// then done of each request unless it is retried.
+// then done of each request. It doesn't call done of requests that are queued again, nor of
+// refused background writes of a term that is over, which are dropped.
 func (c *committer) send(reqs []*writeRequest, finished func()) {
 	txn := &wire.Txn{If: []wire.Cond{}}
 	included := map[wire.Cond]bool{}
--- a/internal/node/names_test.go
+++ b/internal/node/names_test.go
@@ -17,8 +17,9 @@
 	"aspenstall/internal/wire"
 )
 
-// Names that leave the process are compared with testdata/names.json, which no tool that
-// renames identifiers changes: messages as JSON, lists for structs without keys.
+// These tests compare the names that leave the process with testdata/names.json. A rename of an
+// identifier doesn't change that file. It holds messages as JSON; structs that are encoded without
+// keys are lists.
 
 func golden(t *testing.T, name string) json.RawMessage {
 	t.Helper()
@@ -33,7 +34,7 @@
 	return all[name]
 }
 
-// packed is MessagePack of some JSON.
+// packed returns the MessagePack form of a JSON text.
 func packed(t *testing.T, text []byte) []byte {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -89,7 +90,8 @@
 	}
 }
 
-// allSet checks that every field has a value, and that none but flags have the same one.
+// allSet checks that every field of v is set, and that no two fields except booleans have the same
+// value. seen holds the paths of the values so far.
 func allSet(t *testing.T, path string, v reflect.Value, seen map[string]string) {
 	t.Helper()
 	switch v.Kind() {
@@ -172,5 +174,5 @@
 	}
 }
 
-// bitmap is a chunk's with one revision, as it is kept.
+// bitmap is the stored bitmap of a chunk that contains one revision.
 const bitmap = "OjAAAAEAAAAAAAAAEAAAAGQA"
--- a/internal/node/nomad.go
+++ b/internal/node/nomad.go
@@ -199,9 +199,11 @@
 	}
 }
 
-// ReadRegistry runs read on the owning goroutine when the query's condition holds, and returns the index
-// that read saw, which is never lower than q.After. Nothing is polled: a waiting query is woken by
-// the change, which arrives by the watch that the node has anyway.
+// ReadRegistry runs read on the owning goroutine and returns the index that read saw, which is
+// never lower than q.AfterIndex. If q.AfterIndex is 0, read runs after a linearizable read of the
+// view. Otherwise it runs when the index is higher than q.AfterIndex, when counts change and
+// q.WakeOnCounts is set, or when q.MaxWait has passed. Nothing is polled: a waiting query is woken
+// by the change, which arrives by the watch that the node has anyway.
 func (n *Node) ReadRegistry(ctx context.Context, q httpapi.Query, read func(*registry.Registry)) (uint64, error) {
 	type outcome struct {
 		index uint64
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -29,8 +29,8 @@
 	deadLetterPrefix = outboxPrefix + "dead/" // followed by the subscription, the job and the kind of event
 )
 
-// notifier holds the notifications of a node. outbox belongs to the owning goroutine. It is set
-// only while this node leads and has read the outbox's records.
+// notifier holds the state for the delivery of notifications. outbox belongs to the owning
+// goroutine. It is set only while this node leads and has read the outbox's records.
 type notifier struct {
 	subscriptions []string                   // their names
 	senders       map[string]*deliver.Sender // by subscription; subscriptions of one receiver share a sender
@@ -268,8 +268,9 @@
 	}
 }
 
-// eventPage returns the events that follow those that the outbox holds of a subscription. all
-// reports whether these are all events up to upTo.
+// eventPage returns the events after a.After, at most a.Limit unless several share the last
+// revision. upTo is the last revision that they cover, and all reports whether no later events are
+// known.
 func (n *Node) eventPage(a notify.FetchEvents) (events []notify.Event, upTo uint64, all bool) {
 	events = n.eventsAfter(a.After, n.view.revision)
 	for i, e := range events {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -153,7 +153,9 @@
 	out, ok := call(ctx, n, func(reply func(*peer.Status)) {
 		n.applyPeerStatus(s)
 		out := n.status()
-		if s.Revision > 0 && n.view.ready { // else it is not known what the previous process of this node told users
+		// Before the view is read, this node does not know which cancellations its previous process
+		// told users of.
+		if s.Revision > 0 && n.view.ready {
 			out.Cancellations, out.CancellationsComplete = n.cancellations.since(s.Revision)
 		}
 		if s.Token != 0 {
@@ -199,7 +201,7 @@
 // reach it again earlier.
 const abstainDuration = 30 * core.Second
 
-// updateHealth decides whether this node reports itself as healthy, which is where users go.
+// updateHealth decides whether this node reports itself as healthy. Users go to healthy nodes.
 //
 // During an outage of the state service no node is better than another, and refusing users would
 // only make them wait longer afterwards. But if a peer reaches the service and this node does not,
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -65,12 +65,13 @@
 	})
 }
 
-// maxResponseAge is how long after a request arrived its response may be written, if a later
-// response may differ. Users do not wait longer: they ask another node meanwhile.
+// maxResponseAge is how long a response may still be written if a later response may differ. It
+// counts from the arrival of the request, or from the write of an accepted job. Users do not wait
+// longer: they ask another node meanwhile.
 const maxResponseAge = 1500 * core.Millisecond
 
-// freshSince returns a function that reports whether a response to a request received at
-// receivedAt may still be written.
+// freshSince returns a function that reports whether a response may still be written whose age
+// counts from receivedAt.
 func (n *Node) freshSince(receivedAt core.Micros) func() bool {
 	return func() bool { return n.now() < receivedAt+maxResponseAge }
 }
@@ -102,8 +103,8 @@
 }
 
 // refuseOrCreate refuses a submission that can't run by the configuration read since it arrived:
-// the configuration may have changed since the first check. The refusal is not written either if
-// the configuration changes before that.
+// the configuration may have changed since the first check. If it changes again before the refusal
+// is written, the response is 503 instead.
 func (n *Node) refuseOrCreate(spec *core.JobSpec, receivedAt core.Micros, reply func(httpapi.Response)) {
 	switch {
 	case !n.mayDecide():
@@ -159,8 +160,8 @@
 	}
 }
 
-// resubmitIfConfigChanged submits a job again that no node knows, if the configuration has changed
-// since configRevision. The write of the job was conditional on an unchanged configuration.
+// resubmitIfConfigChanged submits a job again, which is still unknown, if the configuration has
+// changed since configRevision. The write of the job was conditional on an unchanged configuration.
 func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, configRevision uint64, reply func(httpapi.Response)) {
 	if n.configUnchanged(configRevision) {
 		reply(httpapi.Unavailable())
@@ -317,7 +318,8 @@
 	})
 }
 
-// respondToReport replies to a worker's report with commands under a token.
+// respondToReport replies to a worker's report with commands under a token. fresh, if not nil, is
+// checked right before the response is written.
 func (n *Node) respondToReport(reply func(httpapi.Response), token uint64, cmds []core.Command, fresh func() bool) {
 	b, err := wire.EncodeCommands(token, 0, cmds)
 	if err != nil {
--- a/internal/node/submission_test.go
+++ b/internal/node/submission_test.go
@@ -14,9 +14,8 @@
 )
 
 // TestUnknownJobResponseExpires checks that a refused submission, and a request for a job that is
-// not known, are answered only for maxResponseAge after the read on which the response rests. A
-// process that was stopped in between must not send the response: another node may have accepted
-// the job meanwhile.
+// not known, are answered only for maxResponseAge after the request arrived. A process that was
+// stopped in between must not send the response: another node may have accepted the job meanwhile.
 func TestUnknownJobResponseExpires(t *testing.T) {
 	infeasible := &core.JobSpec{ID: "job-1", Team: "nobody", Tasks: 1}
 	for _, c := range []struct {
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -117,7 +117,8 @@
 	if err != nil {
 		return fmt.Errorf("grant the leader's lease: %w", err)
 	}
-	// Renewals begin once this node holds the key. Until then the lease runs from its grant.
+	// Renewals begin once this node holds the key. Until then the lease counts from the request
+	// for its grant.
 	until := core.LeaseValidUntil(sent, core.Micros(ttl/time.Microsecond))
 	value, err := wire.Marshal(&wire.LeaderRecord{Node: n.platform.Member})
 	if err != nil {
@@ -292,7 +293,8 @@
 	}()
 }
 
-// raiseRetryPause is the pause between two attempts to raise a token that fenceWrites waits for.
+// raiseRetryPause is the pause between two attempts to raise the token while callbacks of
+// fenceWrites wait for it.
 const raiseRetryPause = 200 * time.Millisecond
 
 // fenceWrites raises the token, and calls then once no write that was sent under the old token can
@@ -340,8 +342,9 @@
 	}
 }
 
-// updateCatalog takes the catalog from the cloud and records it if it changed, for the other nodes
-// and for times when the cloud does not respond.
+// updateCatalog takes the catalog from the cloud. It records a change of the types or their
+// capacities, but not of prices alone, for the other nodes and for times when the cloud does not
+// respond.
 func (n *Node) updateCatalog(t *term, types []core.MachineType, raw []byte) {
 	if len(types) == 0 {
 		return
