--- a/internal/peer/names_test.go
+++ b/internal/peer/names_test.go
@@ -22,8 +22,9 @@
 	"aspenstall/internal/notify/control"
 )
 
-// Names that leave the process are compared with testdata/names.json, which no tool that
-// renames identifiers changes: messages as JSON, lists for structs without keys.
+// These tests compare the names that leave the process with testdata/names.json. A rename of an
+// identifier doesn't change that file. It holds messages as JSON; structs that are encoded without
+// keys are lists.
 
 func golden(t *testing.T, name string) json.RawMessage {
 	t.Helper()
@@ -38,7 +39,7 @@
 	return all[name]
 }
 
-// packed is MessagePack of some JSON.
+// packed returns the MessagePack form of a JSON text.
 func packed(t *testing.T, text []byte) []byte {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -94,7 +95,8 @@
 	}
 }
 
-// allSet checks that every field has a value, and that none but flags have the same one.
+// allSet checks that every field of v is set, and that no two fields except booleans have the same
+// value. seen holds the paths of the values so far.
 func allSet(t *testing.T, path string, v reflect.Value, seen map[string]string) {
 	t.Helper()
 	switch v.Kind() {
@@ -182,7 +184,7 @@
 	return &control.Response{}, nil
 }
 
-// What a client calls is what is served, under the published names.
+// TestMethodNames checks that the server serves, and the client calls, the published method names.
 func TestMethodNames(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -201,7 +203,7 @@
 			t.Errorf("%s: %v", method, err)
 		}
 	}
-	// The other way round: a server that knows nothing notes what it is asked for.
+	// Now the client: a server without services records the names of the methods that are called.
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// JobState is the response to a query for a job's state.
+// JobState is the response to a query for a job's state, to a cancellation, and to a submission of
+// a job that is already known.
 type JobState struct {
 	ID      string `msgpack:"uid"`
 	State   string `msgpack:"phase"`
@@ -67,7 +68,7 @@
 	Running int    `msgpack:"running"`
 }
 
-// AcceptedResponse is the response to a submission or a cancellation.
+// AcceptedResponse is the response to a submission that is accepted.
 type AcceptedResponse struct {
 	ID    string `msgpack:"uid"`
 	State string `msgpack:"phase"`
