--- a/internal/clusterconfig/clusterconfig_test.go
+++ b/internal/clusterconfig/clusterconfig_test.go
@@ -38,7 +38,8 @@
 		{"nothing", clusterconfig.Config{}, base.Teams, 10 * core.Second},
 		{"a quota within the platform's", clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": cpus(1000, 6000)}},
 			map[string]clusterconfig.Team{"blue": cpus(1000, 6000), "free": cpus(0, 0)}, 10 * core.Second},
-		// The platform's file is now stricter than the one that the configuration was checked against.
+		// The platform's file is now stricter than the one that the configuration was checked
+		// against.
 		{"a limit over the platform's", clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": cpus(9000, 9000)}},
 			map[string]clusterconfig.Team{"blue": cpus(8000, 8000), "free": cpus(0, 0)}, 10 * core.Second},
 		{"no limit where the platform has one", clusterconfig.Config{Teams: map[string]clusterconfig.Team{"blue": cpus(0, 0)}},
@@ -128,8 +129,8 @@
 	revision uint64
 }
 
-// commit executes a transaction of a plan. It returns false, and writes nothing, if the head isn't at
-// the given revision.
+// commit executes a transaction of a plan. It returns false, and writes nothing, if the head isn't
+// at the given revision.
 func (s *fakeStore) commit(t *testing.T, head uint64, writes []clusterconfig.Write, limits clusterconfig.Limits) bool {
 	t.Helper()
 	if len(writes) > limits.TxnOps {
@@ -202,11 +203,11 @@
 
 var walkCount = flag.Int("walks", 60, "the number of random walks of TestRandomWalk")
 
-// TestRandomWalk lets three operators change the configuration, with their transactions interleaved,
-// lost, late and repeated. Three followers read the changes in pieces, from the log or as a listing,
-// and some of them repeatedly. The test checks that no follower goes back to an older version or uses
-// a configuration that was never a version, and that all followers agree in the end. The long form,
-// outside CI:
+// TestRandomWalk lets three operators change the configuration, with their transactions
+// interleaved, lost, late and repeated. Three followers read the changes in pieces, from the log or
+// as a listing, and read some changes again. The test checks that no follower goes back to an older
+// version or uses a configuration that was never a version, and that all followers agree in the
+// end. The long form, outside CI:
 //
 //	go test ./internal/clusterconfig -run TestRandomWalk -walks 500
 func TestRandomWalk(t *testing.T) {
@@ -370,7 +371,7 @@
 func TestNewerFormat(t *testing.T) {
 	f := clusterconfig.NewFollower()
 	if !f.MayDecide(100*core.Second, 0) {
-		t.Error("no decision is allowed without a configuration, want any")
+		t.Error("decisions are refused without a configuration, want them allowed")
 	}
 	f.UpdateHead(clusterconfig.Head{Format: clusterconfig.Format}, 1, nil)
 	if changed, err := f.Resolve(); !changed || err != nil || !f.MayDecide(core.Second, 0) || f.MayDecide(clusterconfig.FreshnessTTL, 0) {
--- a/internal/clusterconfig/follower.go
+++ b/internal/clusterconfig/follower.go
@@ -7,16 +7,16 @@
 )
 
 // FreshnessTTL is how long a read of the state service remains valid for decisions: a placement
-// or the start of a task needs a read that began within this time. Once it has passed, plus the
-// drift of clocks, a change by operators is in force on every controller, even on one that has
-// not received it.
+// or the start of a task needs a read that began within this time. Once it has passed after a
+// change by operators, plus the drift of clocks, no controller decides by an older version: one
+// that has not read the change makes no such decisions.
 //
 // The watch starts a read at least every second. The remaining 1.5 s allow for a slow response
 // and a lost one.
 const FreshnessTTL = 2500 * core.Millisecond
 
-// InForceAfter is the time after the response to the write of a version from which on no
-// controller can decide by an older one: FreshnessTTL on a clock that is slower by the drift
+// InForceAfter is how long after the response to the write of a version controllers may still
+// decide by an older one: FreshnessTTL on a clock that is slower by the drift
 // (0.2%), and a margin of 100 ms between the check and the decision.
 const InForceAfter = FreshnessTTL + FreshnessTTL/500 + 100*core.Millisecond
 
@@ -47,8 +47,8 @@
 	f.records.Head, f.records.HeadRevision, f.headErr, f.pending = h, revision, err, true
 }
 
-// UpdatePage stores a page as of a revision. A page's key is the hash of its content, so a page from
-// an older read is harmless: either no head names it, or its content is the one that is named.
+// UpdatePage stores a page as of a revision. A page's key is the hash of its content, so a page
+// from an older read is harmless: either no head names it, or its content is the one that is named.
 func (f *Follower) UpdatePage(key string, p Page, revision uint64) {
 	if revision < f.pageRevisions[key] {
 		return
--- a/internal/clusterconfig/record.go
+++ b/internal/clusterconfig/record.go
@@ -133,7 +133,8 @@
 	HeadRevision uint64 // of the head that was read; 0 if there was none
 	Transactions [][]Write
 	Version      uint64
-	// UnusedPages are the pages, not deleted by the transactions, that the new head no longer names.
+	// UnusedPages are the pages that the new head no longer names and that the transactions don't
+	// delete.
 	UnusedPages []string
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -75,7 +75,8 @@
 	TxnOps  int     `json:"txn_ops"`
 }
 
-// recordOverheadBytes is the part of a value, in bytes, that is left for the encoding around a record.
+// recordOverheadBytes is the part of a value, in bytes, that is left for the encoding around a
+// record.
 const recordOverheadBytes = 200
 
 // ConfigLimits returns the smaller of the state service's present and announced limits, so that
@@ -205,7 +206,8 @@
 		PlacementInterval: 20 * core.Millisecond,
 		RecordInterval:    200 * core.Millisecond,
 		LeaderLease:       core.Seconds(s.LeaderLeaseS),
-		// Releases use about a third of the cloud's request rate.
+		// Releases use a quarter of the cloud's request rate, about a third of the calls that the
+		// cloud client may make.
 		ReleaseInterval: core.Seconds(4 / max(p.Params.Cloud.RPS, 1)),
 		ListLag:         core.Seconds(p.Params.Cloud.ListLagS),
 		MaxRecordBytes:  int(p.Params.State.ValueKB*1024 - recordOverheadBytes),
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,8 +27,8 @@
 	return path
 }
 
-// checkError checks that an error is one line that begins with path and contains want. If want is "",
-// no error is expected.
+// checkError checks that an error is one line that begins with path and contains want. If want is
+// "", no error is expected.
 func checkError(t *testing.T, err error, path, want string) {
 	t.Helper()
 	switch {
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestClusterConfig checks that errors in the cluster configuration name the line and the field, and
-// that a configuration that was written is read again as the same.
+// TestClusterConfig checks that errors in the cluster configuration name the line and the field,
+// and that a written configuration is read back unchanged.
 func TestClusterConfig(t *testing.T) {
 	base := clusterconfig.Base{Teams: map[string]clusterconfig.Team{"blue": {Min: core.Resources{CPU: 4000}, Max: core.Resources{CPU: 8000}, PriorityCap: core.High}}}
 	for _, c := range []struct{ name, text, want string }{
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// writeCertificate writes a self-signed certificate, as root and as client certificate, and its key.
+// writeCertificate writes a self-signed certificate, as root and as client certificate, and its
+// key.
 func writeCertificate(t *testing.T, dir string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -217,8 +218,8 @@
 	return out
 }
 
-// TestClusterConfigNames checks that every field of the cluster configuration is read and written by
-// its name.
+// TestClusterConfigNames checks that every field of the cluster configuration is read and written
+// by its name.
 func TestClusterConfigNames(t *testing.T) {
 	const path = "testdata/cluster.sexp"
 	got, err := ReadClusterConfig(path, &clusterconfig.Base{})
