--- a/cmd/aspenstall/config.go
+++ b/cmd/aspenstall/config.go
@@ -57,7 +57,8 @@
 // errDiffers is returned by diff if the file differs from the configuration.
 var errDiffers = errors.New("the configuration differs")
 
-// configExitCode returns the exit code for an error of these commands; 0 if it has no code of its own.
+// configExitCode returns the exit code for an error of these commands; 0 if it has no code of its
+// own.
 func configExitCode(err error) int {
 	switch {
 	case errors.Is(err, configclient.ErrNotReady):
@@ -189,7 +190,7 @@
 }
 
 // status prints the current version and the version that each controller uses. It returns
-// configclient.ErrNotReady if a controller may not follow the configuration.
+// configclient.ErrNotReady if a controller possibly doesn't follow the configuration.
 func (c *configCmd) status(ctx context.Context, k *configclient.Client, w io.Writer) error {
 	v, err := k.Read(ctx)
 	if err != nil {
--- a/cmd/aspenstall/main.go
+++ b/cmd/aspenstall/main.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// errConfig marks errors in settings and other files, which have the exit code exitConfig. Its text is
-// empty, so that wrapping it doesn't change a message.
+// errConfig marks errors in settings and other files, which have the exit code exitConfig. Its text
+// is empty, so that wrapping it doesn't change a message.
 var errConfig = errors.New("")
 
 // execute runs a command, which is given by its name and placeholders as kong has them.
@@ -103,8 +103,8 @@
 	return run(p, s)
 }
 
-// load reads and checks the settings and the platform's file. Unless needPlatform, the platform's
-// file may be missing; the first result is nil then.
+// load reads and checks the settings and the platform's file. Unless needPlatform, --config may be
+// omitted; the first result is nil then.
 func (c *cli) load(needPlatform bool) (*config.Platform, config.Settings, error) {
 	s, err := config.LoadSettings(c.Settings)
 	if err != nil {
--- a/cmd/aspenstall/nomad.go
+++ b/cmd/aspenstall/nomad.go
@@ -147,7 +147,8 @@
 	return nil
 }
 
-// checkFile parses and translates a job file. Refusals are in the result; the error is of reading it.
+// checkFile parses and translates a job file. Refusals are in the result. The error
+// reports that the file could not be read.
 func checkFile(path string, o jobfile.Options, t translate.Policy) (checkResult, error) {
 	k := checkResult{File: path}
 	src, err := os.ReadFile(path)
@@ -229,7 +230,8 @@
 	return b.String()
 }
 
-// run makes a random token, or reads one from r, and prints its hash. A missing key file is created.
+// run makes a random token, or reads one from r, and prints its hash. A missing key file is
+// created.
 func (c *nomadToken) run(r io.Reader, w io.Writer) error {
 	key, err := os.ReadFile(c.KeyFile)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/configclient/await.go
+++ b/internal/configclient/await.go
@@ -47,12 +47,12 @@
 	return err
 }
 
-// NotReady returns the controllers that may not follow the configuration: those that acknowledge it
-// in an older format, those that have never recorded support for it, and those that a peer reports
-// as an earlier version of the program. A controller that recorded support and has no
-// acknowledgement now is down or cut off; after clusterconfig.InForceAfter it makes no decisions by
-// an old version. A controller in Absent without an acknowledgement is included only if it leads
-// without recorded support, or if a peer reports it as an earlier version.
+// NotReady returns the controllers that possibly don't follow the configuration: those that
+// acknowledge it in an older format, those that have never recorded support for it, and those that
+// a peer reports as an earlier version of the program. A controller that recorded support and has
+// no acknowledgement now is down or partitioned; after clusterconfig.InForceAfter it makes no
+// decisions by an old version. A controller in Absent without an acknowledgement is included only
+// if it leads without recorded support, or if a peer reports it as an earlier version.
 func (c *Client) NotReady(v *View) []string {
 	var out []string
 	for _, name := range c.allControllers(v) {
@@ -111,9 +111,9 @@
 	Unconfirmed []string
 }
 
-// AwaitInForce waits until the change m is in force on every controller. before is the view that was
-// read before the change; the durations in the result count from started. If ctx ends first, it
-// returns ErrNotInForce with the progress so far.
+// AwaitInForce waits until the change m is in force on every controller. before is the view that
+// was read before the change; the durations in the result count from started. If ctx ends first,
+// it returns ErrNotInForce with the progress so far.
 func (c *Client) AwaitInForce(ctx context.Context, before *View, m *ApplyResult, started time.Time) (*Rollout, error) {
 	bound := m.AnsweredAt.Add(time.Duration(clusterconfig.InForceAfter) * time.Microsecond)
 	out := &Rollout{ConfirmedAfter: map[string]time.Duration{}}
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -28,7 +28,8 @@
 	ErrOutcomeUnknown = errors.New("whether the change was made is not known")
 	// ErrNotInForce means that the change was made, but not confirmed to be in force everywhere.
 	ErrNotInForce = errors.New("the change is made, and not known to be in force")
-	// ErrTeamHasJobs means that a team to be removed has unfinished jobs, or may still get new ones.
+	// ErrTeamHasJobs means that a team to be removed has unfinished jobs, or may still get new
+	// ones.
 	ErrTeamHasJobs = errors.New("the team has jobs that are not over")
 )
 
@@ -89,7 +90,8 @@
 
 // EnsureReady waits until every controller supports configuration records, and returns the view. If
 // there is no head yet, it first writes one that changes nothing; earlier versions of the program
-// ignore it. If ctx ends first, it returns ErrNotReady, or ErrOutcomeUnknown if nothing could be read.
+// ignore it. If ctx ends first, it returns ErrNotReady, or ErrOutcomeUnknown if it could not read
+// the configuration or write the head.
 func (c *Client) EnsureReady(ctx context.Context) (*View, error) {
 	var last *View // the last view that was not ready
 	var lastErr error
@@ -130,9 +132,9 @@
 	AnsweredAt time.Time
 }
 
-// Apply replaces the configuration that was read into v by another. id identifies the change: if a
-// change with this id was already made, because its response was lost, it is not made again. Apply
-// returns a clusterconfig.Problem for an invalid configuration, and ErrConflict, ErrTeamHasJobs,
+// Apply replaces the configuration that was read into v by another. id identifies the change: a
+// change that was already made, and whose response was lost, is not made again. Apply returns a
+// clusterconfig.Problem for an invalid configuration, and ErrConflict, ErrTeamHasJobs,
 // ErrNotInForce or ErrOutcomeUnknown.
 func (c *Client) Apply(ctx context.Context, v *View, to *clusterconfig.Config, id string) (*ApplyResult, error) {
 	if n, ok := v.Records.Head.VersionOfChange(id); ok {
@@ -247,7 +249,8 @@
 	}
 }
 
-// deleteUnusedPages deletes pages that the head no longer names. It stops at the first error.
+// deleteUnusedPages deletes pages that the head no longer names. It stops at the first error; the
+// next change deletes only the pages that it replaces itself.
 func (c *Client) deleteUnusedPages(ctx context.Context, headRevision uint64, keys []string) {
 	for len(keys) > 0 {
 		n := min(len(keys), c.Limits.TxnOps)
--- a/internal/netdial/shed.go
+++ b/internal/netdial/shed.go
@@ -8,7 +8,7 @@
 
 // ShedListener returns a listener that closes new connections at once while maxOpen connections
 // are open. The client then connects to another node, instead of waiting in a queue whose sockets
-// count towards the limit as well.
+// count towards the platform's limit on connections as well.
 func ShedListener(l net.Listener, maxOpen int) net.Listener {
 	return &shedListener{Listener: l, maxOpen: int64(maxOpen)}
 }
