--- a/internal/clusterconfig/follower.go
+++ b/internal/clusterconfig/follower.go
@@ -126,8 +126,9 @@
 // configuration must not be used for decisions.
 func (f *Follower) Current() bool { return f.records.HeadRevision == f.effectiveRevision }
 
-// FreshUntil returns the time until which the configuration may be used for decisions.
-// readStarted is when the last answered read of the state service began.
+// FreshUntil returns the time until which the configuration may be used for decisions: without
+// limit if no head exists, and 0 if the latest version that was read is not in use. readStarted is
+// when the last answered read of the state service began.
 func (f *Follower) FreshUntil(readStarted core.Micros) core.Micros {
 	switch {
 	case !f.Enabled():
--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -109,7 +109,8 @@
 }
 
 // mayDecide reports whether this node may place tasks and refuse jobs by the configuration: it has
-// read the configuration recently, and the latest version that it has read is in effect.
+// read the configuration recently, and the latest version that it has read is in effect. It always
+// may while no configuration exists.
 func (n *Node) mayDecide() bool { return n.clusterConfig.follower.MayDecide(n.now(), n.currentAsOf) }
 
 // mayStartTasks reports whether commands that start tasks may be sent. Any goroutine may call it,
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// resubmitIfConfigChanged submits a job again, which is still unknown, if the configuration has
+// resubmitIfConfigChanged submits a job that is still unknown once more if the configuration has
 // changed since configRevision. The write of the job was conditional on an unchanged configuration.
 func (n *Node) resubmitIfConfigChanged(spec *core.JobSpec, configRevision uint64, reply func(httpapi.Response)) {
 	if n.configUnchanged(configRevision) {
