--- a/cmd/aspenstall/notify.go
+++ b/cmd/aspenstall/notify.go
@@ -22,10 +22,10 @@
 	Output     string        `help:"How to print: text or json." enum:"text,json" default:"text"`
 	Timeout    time.Duration `help:"How long to wait." default:"10s"`
 
-	List  struct{} `cmd:"" help:"How the subscriptions stand."`
-	Show  showCmd  `cmd:"" help:"What was put aside."`
-	Retry asideCmd `cmd:"" help:"Send again what was put aside."`
-	Drop  asideCmd `cmd:"" help:"Forget what was put aside."`
+	List  struct{}              `cmd:"" help:"How the subscriptions stand."`
+	Show  showCmd               `cmd:"" help:"What was put aside."`
+	Retry failedNotificationCmd `cmd:"" help:"Send again what was put aside."`
+	Drop  failedNotificationCmd `cmd:"" help:"Forget what was put aside."`
 }
 
 // showCmd holds the arguments of the command that lists failed notifications.
@@ -33,8 +33,9 @@
 	Subscription string `arg:"" optional:"" help:"Of this subscription only."`
 }
 
-// asideCmd names a notification that was put aside because its delivery failed.
-type asideCmd struct {
+// failedNotificationCmd holds the arguments of the commands for one notification, which was put
+// aside because its delivery failed.
+type failedNotificationCmd struct {
 	Subscription string `arg:""`
 	Job          string `arg:""`
 	Event        string `arg:"" help:"accepted, done or cancelled"`
--- a/internal/clusterconfig/follower.go
+++ b/internal/clusterconfig/follower.go
@@ -28,8 +28,8 @@
 	config            *Config
 	version           uint64
 	effectiveRevision uint64 // revision of the head that config was read from
-	headErr           error
-	pending           bool // records changed since the last Resolve
+	resolveErr        error  // why the stored head can't be used; nil: not found unusable
+	pending           bool   // records changed since the last Resolve
 	reportedErr       error
 }
 
@@ -44,7 +44,7 @@
 	if revision <= f.records.HeadRevision {
 		return
 	}
-	f.records.Head, f.records.HeadRevision, f.headErr, f.pending = h, revision, err, true
+	f.records.Head, f.records.HeadRevision, f.resolveErr, f.pending = h, revision, err, true
 }
 
 // UpdatePage stores a page as of a revision. A page's key is the hash of its content, so a page
@@ -77,17 +77,17 @@
 	if f.records.HeadRevision <= f.effectiveRevision {
 		return false, nil
 	}
-	if f.headErr == nil {
+	if f.resolveErr == nil {
 		var c *Config
-		if c, f.headErr = f.records.Config(); f.headErr == nil {
+		if c, f.resolveErr = f.records.Config(); f.resolveErr == nil {
 			f.config, f.version, f.effectiveRevision, f.reportedErr = c, f.records.Head.Version, f.records.HeadRevision, nil
 			f.dropUnreferencedPages()
 			return true, nil
 		}
 	}
-	err = f.headErr
+	err = f.resolveErr
 	if errors.Is(err, ErrPageMissing) {
-		f.headErr = nil // the page or a newer head has yet to be read
+		f.resolveErr = nil // the page or a newer head has yet to be read
 	}
 	if f.reportedErr != nil && f.reportedErr.Error() == err.Error() {
 		return false, nil
--- a/internal/configclient/await.go
+++ b/internal/configclient/await.go
@@ -57,10 +57,10 @@
 	var out []string
 	for _, name := range c.allControllers(v) {
 		a, acked := v.Acks[name]
-		mayBeAbsent := v.SupportsConfig[name] || slices.Contains(c.Absent, name)
+		mayLackAck := v.SupportsConfig[name] || slices.Contains(c.Absent, name)
 		switch {
 		case acked && a.Format >= clusterconfig.Format:
-		case acked, !mayBeAbsent, reportedOlder(v, name), name == v.Leader && !v.SupportsConfig[name]:
+		case acked, !mayLackAck, reportedOlder(v, name), name == v.Leader && !v.SupportsConfig[name]:
 			out = append(out, name)
 		}
 	}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -189,7 +189,7 @@
 	}
 	m.directCommandFailed = true
 	m.commandFailures++
-	if !m.unreachable && c.isUnreachable(m, now) {
+	if !m.unreachable && c.unreachableTimeoutPassed(m, now) {
 		m.unreachable = true
 		c.nextFleetReviewAt = now // its tasks wait for the review
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -54,7 +54,7 @@
 	vacating            []*machine  // machines that are being emptied to be released
 	objectiveClasses    []*jobClass // classes with start objectives
 	reservedClasses     []*jobClass // those of objectiveClasses that have a reservation; see updateReservations
-	lendable            Resources   // capacity in excess of the reservations
+	reservationSurplus  Resources   // capacity in excess of the reservations; negative where it falls short
 	usageUpdatedAt      Micros      // last time at which the usage of objectiveClasses was recorded
 	termBeganAt         Micros
 	reservationsUnknown bool // the term has not determined yet what to reserve
--- a/internal/core/fault_combinations_test.go
+++ b/internal/core/fault_combinations_test.go
@@ -206,11 +206,11 @@
 	w.want("inbound loss in a new session", m.inboundLost, true)
 }
 
-// TestLateRangeWrite guards against the loss of completions by a late write. A write of a
+// TestLateCompletionWrite guards against the loss of completions by a late write. A write of a
 // completion record without an answer may be executed after the next one. When both used the same
 // key, the late one overwrote what the other had added, and after a change of leader tasks ran
 // again whose completion had been recorded and which their workers had forgotten.
-func TestLateRangeWrite(t *testing.T) {
+func TestLateCompletionWrite(t *testing.T) {
 	w := newWorld(t, Team{Name: "blue"})
 	w.beginTerm(100, nil, Snapshot{})
 	f := w.newWorker("n-1", "a").report()
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -14,7 +14,7 @@
 	c.evacuateServices(now)
 	incoming := c.incomingMachines(now)
 	shortfall := c.reservationShortfall(now, nil)
-	c.lendable = Resources{}.Sub(shortfall)
+	c.reservationSurplus = Resources{}.Sub(shortfall)
 	for _, m := range incoming {
 		shortfall = shortfall.Sub(m.free)
 	}
@@ -49,7 +49,7 @@
 }
 
 // provisioningTime returns about how long it takes until a newly rented machine on which a task of
-// the job fits is up, or 0 if there is no such machine type.
+// the job fits is up: the boot time of the fastest type, or 0 if no type fits.
 func (c *Core) provisioningTime(s *JobSpec) Micros {
 	if t := c.fastestType(s); t != nil {
 		return t.BootTime
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -171,7 +171,7 @@
 // -1. It changes nothing else, such as the machine's image cache, so a plan that is dropped leaves
 // no trace.
 func (c *Core) adjustTentative(j *job, m *machine, sign int) {
-	c.updateUsage(m, func() { m.used = m.used.Add(j.spec.Resources.Times(sign)) })
+	c.updateMachineUsage(m, func() { m.used = m.used.Add(j.spec.Resources.Times(sign)) })
 	j.placedByZone[m.zone] += sign
 }
 
@@ -209,12 +209,12 @@
 	}
 }
 
-// retryWait restarts a gang task that exited because its peers were missing, on the same machine,
-// and reports whether it did. The task's image is there by now. Its peers may still fetch theirs,
-// which can take longer than a worker lets a task wait. Stopping the gang would abort those fetches
-// and repeat the same wait. The restart is sent only in the answer to a report, because a direct
-// command could arrive after the attempt is over.
-func (c *Core) retryWait(p *placement) bool {
+// restartAfterPeersMissing restarts a gang task that exited because its peers were missing, on the
+// same machine, and reports whether it did. The task's image is there by now. Its peers may still
+// fetch theirs, which can take longer than a worker lets a task wait. Stopping the gang would abort
+// those fetches and repeat the same wait. The restart is sent only in the answer to a report,
+// because a direct command could arrive after the attempt is over.
+func (c *Core) restartAfterPeersMissing(p *placement) bool {
 	j := p.job
 	if p.cause != CausePeersMissing || p.stopRequested || p.startUnanswered || p.waitRetries >= maxWaitRetries || j == nil || c.jobs[p.jobID] != j ||
 		j.cancelled || j.stopping || j.done > 0 || p.attempt != j.gangAttempt || j.lastRunAttempt == j.gangAttempt ||
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -31,7 +31,7 @@
 	running      int
 	placedByZone map[string]int // number of placements that occupy resources, by zone
 	requeued     []int          // tasks that became pending again
-	cursor       int            // no task from this index on has been placed
+	cursor       int            // where nextPending's scan continues; pending tasks before it are in requeued
 	pending      int
 	done         int
 	occupying    int // number of placements that occupy resources, including those to be stopped
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -11,7 +11,7 @@
 	session, seq        uint64 // of the newest report; session 0: none in this term
 	reportedToken       uint64 // highest fencing token that the worker has reported
 
-	record             *machineGroup  // the stored record that lists the machine, or will list it
+	group              *machineGroup  // the stored record that lists the machine, or will list it
 	recorded           bool           // the record that lists the machine is stored
 	retainedIn         *retainedGroup // its partition record; no task is placed here until the record ends
 	reconciled         bool           // this leader knows every task that may run on the machine
--- a/internal/core/machine_groups.go
+++ b/internal/core/machine_groups.go
@@ -29,7 +29,7 @@
 // addToGroup adds a machine to a group, so that it is recorded in the state service before it is
 // sent its first task.
 func (c *Core) addToGroup(m *machine, now Micros) {
-	if m.record != nil {
+	if m.group != nil {
 		return
 	}
 	i := slices.IndexFunc(c.machineGroups, func(g *machineGroup) bool { return len(g.machines) < c.cfg.MachinesPerRecord })
@@ -39,7 +39,7 @@
 	}
 	g := c.machineGroups[i]
 	g.machines = append(g.machines, m)
-	m.record = g
+	m.group = g
 	g.scheduleWrite(now)
 }
 
@@ -58,9 +58,9 @@
 
 // removeFromGroup removes a deleted machine from its group.
 func (c *Core) removeFromGroup(m *machine, now Micros) {
-	if g := m.record; g != nil {
+	if g := m.group; g != nil {
 		g.machines = slices.DeleteFunc(g.machines, func(o *machine) bool { return o == m })
-		m.record = nil
+		m.group = nil
 		g.scheduleWrite(now + groupCleanupDelay)
 	}
 }
@@ -96,7 +96,7 @@
 		g.notBefore = now + c.cfg.RecordInterval
 		if o == Stored {
 			for _, m := range written {
-				if m.record != g || m.recorded {
+				if m.group != g || m.recorded {
 					continue
 				}
 				m.recorded = true
--- a/internal/core/partition_record.go
+++ b/internal/core/partition_record.go
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, name := range c.partitionedZones(now) {
-		if now < c.zoneByName[name].recordFrom {
+		if now < c.zoneByName[name].partitionRecordRetryAt {
 			continue
 		}
 		var unrecorded []*machine
@@ -102,7 +102,7 @@
 	c.write(Write{Puts: []Put{{g.key, rec}}, IfAbsent: g.key, Urgent: true, Priority: Production}, func(now Micros, o WriteOutcome) {
 		g.writing = false
 		if o == WriteRefused {
-			c.zoneByName[zone].recordFrom = now + writeRetryDelay
+			c.zoneByName[zone].partitionRecordRetryAt = now + writeRetryDelay
 			c.dropRetainedGroup(g)
 		} // a write without an answer may have been executed, or may be later
 	})
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -143,7 +143,7 @@
 func (c *Core) place(j *job, i int, m *machine, attempt uint64, now Micros) *placement {
 	p := &placement{job: j, jobID: j.spec.ID, index: i, attempt: attempt, machine: m, need: j.spec.Resources, placedAt: now}
 	fromSpare := j.starving && j.spec.Kind != Service && c.takesSpare(j.spec.Resources, m)
-	c.updateUsage(m, func() {
+	c.updateMachineUsage(m, func() {
 		c.addPlacement(p)
 		if fromSpare {
 			p.onSpare, m.spareUsed = true, m.spareUsed.Add(p.need)
@@ -151,7 +151,7 @@
 	})
 	j.lastPlacedAt, j.starving = now, false
 	if !slices.Contains(c.reservedClasses, j.class) {
-		c.lendable = c.lendable.Sub(j.spec.Resources)
+		c.reservationSurplus = c.reservationSurplus.Sub(j.spec.Resources)
 	}
 	m.markImageUsed(j.imageID, j.spec.ImageMB)
 	c.queueCommands(m)
@@ -234,9 +234,9 @@
 	return j.spec.ImageMB * int64(Second) / m.typ.FetchMBps * int64(1+m.fetchingTasks)
 }
 
-// updateUsage calls change, which changes the machine's used resources, and updates the zone's
-// count of spare slots.
-func (c *Core) updateUsage(m *machine, change func()) {
+// updateMachineUsage calls change, which changes the machine's used resources, and updates the
+// zone's count of spare slots.
+func (c *Core) updateMachineUsage(m *machine, change func()) {
 	c.changedMachines = append(c.changedMachines, m)
 	if m.spot || c.spareTaskResources == (Resources{}) {
 		change()
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// isUnreachable reports whether a machine that did not reply to a direct command counts as
-// unreachable. After a takeover, once at most 5% of all machines are not reconciled, the timeout is
-// halved for those of them that failed to reply twice: all unaccounted tasks of started jobs wait
-// for them.
-func (c *Core) isUnreachable(m *machine, now Micros) bool {
+// unreachableTimeoutPassed reports whether a machine that did not reply to a direct command has not
+// reported for so long that it counts as unreachable. After a takeover, once at most 5% of all
+// machines are not reconciled, the timeout is halved for those of them that failed to reply twice:
+// all unaccounted tasks of started jobs wait for them.
+func (c *Core) unreachableTimeoutPassed(m *machine, now Micros) bool {
 	amongLast := !m.reconciled && m.commandFailures >= 2 && c.unreconciled*20 <= len(c.sortedMachines)
 	return now-m.lastReport >= c.cfg.Tuning.SuspectAfter || amongLast && now-m.lastReport >= c.cfg.Tuning.SuspectAfter/2
 }
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -69,11 +69,11 @@
 	work := 0.0
 	for rank, factor := range []float64{1, max(c.cfg.LateFactor, 1)} {
 		var onTime workHeap
-		var late []*job
+		var deferred []*job
 		for _, j := range jobs {
 			latestEnd := j.submitted + Micros(float64(j.spec.Deadline)*factor)
 			if now+j.correctedEstimate() > latestEnd {
-				late = append(late, j) // late whatever else is deferred
+				deferred = append(deferred, j) // late whatever else is deferred
 				continue
 			}
 			w := j.remainingWork()
@@ -82,14 +82,14 @@
 			if now+Micros(work/float64(capacity))+j.correctedEstimate() > latestEnd {
 				largest := heap.Pop(&onTime).(jobWork)
 				work -= largest.work
-				late = append(late, largest.job)
+				deferred = append(deferred, largest.job)
 			}
 		}
 		for _, o := range onTime {
 			setRank(o.job, rank)
 		}
-		sort.SliceStable(late, func(a, b int) bool { return late[a].deadline < late[b].deadline })
-		jobs = late
+		sort.SliceStable(deferred, func(a, b int) bool { return deferred[a].deadline < deferred[b].deadline })
+		jobs = deferred
 	}
 	for i, j := range orderLateJobs(jobs) {
 		setRank(j, 2+i)
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -29,7 +29,7 @@
 				round()
 			}
 			w.want("started", f.liveTasks(), "job-1/0 ")
-			w.want("machine recorded", fmt.Sprint(w.puts[w.c.machines["n-1"].record.key]), "{ [{n-1 n-1:1 m a false}]}")
+			w.want("machine recorded", fmt.Sprint(w.puts[w.c.machines["n-1"].group.key]), "{ [{n-1 n-1:1 m a false}]}")
 			w.want("started record written", w.puts[StartedPrefix+"job-1"] != nil, true)
 		})
 	}
@@ -57,7 +57,7 @@
 	w.want("records", len(keys), 2)
 	w.want("the key of the unanswered write is deleted", w.deletes[MachinePrefix+"100-1"], true)
 	w.want("recorded", w.c.machines["n-0"].recorded && w.c.machines["n-4"].recorded, true)
-	first := w.c.machines["n-0"].record.key
+	first := w.c.machines["n-0"].group.key
 	for _, n := range []string{"n-0", "n-1", "n-2"} {
 		w.c.HandleReleaseResult(w.now, []string{n}, true)
 	}
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -254,7 +254,7 @@
 	p.state, p.cause = Exited, t.Cause
 	if wasOccupying {
 		c.deallocate(p, now)
-		if c.retryWait(p) {
+		if c.restartAfterPeersMissing(p) {
 			return
 		}
 	}
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -157,7 +157,7 @@
 	for _, k := range c.reservedClasses {
 		s := k.reservation.sample
 		if s.Priority > j.spec.Priority && s.Team != j.spec.Team && !withinGuarantee(Resources{}, s.Resources, c.team(s.Team).Min) {
-			return c.lendable.CPU < j.spec.Resources.CPU || c.lendable.GPU < j.spec.Resources.GPU
+			return c.reservationSurplus.CPU < j.spec.Resources.CPU || c.reservationSurplus.GPU < j.spec.Resources.GPU
 		}
 	}
 	return false
--- a/internal/core/starvation_test.go
+++ b/internal/core/starvation_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// TestStarvingJobTakesKeptRoom checks that a job with no task placed for starvationTimeout gets
-// capacity for one task, even if that capacity is spare capacity for expected services or reserved
-// for a class. Otherwise the job waits for as long as such services keep arriving and the cloud has
-// no more machines. The same holds for a job whose task failed on the only machine with room.
-func TestStarvingJobTakesKeptRoom(t *testing.T) {
+// TestStarvingJobTakesSpareOrReservedCapacity checks that a job with no task placed for
+// starvationTimeout gets capacity for one task, even if that capacity is spare capacity for
+// expected services or reserved for a class. Otherwise the job waits for as long as such services
+// keep arriving and the cloud has no more machines. The same holds for a job whose task failed on
+// the only machine with room.
+func TestStarvingJobTakesSpareOrReservedCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		kind     Kind
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -46,7 +46,7 @@
 			}
 			m := &machine{
 				name: rec.Name, address: rec.Address, typeName: rec.Type, zone: rec.Zone, spot: rec.Spot,
-				record: group, recorded: true, discoveredAt: now, lastReport: now,
+				group: group, recorded: true, discoveredAt: now, lastReport: now,
 				// The machine counts as having reported so recently that a successful probe
 				// makes it schedulable for one report timeout. It must report by itself within
 				// that time.
--- a/internal/core/zone.go
+++ b/internal/core/zone.go
@@ -9,14 +9,14 @@
 
 // zone is the state of reports from the machines of one zone.
 type zone struct {
-	up              int    // machines that are neither booting nor lost
-	reporting       int    // those of them that have reported within the window
-	reportedInTerm  bool   // at least one has reported in this term
-	window          Micros // the time in which about reportsPerWindow of them report
-	partitionStart  Micros // about when the latest partition began
-	lastPartitioned Micros // when it was last found partitioned; 0: never
-	partitionUntil  Micros // if found partitioned again before this, it is the same partition
-	recordFrom      Micros // no partition record is written before this, after a refused write
+	up                     int    // machines that are neither booting nor lost
+	reporting              int    // those of them that have reported within the window
+	reportedInTerm         bool   // at least one has reported in this term
+	window                 Micros // the time in which about reportsPerWindow of them report
+	partitionStart         Micros // about when the latest partition began
+	lastPartitioned        Micros // when it was last found partitioned; 0: never
+	partitionUntil         Micros // if found partitioned again before this, it is the same partition
+	partitionRecordRetryAt Micros // no partition record is written before this, after a refused write
 }
 
 const (
--- a/internal/node/clusterconfig.go
+++ b/internal/node/clusterconfig.go
@@ -180,7 +180,7 @@
 
 // writeAck writes an acknowledgement if the write budget has room beside the users' writes.
 func (n *Node) writeAck(ack clusterconfig.Ack) {
-	if !n.stateClient.HasPriorityBudget(1) {
+	if !n.stateClient.HasBudgetBesideUsers(1) {
 		return
 	}
 	value, err := wire.EncodeConfigAck(&ack)
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -91,7 +91,7 @@
 	}
 	for p := len(c.taskQueues) - 1; p >= 0; p-- {
 		for len(c.taskQueues[p]) > 0 {
-			if c.foregroundInFlight >= maxTaskWritesInFlight || !c.n.stateClient.HasPriorityBudget(c.nextTxnOps(c.taskQueues[p])) {
+			if c.foregroundInFlight >= maxTaskWritesInFlight || !c.n.stateClient.HasBudgetBesideUsers(c.nextTxnOps(c.taskQueues[p])) {
 				return
 			}
 			c.foregroundInFlight++
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -57,7 +57,7 @@
 			reply(httpapi.Unavailable())
 		case known:
 			a := n.jobResponse(rec)
-			a.Fresh = n.freshSince(receivedAt)
+			a.Fresh = n.freshnessCheck(receivedAt)
 			reply(a)
 		default:
 			notFound()
@@ -70,9 +70,9 @@
 // longer: they ask another node meanwhile.
 const maxResponseAge = 1500 * core.Millisecond
 
-// freshSince returns a function that reports whether a response may still be written whose age
+// freshnessCheck returns a function that reports whether a response may still be written whose age
 // counts from receivedAt.
-func (n *Node) freshSince(receivedAt core.Micros) func() bool {
+func (n *Node) freshnessCheck(receivedAt core.Micros) func() bool {
 	return func() bool { return n.now() < receivedAt+maxResponseAge }
 }
 
@@ -143,7 +143,7 @@
 				rec.Revision = rev
 				n.applyJob(rec)
 				reply(httpapi.Response{Status: http.StatusCreated, Body: &wire.AcceptedResponse{ID: spec.ID, State: wire.StatePending},
-					Fresh: n.freshSince(n.now())}) // it may be cancelled by then through another node
+					Fresh: n.freshnessCheck(n.now())}) // it may be cancelled by then through another node
 			case errors.Is(err, statestore.ErrConflict):
 				n.lookup(spec.ID, reply, func() { n.resubmitIfConfigChanged(spec, configRevision, reply) })
 			case errors.Is(err, statestore.ErrInvalid):
@@ -213,7 +213,7 @@
 // unknownJobResponse returns the response for a job that was unknown when the request was received
 // at receivedAt. It expires, since another node may accept the job before the response is written.
 func (n *Node) unknownJobResponse(status int, receivedAt core.Micros) httpapi.Response {
-	return httpapi.Response{Status: status, Fresh: n.freshSince(receivedAt)}
+	return httpapi.Response{Status: status, Fresh: n.freshnessCheck(receivedAt)}
 }
 
 // Cancel cancels a job unless it is done, and returns its state.
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -127,9 +127,9 @@
 	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(c.writes.Burst()+n)/2
 }
 
-// HasPriorityBudget reports whether n changes fit into the write budget with a quarter of it left
-// for users.
-func (c *Client) HasPriorityBudget(n int) bool {
+// HasBudgetBesideUsers reports whether n changes fit into the write budget with a quarter of it
+// left for users.
+func (c *Client) HasBudgetBesideUsers(n int) bool {
 	burst := c.writes.Burst()
 	return c.writes.Limit() == rate.Inf || c.writes.Tokens() >= float64(min(n+burst/4, burst))
 }
