--- a/internal/notify/deliver/deliver.go
+++ b/internal/notify/deliver/deliver.go
@@ -122,8 +122,8 @@
 
 // Send makes one delivery attempt with the leader's fencing token. It returns the outcome and the
 // delay that the receiver requested before the next attempt, or 0. With an open breaker, it
-// returns NotDelivered and a quarter of the breaker's timeout without an attempt. It returns when
-// ctx ends or shortly after.
+// returns NotDelivered and a quarter of the breaker's timeout without an attempt. It returns
+// shortly after ctx ends at the latest.
 func (s *Sender) Send(ctx context.Context, send notify.Send, token uint64) (notify.Outcome, core.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, s.receiver.Timeout)
 	defer cancel()
--- a/internal/notify/outbox.go
+++ b/internal/notify/outbox.go
@@ -58,7 +58,7 @@
 	settled             map[uint64]*roaring.Bitmap // settled revisions above the watermark, by chunk
 	unsettled           map[uint64]int             // number of events by revision
 	awaitingComplete    []uint64                   // settled so far, but more events may follow
-	revisionHeap        revisionHeap               // of unsettled; may include settled ones
+	revisionHeap        revisionHeap               // the keys of unsettled; some may be settled
 	buffered            map[string]bool            // IDs of the events in the queues
 	queues              map[string]*jobQueue       // by job
 	ready               queueHeap                  // queues that are not busy
@@ -193,9 +193,9 @@
 	return out
 }
 
-// RetryDeadLetter queues a dead letter to be sent again, behind the event of its job that
-// is being sent. It returns false if there is no such dead letter, if it is already queued,
-// or if its record is not written yet.
+// RetryDeadLetter queues a dead letter to be sent again, behind an event of its job that is
+// being sent or has been attempted. It returns false if there is no such dead letter, if it is
+// already queued, or if its record is not written yet.
 func (o *Outbox) RetryDeadLetter(now core.Micros, name, job string, kind Kind) bool {
 	e := Event{Job: job, Kind: kind}
 	s := o.subscriptions[name]
