--- a/internal/simulator/fault_combinations_budget_test.go
+++ b/internal/simulator/fault_combinations_budget_test.go
@@ -146,9 +146,10 @@
 		}},
 		{"reports of workers are lost while direct commands arrive", func(seed uint64) combination {
 			isolated := map[*simulator.Worker]bool{}
-			startedLater := map[string]bool{} // tasks started on such a machine after the session in which its reports were lost
-			seen := map[string]bool{}         // tasks of later sessions, also those started by a new leader
-			var crashedAt time.Time           // a new leader can't know yet in its first 9 s which reports are lost
+			// Tasks started on a machine in isolated after the session in which its reports were lost.
+			startedLater := map[string]bool{}
+			seen := map[string]bool{} // tasks of later sessions, also those started by a new leader
+			var crashedAt time.Time   // a new leader can't know yet in its first 9 s which reports are lost
 			firstSession := map[*simulator.Worker]uint64{}
 			watch := func(w *simulator.World) {
 				for range 140 {
--- a/internal/simulator/fault_combinations_random_test.go
+++ b/internal/simulator/fault_combinations_random_test.go
@@ -376,8 +376,9 @@
 	}
 }
 
-// duplicateReports returns an action that makes copies of a share of the workers' reports arrive again
-// 2 to 30 s later, which may be well after a lease. A share of 0 ends it.
+// duplicateReports returns an action that makes copies of a share of the workers' reports arrive
+// again 2 to 30 s later, which may be well after a lease. Other requests to the nodes are copied in
+// the same way. A share of 0 ends it.
 func duplicateReports(share float64) func(*simulator.World) {
 	return func(w *simulator.World) {
 		for _, n := range w.NodeFaults {
--- a/internal/simulator/fault_combinations_test.go
+++ b/internal/simulator/fault_combinations_test.go
@@ -8,7 +8,7 @@
 	"aspenstall/internal/wire"
 )
 
-// replayCounts counts the requests that a simulated service executed late or again, by whether they
+// replayCounts counts the requests that a service or node executed late or again, by whether they
 // succeeded or were rejected.
 type replayCounts struct{ executed, rejected int }
 
@@ -25,8 +25,8 @@
 	}
 }
 
-// smallJobsWorkload submits jobs of two or three tasks whose completions are far apart, and services
-// and an array that run throughout.
+// smallJobsWorkload submits jobs of two or three tasks whose completions are far apart, services
+// that run throughout, and one array of long tasks.
 func smallJobsWorkload(_ *testing.T, u *users) {
 	const s = time.Second
 	for i := range 9 {
--- a/internal/simulator/net.go
+++ b/internal/simulator/net.go
@@ -191,8 +191,9 @@
 
 var errRefused = errors.New("connection refused")
 
-// Dialer returns a dial function for connections from a host. Dialling over a blocked or
-// partitioned link fails after a second, or when the context ends, as a timeout does.
+// Dialer returns a dial function for connections from a host. Dialling over a blocked link, or
+// while packets are held back, fails with a timeout after a second, or earlier when the context
+// ends.
 func (n *Net) Dialer(from string) netdial.Func {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		fail := func(err error) (net.Conn, error) {
--- a/internal/simulator/partition_test.go
+++ b/internal/simulator/partition_test.go
@@ -22,7 +22,7 @@
 	w := u.w
 	for i := range 12 {
 		job := service(500+i, 6)
-		if i >= 8 { // the other services are spread over two zones
+		if i >= 8 { // bound to zone c; the first eight are spread over two zones or more
 			job.Zone, job.Spread = "c", false
 		}
 		u.after(time.Duration(i)*s, func() {
--- a/internal/simulator/process_exit_test.go
+++ b/internal/simulator/process_exit_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// onRequest returns a hook for the faults of a service that decides if a request is the one to crash
-// during.
+// onRequest returns the CrashOn function for the faults of a service. It decides whether a process
+// crashes during a request, and at which point of it.
 func (e *exitInjector) onRequest(service string) func(r *http.Request, body []byte) simulator.CrashPoint {
 	return func(r *http.Request, body []byte) simulator.CrashPoint {
 		e.mu.Lock()
--- a/internal/simulator/races_test.go
+++ b/internal/simulator/races_test.go
@@ -356,9 +356,9 @@
 	})
 }
 
-// TestCancellationDuringTakeover tests that running and waiting jobs that are cancelled in the seconds
-// of a takeover have no task started after the confirmation. Starts are allowed only until the
-// confirmation has reached the leader.
+// TestCancellationDuringTakeover cancels running and waiting jobs in the seconds of a takeover. It
+// tests that no leader starts a task of such a job once it has learnt of the confirmation: a start
+// may follow the confirmation by the propagation time at most.
 func TestCancellationDuringTakeover(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	// A confirmation reaches the leader by its watch, within the propagation time.
--- a/internal/simulator/state.go
+++ b/internal/simulator/state.go
@@ -44,7 +44,7 @@
 	leases            map[uint64]*stateLease
 	lastLeaseID       uint64
 	changed           chan struct{} // closed and replaced at each change
-	MaxTxnOps         int           // writes in a transaction; four times as many conditions
+	MaxTxnOps         int           // most writes in a transaction; conditions: four times as many
 }
 
 // stateLease is a lease; the keys that are attached to it are deleted when it ends.
@@ -251,8 +251,8 @@
 	respond(w, http.StatusOK, &wire.TxnResult{Revision: s.revision})
 }
 
-// serveChanges serves a watch: it waits up to wait for changes after a revision; s.mu is held, and
-// unlocked while it waits.
+// serveChanges serves a watch: it returns the changes after a revision, and waits for some if there
+// are none, but no longer than wait. s.mu is held, and unlocked while it waits.
 func (s *State) serveChanges(w http.ResponseWriter, r *http.Request, prefix string, since uint64, wait time.Duration) {
 	end := time.Now().Add(wait)
 	for {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -88,7 +88,7 @@
 }
 
 // GangCoordinator is notified when a gang's task begins to wait for the others (gangJoined) and
-// when it exits (gangLeft, which returns the cause to report). The worker's lock is held.
+// when any task exits (gangLeft, which returns the cause to report). The worker's lock is held.
 type GangCoordinator interface {
 	gangJoined(t *workerTask, k *Worker)
 	gangLeft(t *workerTask, cause string) string
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -246,8 +246,8 @@
 	return l.w.Write(b)
 }
 
-// runScenario runs a scenario under fake time with the jobs that the workload submits. Liveness is
-// checked from the end of the faults on, where they end.
+// runScenario runs a scenario under fake time with the jobs that the workload submits. It checks
+// liveness from the end of the faults on, unless setup begins faults that last until the end.
 func runScenario(t *testing.T, sc scenario, p config.Platform, types []simulator.MachineType, jobs func(t *testing.T, u *users)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulator.NewWorld(sc.seed, p, types)
@@ -485,7 +485,7 @@
 		time.Sleep(60 * time.Second)
 		w.ExpectLiveness()
 		waiting := service(2, 1)
-		for i := range 3 { // the leader must not start the task between the submission and its end
+		for i := range 3 { // the leader must not start the task before it is killed
 			partitionNodeFromWorkers(w, i, true)
 		}
 		w.Submit(waiting)
