--- a/internal/nomad/httpapi/routes.go
+++ b/internal/nomad/httpapi/routes.go
@@ -71,8 +71,9 @@
 	"node": "machines are rented and returned by the scheduler", "agent": "only /v1/agent/self and /v1/agent/health are served",
 }
 
-// findRoute returns a path's route and the name in the path. Names may hold any character. A slash in
-// a name should be escaped; where a client does not escape it, the last part of the path decides.
+// findRoute returns a path's route and the name in the path. Names may hold any character. A slash
+// in a name should be escaped. If a client does not escape it, the last part of the path belongs to
+// the name unless it is a key of jobRoutes.
 func findRoute(path string) (route, string, error) {
 	if r, ok := exactRoutes[path]; ok {
 		return r, "", nil
--- a/internal/nomad/httpapi/server_test.go
+++ b/internal/nomad/httpapi/server_test.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// Names are unescaped; where a slash in a name is not escaped, the last part of the path decides.
+// Names are unescaped. If a slash in a name is not escaped, the last part of the path belongs to
+// the name unless it is a key of jobRoutes.
 func TestFindRoute(t *testing.T) {
 	for path, want := range map[string]string{
 		"/v1/job/a":                    "a",
--- a/internal/nomad/jobfile/hcl.go
+++ b/internal/nomad/jobfile/hcl.go
@@ -499,7 +499,7 @@
 		kindDuration: cty.String, kindStringMap: cty.Map(cty.String),
 	}
 	ty, ok := want[it.kind]
-	if !ok { // free
+	if !ok { // kindAnyMap
 		m, ok := toJSONValue(v).(map[string]any)
 		if !ok {
 			w.addProblem(pos, "%s: want a map", it.hclName)
--- a/internal/nomad/registry/record.go
+++ b/internal/nomad/registry/record.go
@@ -240,8 +240,8 @@
 			}
 		}
 		if !listed[jobPrefix+id] && r.jobs[n].JobModifyIndex <= revision {
-			// The revision of the purge is not known. The team's purgeRecord, which is in the list,
-			// has an upper bound.
+			// The revision of the purge is not known. That of the team's purgeRecord, which is in
+			// the list, is an upper bound.
 			if _, ok := r.HandleDelete(jobPrefix+id, r.teamIndex[n.Team]); ok {
 				out = append(out, n)
 			}
--- a/internal/nomad/registry/registry_test.go
+++ b/internal/nomad/registry/registry_test.go
@@ -140,9 +140,10 @@
 	register(newRegistration("2", "a=2", "b=1"), 1, 1, 1)
 	j := r.Get(Name{"blue", "j"})
 	s.finish(j.Groups[1].Native, core.Done)
-	register(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2) // a completed native job is not started again
+	// A completed native job is not started again, but one that was cancelled separately is.
+	register(newRegistration("3", "a=2", "b=1", "c=1"), 1, 0, 2)
 	s.finish(r.Get(j.Name).Groups[0].Native, core.Cancelled)
-	register(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1) // one that was cancelled separately is
+	register(newRegistration("4", "a=2", "b=1", "c=2"), 2, 1, 1)
 	change, err := r.Deregister(j.Name, false)
 	if err != nil || len(change.Cancel) != 2 || !s.commit(change) {
 		t.Fatalf("%+v %v", change, err)
