--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -86,7 +86,7 @@
 }
 
 // reportViolation logs a violation and records it, up to 20 of them; c.mu is held. The format
-// begins with the name of the rule and a colon.
+// begins with the name of the invariant and a colon.
 func (c *Checker) reportViolation(format string, args ...any) {
 	c.Log().Error("invariant violated: " + fmt.Sprintf(format, args...))
 	if len(c.violations) < 20 {
--- a/internal/simulator/fault_combinations_budget_test.go
+++ b/internal/simulator/fault_combinations_budget_test.go
@@ -84,8 +84,8 @@
 }
 
 // TestFaultCombinationsByStateBudget runs further combinations of faults that operators reported, at
-// both budgets of the state service. A test fails if the combination did not occur, or if a rule or
-// an expected state is violated.
+// both budgets of the state service. A test fails if the combination did not occur, if an invariant
+// is violated, or if a job does not reach its expected state.
 func TestFaultCombinationsByStateBudget(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	type combination struct {
--- a/internal/simulator/fault_combinations_random_test.go
+++ b/internal/simulator/fault_combinations_random_test.go
@@ -404,10 +404,10 @@
 	w.BlockPeerLinksOf(a.node, false)
 }
 
-// TestRandomFaultCombinations runs random scenarios, by seed, in which two or three faults begin in the
-// same half minute. At least one of them is of combinationFaults or raceFaults. No rule may be
-// violated, and every job that was not cancelled must run or be done once the faults are over. The
-// long form, outside CI:
+// TestRandomFaultCombinations runs random scenarios, by seed, in which two or three faults begin in
+// the same half minute. At least one of them is of combinationFaults or raceFaults. No invariant
+// may be violated, and every job that was not cancelled must run or be done once the faults are
+// over. The long form, outside CI:
 //
 //	go test ./internal/simulator -run TestRandomFaultCombinations -meetings 500
 func TestRandomFaultCombinations(t *testing.T) {
--- a/internal/simulator/fault_combinations_test.go
+++ b/internal/simulator/fault_combinations_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestFaultCombinations runs the combinations of two faults that operators reported. A test fails if
-// the combination did not occur or if a rule is violated. It also fails if a job that was not
+// the combination did not occur or if an invariant is violated. It also fails if a job that was not
 // cancelled neither runs nor is done once the faults are over (users.expectState).
 func TestFaultCombinations(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
--- a/internal/simulator/operational_faults_test.go
+++ b/internal/simulator/operational_faults_test.go
@@ -119,8 +119,8 @@
 }
 
 // TestRandomFaultScenarios runs random scenarios, by seed, in which two to four of operationalFaults
-// begin in the same minute. No rule may be violated, and all work must be done, also that of the team
-// without a guarantee. The long form, outside CI:
+// begin in the same minute. No invariant may be violated, and all work must be done, also that of
+// the team without a guarantee. The long form, outside CI:
 //
 //	go test ./internal/simulator -run TestRandomFaultScenarios -nights 500
 func TestRandomFaultScenarios(t *testing.T) {
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestScenarios runs fault scenarios against the real controllers under fake time. It fails if a
-// rule of the checker is violated or if a job does not reach its expected state.
+// TestScenarios runs fault scenarios against the real controllers under fake time. It fails if an
+// invariant is violated or if a job does not reach its expected state.
 func TestScenarios(t *testing.T) {
 	s := time.Second
 	for _, sc := range []scenario{
