--- a/internal/simulator/fault_combinations_random_test.go
+++ b/internal/simulator/fault_combinations_random_test.go
@@ -376,8 +376,9 @@
 	}
 }
 
-// duplicateReports returns an action that makes copies of a share of the workers' reports arrive again
-// 2 to 30 s later, which may be well after a lease. A share of 0 ends it.
+// duplicateReports returns an action that makes copies of a share of the workers' reports arrive
+// again 2 to 30 s later, which may be well after a lease. Other requests to the nodes are copied in
+// the same way. A share of 0 ends it.
 func duplicateReports(share float64) func(*simulator.World) {
 	return func(w *simulator.World) {
 		for _, n := range w.NodeFaults {
@@ -403,10 +404,10 @@
 	w.BlockPeerLinksOf(a.node, false)
 }
 
-// TestRandomFaultCombinations runs random scenarios, by seed, in which two or three faults begin in the
-// same half minute. At least one of them is of combinationFaults or raceFaults. No rule may be
-// violated, and every job that was not cancelled must run or be done once the faults are over. The
-// long form, outside CI:
+// TestRandomFaultCombinations runs random scenarios, by seed, in which two or three faults begin in
+// the same half minute. At least one of them is of combinationFaults or raceFaults. No invariant
+// may be violated, and every job that was not cancelled must run or be done once the faults are
+// over. The long form, outside CI:
 //
 //	go test ./internal/simulator -run TestRandomFaultCombinations -meetings 500
 func TestRandomFaultCombinations(t *testing.T) {
