--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -32,7 +32,7 @@
 
 const (
 	teamSizeExponent = 0.7  // the share of the nth team is proportional to 1/n^teamSizeExponent
-	guaranteedShare  = 0.85 // of the fleet's CPUs, all teams together
+	guaranteedShare  = 0.85 // of the fleet's CPUs, all teams but urgentTeam together
 	urgentTeam       = "team-urgent"
 	urgentHeadroom   = 3 // guarantee of the urgent team, as a multiple of the CPUs it uses on average
 	maxQuotaFactor   = 3 // limit of a team, as a multiple of its guarantee
--- a/internal/scale/messages.go
+++ b/internal/scale/messages.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// writeKind returns the operation and the key's prefix: at most two components, without the last.
+// writeKind returns the operation and the first two components of the key, or the whole key if it
+// has no more.
 func writeKind(w wire.Write) string {
 	key, op := w.Put, "write "
 	if key == "" {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -74,7 +74,7 @@
 	value func(r *Result) float64
 }
 
-// usageMetric returns a function that applies value to the usage of a role.
+// usageMetric returns a function that applies of to the usage of a role.
 func usageMetric(role Role, of func(Usage) float64) func(*Result) float64 {
 	return func(r *Result) float64 {
 		u, _ := r.usageOf(role)
@@ -150,7 +150,8 @@
 	return f
 }
 
-// minSizesForFit is the number of sizes from which a line is fitted: any line fits two.
+// minSizesForFit is the number of sizes from which a line is fitted: through two points there is
+// always an exact one.
 const minSizesForFit = 3
 
 // WriteReport writes a table of results at several sizes, in Markdown, with a line fitted to each
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -228,8 +228,8 @@
 // seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ForWorkers returns the settings scaled to another number of workers. Running tasks, starts, and
-// the rates and connections that a deployment grants its controllers scale with it.
+// ForWorkers returns the settings scaled to another number of workers. Running tasks, starts, the
+// request rates of the state service and the connections of a controller scale with it.
 func (s Settings) ForWorkers(workers int) (Settings, error) {
 	factor := float64(workers) / float64(s.Workers)
 	s.Workers = workers
